--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -75,7 +75,7 @@
       else peers.send((member) => hasWaiting(member.status));
     },
     rules: {
-      plan: { loadOfReplica: placement.load_of_replica, horizonMs: placement.horizon_ms },
+      plan: { targetReplicaLoad: placement.load_of_replica, horizonMs: placement.horizon_ms },
       stateMs: placement.state_ms,
       busyStateMs: placement.busy_state_ms,
       resendMs: placement.resend_ms,
--- a/packages/weight-orders/src/advance-moves.ts
+++ b/packages/weight-orders/src/advance-moves.ts
@@ -12,7 +12,7 @@
   metrics.count("linkfall_loads_total", "Loads begun, by source.", { source: move.source });
   logger.event("moveBegun", {
     target: move.engine,
-    model: move.load,
+    model: move.model,
     victims: move.victims.join(" "),
     source: move.source,
     reason: move.reason,
--- a/packages/weight-orders/src/engine-work.ts
+++ b/packages/weight-orders/src/engine-work.ts
@@ -39,8 +39,8 @@
   if (word.busy) return { kind: "wait" };
   const victim = move.victims.find((name) => word.models.includes(name));
   if (victim !== undefined) return { kind: "order", order: { action: "unload", model: victim } };
-  if (word.models.includes(move.load)) return { kind: "done" };
-  return { kind: "order", order: { action: "load", model: move.load } };
+  if (word.models.includes(move.model)) return { kind: "done" };
+  return { kind: "order", order: { action: "load", model: move.model } };
 }
 
 /** The engine's word, or what it will be when an unload that it has taken is done. */
--- a/packages/weight-orders/src/give-order.ts
+++ b/packages/weight-orders/src/give-order.ts
@@ -10,7 +10,7 @@
   ResidentModel,
   WeightOrder,
 } from "@linkfall/types";
-import { adaptersTaken, usedMb } from "@linkfall/weight-plan";
+import { usedAdapterSlots, usedMb } from "@linkfall/weight-plan";
 import { askEngine } from "./ask-engines.js";
 import { type EngineWord, type EngineWork, type SentOrder, wordAfter } from "./engine-work.js";
 import { type GiverContext, shapeOf, stateInTenure } from "./giver-context.js";
@@ -57,7 +57,7 @@
   const addedMb = wanted.adapter === undefined ? model?.memoryMb : model?.adapterMb;
   const totalMb = usedMb(held, shape.models) + (addedMb ?? Infinity);
   if (totalMb > shape.memoryMb) return false;
-  return wanted.adapter === undefined || adaptersTaken(held) < shape.adapterSlots;
+  return wanted.adapter === undefined || usedAdapterSlots(held) < shape.adapterSlots;
 }
 
 /** Ends a move, whatever came of it. */
@@ -65,7 +65,7 @@
   const work = context.state.work.get(id);
   if (!work) return;
   context.state.work.delete(id);
-  context.logger.event("moveEnded", { target: id, model: work.move.load, why });
+  context.logger.event("moveEnded", { target: id, model: work.move.model, why });
   context.announce();
 }
 
--- a/packages/weight-orders/src/move-time.ts
+++ b/packages/weight-orders/src/move-time.ts
@@ -15,7 +15,7 @@
 /** Time until the move's model is there: until its load is ordered, all of the load is ahead. */
 export function moveLeftMs(context: GiverContext, { move, sent }: EngineWork): Milliseconds {
   const belief = context.fleet.find(move.engine);
-  const model = belief && shapeOf(context, belief)?.models.get(move.load);
+  const model = belief && shapeOf(context, belief)?.models.get(move.model);
   if (!model) return context.rules.giveUpMs;
   const { fromMemoryMs, fromDiskMs, fromStoreMs } = model;
   const loadMs = { memory: fromMemoryMs, disk: fromDiskMs, store: fromStoreMs }[move.source];
--- a/packages/weight-orders/src/order-giver.ts
+++ b/packages/weight-orders/src/order-giver.ts
@@ -67,7 +67,7 @@
 function expectedTimes(context: GiverContext): Readonly<Record<string, Milliseconds>> {
   const expected: Record<string, Milliseconds> = {};
   for (const [id, work] of context.state.work) {
-    const key = `${context.fleet.find(id)?.listed.service ?? ""} ${work.move.load}`;
+    const key = `${context.fleet.find(id)?.listed.service ?? ""} ${work.move.model}`;
     const leftMs = Math.round(moveLeftMs(context, work));
     expected[key] = Math.min(expected[key] ?? Infinity, leftMs);
   }
--- a/packages/weight-orders/src/plan-service.ts
+++ b/packages/weight-orders/src/plan-service.ts
@@ -2,7 +2,7 @@
 import { isEjected, type TargetBelief } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { EngineShape, Epoch, Milliseconds } from "@linkfall/types";
-import { type AdapterNeed, type EngineView, planAdapters, planMoves } from "@linkfall/weight-plan";
+import { type AdapterDemand, type EngineView, planAdapters, planMoves } from "@linkfall/weight-plan";
 import { beginMove } from "./advance-moves.js";
 import { fits, giveOrder, planOrder } from "./give-order.js";
 import { enginesOf, type GiverContext, pendingAdapter, stateInTenure } from "./giver-context.js";
@@ -25,8 +25,8 @@
   );
   const pending = pendingAdapter(context, belief);
   if (!view || !pending) return view;
-  const adaptersComing = [...view.adaptersComing, pending.key];
-  return { ...view, adaptersComing, freeInMs: Math.max(view.freeInMs, leastLeftMs) };
+  const adaptersComing = [...view.loadingAdapters, pending.key];
+  return { ...view, loadingAdapters: adaptersComing, availableInMs: Math.max(view.availableInMs, leastLeftMs) };
 }
 
 function viewsOf(
@@ -53,7 +53,7 @@
 function noteDemand(
   { state, clock }: GiverContext,
   demand: readonly ModelDemand[],
-): readonly AdapterNeed[] {
+): readonly AdapterDemand[] {
   const now = clock.now();
   return demand.flatMap((entry) => {
     const key = `${entry.service} ${entry.model}`;
@@ -70,7 +70,7 @@
 function giveAdapterOrders(
   context: GiverContext,
   views: readonly EngineView[],
-  needs: readonly AdapterNeed[],
+  needs: readonly AdapterDemand[],
   shape: EngineShape,
   epoch: Epoch,
 ): void {
@@ -90,7 +90,7 @@
 
 /** An engine that has yet to answer an order can be given a move soon. */
 function afterOrder(view: EngineView): EngineView {
-  return { ...view, freeInMs: Math.max(view.freeInMs, leastLeftMs) };
+  return { ...view, availableInMs: Math.max(view.availableInMs, leastLeftMs) };
 }
 
 /** What was not asked for in so short a time may still be: it takes this long to tell. */
@@ -114,10 +114,10 @@
   giveAdapterOrders(context, free, adapterNeeds, shape, epoch);
   const moves = planMoves({
     engines: views.map((view) => (state.ordering.has(view.id) ? afterOrder(view) : view)),
-    needs: toNeeds(demand, service, shape, lastAsked, clock.now()),
+    demand: toNeeds(demand, service, shape, lastAsked, clock.now()),
     models: shape.models,
-    watchedMs: Math.max(leastWatchedMs, clock.now() - (state.watchedSince ?? clock.now())),
-    storeLoadsLeft: storeLoadsLeft(context, shape),
+    observedMs: Math.max(leastWatchedMs, clock.now() - (state.watchedSince ?? clock.now())),
+    storeLoadBudget: storeLoadsLeft(context, shape),
     rules: rules.plan,
   });
   for (const move of moves) beginMove(context, move);
--- a/packages/weight-orders/src/views.ts
+++ b/packages/weight-orders/src/views.ts
@@ -2,7 +2,7 @@
 import type { TargetBelief } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { EngineShape, EngineState, Milliseconds } from "@linkfall/types";
-import type { EngineView, ModelNeed } from "@linkfall/weight-plan";
+import type { EngineView, DemandView } from "@linkfall/weight-plan";
 import type { EngineWork } from "./engine-work.js";
 import type { LastAsked } from "./giver-context.js";
 
@@ -27,15 +27,15 @@
     memoryMb: shape.memoryMb,
     adapterSlots: shape.adapterSlots,
     residents: holdings.models,
-    adaptersComing: state.adaptersComing,
-    inMemory: state.inMemory,
-    onDisk: state.onDisk,
-    freeInMs: work ? Math.max(1, workLeftMs) : state.busy ? unknownMoveMs : 0,
-    loadsFromStore: work?.move.source === "store",
-    incoming: work?.move.load,
-    outgoing: work?.move.victims[0],
+    loadingAdapters: state.adaptersComing,
+    cachedInMemory: state.inMemory,
+    cachedOnDisk: state.onDisk,
+    availableInMs: work ? Math.max(1, workLeftMs) : state.busy ? unknownMoveMs : 0,
+    isLoadingFromStore: work?.move.source === "store",
+    loadingModel: work?.move.model,
+    unloadingModel: work?.move.victims[0],
     inFlight,
-    takesPerSecond,
+    maxRequestsPerSecond: takesPerSecond,
   };
 }
 
@@ -57,14 +57,14 @@
   shape: EngineShape,
   lastAsked: (model: string) => LastAsked | undefined,
   now: Milliseconds,
-): ReadonlyMap<string, ModelNeed> {
-  const needs = new Map<string, ModelNeed>();
+): ReadonlyMap<string, DemandView> {
+  const needs = new Map<string, DemandView>();
   for (const [name, model] of shape.models) {
     const last = lastAsked(name);
     if (!last) continue;
     const { at, objectiveMs } = last;
     const idleMs = now - at;
-    needs.set(name, { model, inFlight: 0, load: 0, rate: 0, objectiveMs, waiting: 0, idleMs });
+    needs.set(name, { model, inFlight: 0, engineLoad: 0, rate: 0, objectiveMs, waiting: 0, idleMs });
   }
   for (const entry of demand) {
     const model = shape.models.get(entry.model);
@@ -73,7 +73,7 @@
     const waiting = entry.waiting + forAdapters;
     const { inFlight, reading, rate, objectiveMs, idleMs } = entry;
     const load = (reading + inFlight / shape.slots) * growthOf(entry);
-    needs.set(entry.model, { model, inFlight, load, rate, objectiveMs, waiting, idleMs });
+    needs.set(entry.model, { model, inFlight, engineLoad: load, rate, objectiveMs, waiting, idleMs });
   }
   return needs;
 }
--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -267,7 +267,7 @@
     demand: () => scene.demand,
     announce: () => undefined,
     rules: {
-      plan: { loadOfReplica: 0.6, horizonMs: 10_000 },
+      plan: { targetReplicaLoad: 0.6, horizonMs: 10_000 },
       stateMs: 300,
       busyStateMs: 60,
       resendMs: 800,
