--- a/packages/weight-plan/src/adapters.ts
+++ b/packages/weight-plan/src/adapters.ts
@@ -1,30 +1,34 @@
-/** Plans where adapters that requests wait for are loaded, and which idle ones make way. */
+/**
+ * Plans which adapters to load for waiting requests, and which idle adapters to unload for them.
+ */
 import type { DeclaredModel, WeightOrder } from "@linkfall/types";
 import { usedAdapterSlots, type EngineView, usedMb } from "./engine-view.js";
 
-/** Adapters of one model that requests wait for. */
+/** Demand for one adapter that requests are waiting for. */
 export interface AdapterDemand {
   readonly model: string;
   readonly adapter: string;
   readonly waiting: number;
 }
 
-/** One order about an adapter on one engine. */
+/** Load or unload of one adapter on one engine. */
 export interface AdapterMove extends WeightOrder {
   readonly engine: string;
   readonly adapter: string;
 }
 
-/** Adapters on their way to one engine at once. */
+/** Limit on the adapters that one engine loads at the same time. */
 const maxConcurrentAdapterLoads = 4;
 
 function holdsModel(engine: EngineView, model: string): boolean {
-  return engine.unloadingModel !== model && engine.residents.some((held) => held.name === model);
+  return (
+    engine.unloadingModel !== model && engine.residents.some((loaded) => loaded.name === model)
+  );
 }
 
 function isLoadedOrLoading(engine: EngineView, { model, adapter }: AdapterDemand): boolean {
   if (engine.loadingAdapters.includes(`${model}/${adapter}`)) return true;
-  const resident = engine.residents.find((held) => held.name === model);
+  const resident = engine.residents.find((loaded) => loaded.name === model);
   return resident?.adapters.includes(adapter) ?? false;
 }
 
@@ -38,46 +42,51 @@
   return usedMb(engine, models) + sizeMb <= engine.memoryMb;
 }
 
-/** An adapter that nobody waits for, to make way. */
+/** Selects the least recently used adapter that no request is waiting for. */
 function selectIdleAdapter(
   engine: EngineView,
-  wanted: ReadonlySet<string>,
+  requested: ReadonlySet<string>,
   lastUsed: (key: string) => number,
 ): { model: string; adapter: string } | undefined {
-  const held = engine.residents.flatMap((resident) =>
+  const loaded = engine.residents.flatMap((resident) =>
     resident.adapters.map((adapter) => ({ model: resident.name, adapter })),
   );
-  const idle = held.filter(({ model, adapter }) => !wanted.has(`${model}/${adapter}`));
-  const age = ({ model, adapter }: { model: string; adapter: string }) =>
+  const idle = loaded.filter(({ model, adapter }) => !requested.has(`${model}/${adapter}`));
+  const lastUsedAt = ({ model, adapter }: { model: string; adapter: string }) =>
     lastUsed(`${model}/${adapter}`);
-  return idle.sort((left, right) => age(left) - age(right))[0];
+  return idle.sort((left, right) => lastUsedAt(left) - lastUsedAt(right))[0];
 }
 
-/** Orders about adapters to send now: at most one an engine. */
+/** Returns the adapter loads and unloads to order now, at most one per engine. */
 export function planAdapters(
   engines: readonly EngineView[],
-  needs: readonly AdapterDemand[],
+  demands: readonly AdapterDemand[],
   models: ReadonlyMap<string, DeclaredModel>,
   lastUsed: (key: string) => number,
 ): readonly AdapterMove[] {
   const moves: AdapterMove[] = [];
-  const wanted = new Set(needs.map((need) => `${need.model}/${need.adapter}`));
+  const requested = new Set(demands.map((demand) => `${demand.model}/${demand.adapter}`));
   const planned = new Set<string>();
-  for (const need of needs) {
-    if (engines.some((engine) => isLoadedOrLoading(engine, need))) continue;
-    const holding = engines
+  for (const demand of demands) {
+    if (engines.some((engine) => isLoadedOrLoading(engine, demand))) continue;
+    const hosts = engines
       .filter((engine) => engine.availableInMs === 0 && !planned.has(engine.id))
-      .filter((engine) => holdsModel(engine, need.model))
+      .filter((engine) => holdsModel(engine, demand.model))
       .filter((engine) => engine.loadingAdapters.length < maxConcurrentAdapterLoads)
       .sort((left, right) => usedAdapterSlots(left) - usedAdapterSlots(right));
-    const roomy = holding.find((engine) => hasCapacity(engine, models, need.model));
-    if (roomy) {
-      planned.add(roomy.id);
-      moves.push({ engine: roomy.id, action: "load", model: need.model, adapter: need.adapter });
+    const target = hosts.find((engine) => hasCapacity(engine, models, demand.model));
+    if (target) {
+      planned.add(target.id);
+      moves.push({
+        engine: target.id,
+        action: "load",
+        model: demand.model,
+        adapter: demand.adapter,
+      });
       continue;
     }
-    for (const engine of holding) {
-      const idle = selectIdleAdapter(engine, wanted, lastUsed);
+    for (const engine of hosts) {
+      const idle = selectIdleAdapter(engine, requested, lastUsed);
       if (!idle) continue;
       planned.add(engine.id);
       moves.push({ engine: engine.id, action: "unload", ...idle });
--- a/packages/weight-plan/src/engine-view.ts
+++ b/packages/weight-plan/src/engine-view.ts
@@ -1,57 +1,57 @@
-/** What the planner knows: engines with what they hold, and what is asked of each model. */
+/** The planner's view of engines and of the demand for each model. */
 import type { DeclaredModel, Mebibytes, Milliseconds, ResidentModel } from "@linkfall/types";
 
-/** One engine as the planner sees it. */
+/** State of one engine as used for planning. */
 export interface EngineView {
   readonly id: string;
   readonly domain: string;
   readonly memoryMb: Mebibytes;
   readonly adapterSlots: number;
   readonly residents: readonly ResidentModel[];
-  /** Adapters on their way, as `model/adapter`. */
+  /** Adapters being loaded, as `model/adapter`. */
   readonly loadingAdapters: readonly string[];
   readonly cachedInMemory: ReadonlySet<string>;
   readonly cachedOnDisk: ReadonlySet<string>;
-  /** Time until a move that is under way is expected to end; 0 where nothing is under way. */
+  /** Time until the current move is expected to finish; 0 if the engine is idle. */
   readonly availableInMs: Milliseconds;
-  /** Whether the move under way brings its model from the weight store. */
+  /** Whether the current move loads its model from the weight store. */
   readonly isLoadingFromStore: boolean;
-  /** The model that the move under way brings in, if any. */
+  /** Model that the current move loads, if any. */
   readonly loadingModel?: string;
-  /** The model that the move under way drops, if any. */
+  /** Model that the current move unloads, if any. */
   readonly unloadingModel?: string;
-  /** Requests at work there. */
+  /** Requests running on the engine. */
   readonly inFlight: number;
-  /** Requests a second that it takes; absent where it takes any number. */
+  /** Rate limit of the engine in requests per second; undefined if unlimited. */
   readonly maxRequestsPerSecond?: number;
 }
 
-/** What is asked of one model over all boxes. */
+/** Demand for one model, summed over all boxes. */
 export interface DemandView {
   readonly model: DeclaredModel;
-  /** Requests at work or waiting, averaged. */
+  /** Running and waiting requests, averaged over time. */
   readonly inFlight: number;
-  /** What its requests take of engines: 1 is all that one engine can do. */
+  /** Engine capacity that the requests use; 1 is one fully loaded engine. */
   readonly engineLoad: number;
-  /** Shortest objective of the requests that asked for it. */
+  /** Shortest latency objective of the requests for the model. */
   readonly objectiveMs: Milliseconds;
-  /** Requests a second that ask for it, those that are refused included. */
+  /** Requests per second, including refused ones. */
   readonly rate: number;
-  /** Requests that wait for the model. */
+  /** Requests waiting for the model to be loaded. */
   readonly waiting: number;
-  /** Time since the last request; Infinity where none was seen. */
+  /** Time since the last request; Infinity if there was none. */
   readonly idleMs: number;
 }
 
 export type LoadSource = "memory" | "disk" | "store";
 
-/** Where a load on this engine would come from. */
+/** Returns the fastest source from which this engine can load the model. */
 export function loadSourceOf(engine: EngineView, model: string): LoadSource {
   if (engine.cachedInMemory.has(model)) return "memory";
   return engine.cachedOnDisk.has(model) ? "disk" : "store";
 }
 
-/** How long a load of the model takes. */
+/** Returns the expected load time of the model from the given source. */
 export function loadTimeMs(source: LoadSource, model: DeclaredModel): Milliseconds {
   switch (source) {
     case "memory":
@@ -63,25 +63,27 @@
   }
 }
 
-/** Memory of the engine's weights and adapters, those on their way included. */
+/** Returns the memory used by models and adapters, including adapters being loaded. */
 export function usedMb(
-  engine: Pick<EngineView, "residents" | "adaptersComing">,
+  engine: Pick<EngineView, "residents" | "loadingAdapters">,
   models: ReadonlyMap<string, DeclaredModel>,
 ): Mebibytes {
-  const resident = engine.residents.reduce((sum, held) => {
-    const model = models.get(held.name);
+  const residentMb = engine.residents.reduce((sum, loaded) => {
+    const model = models.get(loaded.name);
     if (!model) return sum;
-    return sum + model.memoryMb + held.adapters.length * model.adapterMb;
+    return sum + model.memoryMb + loaded.adapters.length * model.adapterMb;
   }, 0);
-  const coming = engine.loadingAdapters.reduce(
+  const loadingMb = engine.loadingAdapters.reduce(
     (sum, name) => sum + (models.get(name.split("/", 1)[0])?.adapterMb ?? 0),
     0,
   );
-  return resident + coming;
+  return residentMb + loadingMb;
 }
 
-/** Adapter places that are taken. */
-export function usedAdapterSlots(engine: Pick<EngineView, "residents" | "adaptersComing">): number {
-  const held = engine.residents.reduce((sum, resident) => sum + resident.adapters.length, 0);
-  return held + engine.loadingAdapters.length;
+/** Returns the number of adapter slots in use, including adapters being loaded. */
+export function usedAdapterSlots(
+  engine: Pick<EngineView, "residents" | "loadingAdapters">,
+): number {
+  const loadedCount = engine.residents.reduce((sum, resident) => sum + resident.adapters.length, 0);
+  return loadedCount + engine.loadingAdapters.length;
 }
--- a/packages/weight-plan/src/eviction-cost.ts
+++ b/packages/weight-plan/src/eviction-cost.ts
@@ -1,87 +1,96 @@
-/** Copies of each model, and what the requests of a model lose when one of them goes. */
+/** Counts replicas and estimates the cost of evicting one, in milliseconds of delay to requests. */
 import type { Milliseconds } from "@linkfall/types";
 import type { EngineView, DemandView } from "./engine-view.js";
 import type { PlanInput } from "./plan-input.js";
 
-/** Several copies of a model that was not asked for yet tell that much will be asked of it. */
+/** Cost of evicting one of several replicas of a model that has had no requests yet. */
 const unrequestedExtraReplicaCostMs: Milliseconds = 400;
-/** Before any demand is known: what the single copy of a model is worth. */
+/** Cost of evicting the last replica of a model before any demand is observed. */
 export const initialLastReplicaCostMs: Milliseconds = 100;
-/** Before any demand is known, further copies go first, those of the model with most copies before others:
- * their weights stay in the engine's memory, and come back far sooner than what no engine has. */
+/**
+ * Cost of evicting one of several replicas before any demand is observed, divided by their number.
+ * The weights stay cached on the engine, which keeps a reload cheap.
+ */
 const initialExtraReplicaCostMs: Milliseconds = 180;
-/** The longer it is not asked for beyond this, the less they tell. */
+/** Time without requests after which that cost starts to decay. */
 const unrequestedDecayStartMs: Milliseconds = 10_000;
-/** Time over which a further copy of a model that has fallen silent is still worth something. */
+/** Time after the last request over which an extra replica keeps some value. */
 const extraReplicaHorizonMs: Milliseconds = 1_000;
-/** Requests that come closer together than this are taken to come that often. */
+/** Lower bound on the idle time, which caps the estimated request rate. */
 const minIdleMs: Milliseconds = 500;
-/** A request at work holds up the unload, and its successors lose their replica. */
+/** Cost per running request: it delays the unload, and later requests lose the replica. */
 const inFlightEvictionCostMs: Milliseconds = 1_500;
-/** A copy is one too many only where the others would have less than this share of what one carries. */
+/** A replica is surplus if the remaining ones stay below this fraction of the target load. */
 const surplusLoadShare = 0.6;
-/** What a copy beyond those that are needed is worth per request at work. */
+/** Cost per running request of evicting a surplus replica. */
 const surplusRequestCostMs: Milliseconds = 50;
 
-/** Copies of each model, with those on their way in and without those on their way out. */
+/** Counts replicas per model, including those being loaded and excluding those being unloaded. */
 export function countReplicas(engines: readonly EngineView[]): Map<string, number> {
-  const copies = new Map<string, number>();
-  const add = (name: string, by: number) => copies.set(name, (copies.get(name) ?? 0) + by);
-  for (const { residents, loadingModel: incoming, unloadingModel: outgoing } of engines) {
+  const replicaCounts = new Map<string, number>();
+  const add = (name: string, delta: number) =>
+    replicaCounts.set(name, (replicaCounts.get(name) ?? 0) + delta);
+  for (const { residents, loadingModel, unloadingModel } of engines) {
     for (const resident of residents) add(resident.name, 1);
-    const holds = (name: string) => residents.some((held) => held.name === name);
-    if (incoming !== undefined && !holds(incoming)) add(incoming, 1);
-    if (outgoing !== undefined && holds(outgoing)) add(outgoing, -1);
+    const isResident = (name: string) => residents.some((resident) => resident.name === name);
+    if (loadingModel !== undefined && !isResident(loadingModel)) add(loadingModel, 1);
+    if (unloadingModel !== undefined && isResident(unloadingModel)) add(unloadingModel, -1);
   }
-  return copies;
+  return replicaCounts;
 }
 
 /**
- * Share of the requests that come during a load which lose by it: all where the load takes longer than
- * their objective, few where it leaves time. Nobody knows of a model that was never asked for.
+ * Returns the fraction of requests arriving during a load that miss their latency objective.
+ * Without observed demand all of them are assumed to.
  */
-function delayedRequestShare(loadMs: Milliseconds, need: DemandView | undefined): number {
-  const ratio = need ? loadMs / need.objectiveMs : 1;
+function delayedRequestShare(loadMs: Milliseconds, demand: DemandView | undefined): number {
+  const ratio = demand ? loadMs / demand.objectiveMs : 1;
   return Math.min(1, ratio * ratio);
 }
 
-/** Time since the last request; a model that was never asked for is taken to be due as its silence was long. */
-function idleTimeMs(input: PlanInput, need: DemandView | undefined): Milliseconds {
-  return Math.max(minIdleMs, need?.idleMs ?? input.observedMs);
+/** Returns the time since the last request, or the observation time if there was none. */
+function idleTimeMs(input: PlanInput, demand: DemandView | undefined): Milliseconds {
+  return Math.max(minIdleMs, demand?.idleMs ?? input.observedMs);
 }
 
-/** What is lost when the last copy of a model goes: its next request waits for a load. */
+/** Returns the cost of evicting the last replica: the next request has to wait for a load. */
 export function lastReplicaCostMs(input: PlanInput, name: string): Milliseconds {
   const model = input.models.get(name);
   if (!model) return 0;
   if (input.demand.size === 0) return initialLastReplicaCostMs;
-  const need = input.demand.get(name);
-  const idleMs = idleTimeMs(input, need);
+  const demand = input.demand.get(name);
+  const idleMs = idleTimeMs(input, demand);
   const { fromDiskMs } = model;
-  return (fromDiskMs * delayedRequestShare(fromDiskMs, need) * input.rules.horizonMs) / idleMs;
+  return (fromDiskMs * delayedRequestShare(fromDiskMs, demand) * input.rules.horizonMs) / idleMs;
 }
 
-/** What requests lose when this copy goes, in milliseconds; Infinity where it must stay. */
+/** Returns the cost of evicting this replica; Infinity if it must not be evicted. */
 export function evictionCostMs(
   input: PlanInput,
-  copies: ReadonlyMap<string, number>,
+  replicaCounts: ReadonlyMap<string, number>,
   engine: EngineView,
   name: string,
 ): Milliseconds {
   if (engine.unloadingModel === name) return Infinity;
-  const need = input.demand.get(name);
-  const have = copies.get(name) ?? 0;
-  const inFlight = need?.inFlight ?? 0;
-  if (have <= 1) {
-    if (need && need.waiting > 0) return Infinity;
+  const demand = input.demand.get(name);
+  const replicas = replicaCounts.get(name) ?? 0;
+  const inFlight = demand?.inFlight ?? 0;
+  if (replicas <= 1) {
+    if (demand && demand.waiting > 0) return Infinity;
     return lastReplicaCostMs(input, name) + inFlight * inFlightEvictionCostMs;
   }
-  if (input.demand.size === 0) return initialExtraReplicaCostMs / have;
-  if (!need) return (unrequestedExtraReplicaCostMs * unrequestedDecayStartMs) / Math.max(unrequestedDecayStartMs, input.observedMs);
-  const loadAfter = (need?.engineLoad ?? 0) / (have - 1);
-  const easy = input.rules.targetReplicaLoad * surplusLoadShare;
-  if (loadAfter > easy) return (inFlight / (have - 1)) * inFlightEvictionCostMs;
+  if (input.demand.size === 0) return initialExtraReplicaCostMs / replicas;
+  if (!demand)
+    return (
+      (unrequestedExtraReplicaCostMs * unrequestedDecayStartMs) /
+      Math.max(unrequestedDecayStartMs, input.observedMs)
+    );
+  const remainingLoad = (demand?.engineLoad ?? 0) / (replicas - 1);
+  const surplusLoad = input.rules.targetReplicaLoad * surplusLoadShare;
+  if (remainingLoad > surplusLoad) return (inFlight / (replicas - 1)) * inFlightEvictionCostMs;
   const model = input.models.get(name);
-  const idleMs = idleTimeMs(input, need);
-  return inFlight * surplusRequestCostMs + ((model?.fromDiskMs ?? 0) * extraReplicaHorizonMs) / idleMs;
+  const idleMs = idleTimeMs(input, demand);
+  return (
+    inFlight * surplusRequestCostMs + ((model?.fromDiskMs ?? 0) * extraReplicaHorizonMs) / idleMs
+  );
 }
--- a/packages/weight-plan/src/placements.ts
+++ b/packages/weight-plan/src/placements.ts
@@ -1,177 +1,230 @@
-/** Where a model would come in best: on which engine, in the place of which others. */
+/** Selects the engine on which to load a model, and the models to evict for it. */
 import type { DeclaredModel, Mebibytes, Milliseconds } from "@linkfall/types";
 import { evictionCostMs, lastReplicaCostMs, initialLastReplicaCostMs } from "./eviction-cost.js";
-import { type EngineView, type LoadSource, loadTimeMs, loadSourceOf, usedMb } from "./engine-view.js";
+import {
+  type EngineView,
+  type LoadSource,
+  loadTimeMs,
+  loadSourceOf,
+  usedMb,
+} from "./engine-view.js";
 import type { PlanInput } from "./plan-input.js";
 import type { LoadCandidate } from "./load-candidates.js";
 
-/** An engine that is not free yet may be taken for something else before it is. */
+/** Factor on the waiting time for a busy engine, which may get other work before it is idle. */
 const busyEngineFactor = 2;
-/** An engine that takes only so many requests is a place where no other is. */
+/** Penalty that makes a rate-limited engine the last choice. */
 const rateLimitedPenaltyMs: Milliseconds = 60_000;
-/** What a request at work on an engine costs one more there. */
+/** Penalty per request running on the engine. */
 const inFlightPenaltyMs: Milliseconds = 20;
-/** What bringing a model that no engine has at hand is worth. */
+/** Benefit of loading a model that no engine has cached. */
 const unreachableBenefitMs: Milliseconds = 150;
-/** What a model on standby displaces has to be worth this much less, so that two do not take turns. */
+/**
+ * A standby model must be worth this many times its victims, to prevent models from evicting each
+ * other in turn.
+ */
 const standbyMargin = 2;
-/** An engine with no more requests at work can be held up by a load for nobody yet. */
+/** Limit on running requests for an engine to take a load without current demand. */
 const maxQuietInFlight = 6;
-/** Loads from the weight store that are kept for models that requests wait for. */
+/** Weight store loads reserved for models with waiting requests. */
 const reservedStoreLoads = 3;
-/** Beyond this, requests of a model on one replica earn a further one. */
+/** Benefit of another replica per running request above the target load. */
 const replicaBenefitMs: Milliseconds = 250;
 
-/** A place for a model on one engine. */
+/** A possible load of a model on one engine. */
 export interface Placement {
   readonly engine: EngineView;
   readonly source: LoadSource;
   readonly victims: readonly string[];
-  /** What the victims' requests lose, in milliseconds. */
+  /** Cost of evicting the victims, in milliseconds of delay to their requests. */
   readonly evictionCostMs: number;
-  /** Time until the model is there. */
+  /** Time until the model is ready. */
   readonly readyMs: Milliseconds;
 }
 
-/** A resident model that could make room. */
+/** A resident model that could be evicted. */
 interface EvictableResident {
   readonly name: string;
-  /** What its requests lose if it goes, in milliseconds. */
+  /** Cost of the eviction, in milliseconds of delay to its requests. */
   readonly evictionCostMs: number;
   readonly memoryMb: Mebibytes;
 }
 
-/** What an engine has to offer any model. */
+/** Free memory of an engine and its resident models as eviction options. */
 interface EvictionOptions {
   readonly freeMb: Mebibytes;
-  /** The cheapest first. */
+  /** Sorted by eviction cost, lowest first. */
   readonly residents: readonly EvictableResident[];
 }
 
-/**
- * Prices of the engines of one plan. Each is worked out once and not for each wish: the box that plans does nothing else meanwhile.
- */
+/** Caches the eviction options of each engine for one plan. */
 export interface EvictionOptionsCache {
   optionsFor(engine: EngineView): EvictionOptions;
-  /** Drops the prices that hang on these models, whose copies have changed. */
+  /**
+   * Discards the options of engines that hold these models, after their replica counts have
+   * changed.
+   */
   invalidate(models: ReadonlySet<string>): void;
 }
 
 function listEvictionOptions(
   input: PlanInput,
-  copies: ReadonlyMap<string, number>,
+  replicaCounts: ReadonlyMap<string, number>,
   engine: EngineView,
 ): EvictionOptions {
   const residents = engine.residents.flatMap(({ name, adapters }) => {
     const model = input.models.get(name);
     if (!model) return [];
-    const loss = evictionCostMs(input, copies, engine, name);
-    return [{ name, loss, memoryMb: model.memoryMb + adapters.length * model.adapterMb }];
+    const costMs = evictionCostMs(input, replicaCounts, engine, name);
+    return [
+      {
+        name,
+        evictionCostMs: costMs,
+        memoryMb: model.memoryMb + adapters.length * model.adapterMb,
+      },
+    ];
   });
   return {
     freeMb: engine.memoryMb - usedMb(engine, input.models),
-    residents: residents.sort((left, right) => left.loss - right.loss),
+    residents: residents.sort((left, right) => left.evictionCostMs - right.evictionCostMs),
   };
 }
 
-/** Creates the prices of a plan that changes `copies` as it goes. */
-export function createEvictionOptionsCache(input: PlanInput, copies: ReadonlyMap<string, number>): EvictionOptionsCache {
-  const known = new Map<string, EvictionOptions>();
+/** Creates the cache for one plan; the plan updates `replicaCounts` as it proceeds. */
+export function createEvictionOptionsCache(
+  input: PlanInput,
+  replicaCounts: ReadonlyMap<string, number>,
+): EvictionOptionsCache {
+  const optionsByEngine = new Map<string, EvictionOptions>();
   return {
     optionsFor(engine) {
-      const price = known.get(engine.id) ?? listEvictionOptions(input, copies, engine);
-      known.set(engine.id, price);
-      return price;
+      const options =
+        optionsByEngine.get(engine.id) ?? listEvictionOptions(input, replicaCounts, engine);
+      optionsByEngine.set(engine.id, options);
+      return options;
     },
     invalidate(models) {
-      for (const [id, { residents }] of known) {
-        if (residents.some(({ name }) => models.has(name))) known.delete(id);
+      for (const [id, { residents }] of optionsByEngine) {
+        if (residents.some(({ name }) => models.has(name))) optionsByEngine.delete(id);
       }
     },
   };
 }
 
-/** The cheapest victims that make room on an engine; undefined when there is no room to be had. */
-function findPlacement(prices: EvictionOptionsCache, engine: EngineView, model: DeclaredModel): Placement | undefined {
+/** Selects the cheapest victims that free enough memory; undefined if the model does not fit. */
+function findPlacement(
+  evictionOptions: EvictionOptionsCache,
+  engine: EngineView,
+  model: DeclaredModel,
+): Placement | undefined {
   if (engine.loadingModel === model.name) return undefined;
   if (engine.residents.some((resident) => resident.name === model.name)) return undefined;
-  const { freeMb, residents } = prices.optionsFor(engine);
-  let room = freeMb;
-  let loss = 0;
+  const { freeMb, residents } = evictionOptions.optionsFor(engine);
+  let availableMb = freeMb;
+  let totalCostMs = 0;
   const victims: string[] = [];
   for (const resident of residents) {
-    if (room >= model.memoryMb) break;
+    if (availableMb >= model.memoryMb) break;
     victims.push(resident.name);
-    loss += resident.evictionCostMs;
-    room += resident.memoryMb;
+    totalCostMs += resident.evictionCostMs;
+    availableMb += resident.memoryMb;
   }
-  if (room < model.memoryMb || !Number.isFinite(loss)) return undefined;
+  if (availableMb < model.memoryMb || !Number.isFinite(totalCostMs)) return undefined;
   const source = loadSourceOf(engine, model.name);
-  return { engine, source, victims, evictionCostMs: loss, readyMs: engine.availableInMs + loadTimeMs(source, model) };
+  return {
+    engine,
+    source,
+    victims,
+    evictionCostMs: totalCostMs,
+    readyMs: engine.availableInMs + loadTimeMs(source, model),
+  };
 }
 
-/** Whether the load earns what its victims lose. */
-function isWorthwhile(input: PlanInput, wish: LoadCandidate, place: Placement): boolean {
-  switch (wish.reason) {
+/** Returns whether the benefit of the load exceeds the cost of its evictions. */
+function isWorthwhile(input: PlanInput, candidate: LoadCandidate, placement: Placement): boolean {
+  switch (candidate.reason) {
     case "waiting":
       return true;
     case "demand":
-      if (place.engine.maxRequestsPerSecond !== undefined) return false;
-      return place.evictionCostMs < (wish.priority + wish.targetInFlight / 2) * replicaBenefitMs;
+      if (placement.engine.maxRequestsPerSecond !== undefined) return false;
+      return (
+        placement.evictionCostMs <
+        (candidate.priority + candidate.targetInFlight / 2) * replicaBenefitMs
+      );
     case "standby":
-      if (input.demand.size === 0) return place.evictionCostMs < initialLastReplicaCostMs;
-      return place.evictionCostMs * standbyMargin < lastReplicaCostMs(input, wish.model.name);
+      if (input.demand.size === 0) return placement.evictionCostMs < initialLastReplicaCostMs;
+      return (
+        placement.evictionCostMs * standbyMargin < lastReplicaCostMs(input, candidate.model.name)
+      );
     case "unreachable":
-      return place.evictionCostMs < unreachableBenefitMs && place.engine.inFlight <= maxQuietInFlight;
+      return (
+        placement.evictionCostMs < unreachableBenefitMs &&
+        placement.engine.inFlight <= maxQuietInFlight
+      );
   }
 }
 
-function placementCostMs(place: Placement): number {
-  const risk = place.engine.availableInMs * (busyEngineFactor - 1);
-  const limited = place.engine.maxRequestsPerSecond === undefined ? 0 : rateLimitedPenaltyMs;
-  return place.readyMs + risk + place.evictionCostMs + place.engine.inFlight * inFlightPenaltyMs + limited;
+function placementCostMs(placement: Placement): number {
+  const waitPenaltyMs = placement.engine.availableInMs * (busyEngineFactor - 1);
+  const limitPenaltyMs =
+    placement.engine.maxRequestsPerSecond === undefined ? 0 : rateLimitedPenaltyMs;
+  return (
+    placement.readyMs +
+    waitPenaltyMs +
+    placement.evictionCostMs +
+    placement.engine.inFlight * inFlightPenaltyMs +
+    limitPenaltyMs
+  );
 }
 
-/** Share of the engines that may load from the store at once for callers who get their answer late in any case,
- * or for nobody yet: without it loads from the store took the orders of eight engines for 86 % of the time. */
+/** Fraction of engines that may run deferrable store loads at the same time. */
 const maxDeferrableLoadShare = 0.25;
 
-/** Whether a load from the store is for nobody yet, or for callers for whom only one from disk comes in time. */
-function isDeferrable({ reason, model }: LoadCandidate, needs: PlanInput["demand"]): boolean {
+/** Returns whether a store load has no current demand, or would finish too late for its callers. */
+function isDeferrable(
+  { reason, model }: LoadCandidate,
+  demandByModel: PlanInput["demand"],
+): boolean {
   if (reason === "unreachable") return true;
-  const need = needs.get(model.name);
-  if (!need) return false;
-  return need.objectiveMs > model.fromDiskMs && need.objectiveMs < model.fromStoreMs;
+  const demand = demandByModel.get(model.name);
+  if (!demand) return false;
+  return demand.objectiveMs > model.fromDiskMs && demand.objectiveMs < model.fromStoreMs;
 }
 
-/** Loads from the store that may begin: one takes all orders of an engine for seconds, so most engines stay
- * free for what is urgent. */
-function allowedStoreLoads(input: PlanInput, wish: LoadCandidate, storeLoadsLeft: number): number {
-  const reserved = wish.reason === "waiting" ? 0 : reservedStoreLoads;
-  const allowed = storeLoadsLeft - reserved;
-  // Before there is demand nothing is urgent.
-  if (input.demand.size === 0 || !isDeferrable(wish, input.demand)) return allowed;
+/**
+ * Returns the number of store loads that may start. A store load blocks other moves on its engine
+ * for seconds, which is why deferrable loads are limited to a fraction of the engines.
+ */
+function allowedStoreLoads(
+  input: PlanInput,
+  candidate: LoadCandidate,
+  storeLoadBudget: number,
+): number {
+  const reserved = candidate.reason === "waiting" ? 0 : reservedStoreLoads;
+  const allowed = storeLoadBudget - reserved;
+  // Without any demand there is nothing more urgent to keep engines free for.
+  if (input.demand.size === 0 || !isDeferrable(candidate, input.demand)) return allowed;
   const loading = input.engines.filter((engine) => engine.isLoadingFromStore).length;
-  const share = Math.max(1, Math.floor(input.engines.length * maxDeferrableLoadShare));
-  return Math.min(allowed, share - loading);
+  const maxLoading = Math.max(1, Math.floor(input.engines.length * maxDeferrableLoadShare));
+  return Math.min(allowed, maxLoading - loading);
 }
 
-/** The best place, which may be an engine that is not free yet. */
+/** Selects the cheapest placement, which may be on an engine that is still busy. */
 export function selectPlacement(
   input: PlanInput,
-  prices: EvictionOptionsCache,
-  wish: LoadCandidate,
-  storeLoadsLeft: number,
+  evictionOptions: EvictionOptionsCache,
+  candidate: LoadCandidate,
+  storeLoadBudget: number,
 ): Placement | undefined {
-  const allowed = allowedStoreLoads(input, wish, storeLoadsLeft);
+  const allowed = allowedStoreLoads(input, candidate, storeLoadBudget);
   let best: Placement | undefined;
   for (const engine of input.engines) {
-    const place = findPlacement(prices, engine, wish.model);
-    if (!place || !isWorthwhile(input, wish, place)) continue;
-    if (place.readyMs > (wish.maxReadyMs ?? Infinity)) continue;
-    // What nobody asks for yet is not worth an engine's orders for seconds.
-    const mayLoad = place.source !== "store" || (wish.reason !== "standby" && allowed > 0);
-    if (mayLoad && (!best || placementCostMs(place) < placementCostMs(best))) best = place;
+    const placement = findPlacement(evictionOptions, engine, candidate.model);
+    if (!placement || !isWorthwhile(input, candidate, placement)) continue;
+    if (placement.readyMs > (candidate.maxReadyMs ?? Infinity)) continue;
+    // Standby models are never loaded from the store, since this blocks the engine for seconds.
+    const mayLoad = placement.source !== "store" || (candidate.reason !== "standby" && allowed > 0);
+    if (mayLoad && (!best || placementCostMs(placement) < placementCostMs(best))) best = placement;
   }
   return best;
 }
--- a/packages/weight-plan/src/plan-input.ts
+++ b/packages/weight-plan/src/plan-input.ts
@@ -1,23 +1,25 @@
-/** What a plan is made from, and what comes of it. */
+/** Input and output types of the planner. */
 import type { DeclaredModel, Milliseconds } from "@linkfall/types";
 import type { EngineView, DemandView } from "./engine-view.js";
 
-/** One swap on one engine: the victims go, then the model comes. */
+/** One swap on one engine: unloads the victims, then loads the model. */
 export interface WeightMove {
   readonly engine: string;
   readonly model: string;
   readonly victims: readonly string[];
   readonly source: "memory" | "disk" | "store";
-  /** Requests wait for it; its replicas are too few; its next requests could not wait for a load; or no
-   * engine has it at hand. */
+  /**
+   * Why the model is loaded: requests are waiting for it, its replicas are overloaded, its callers
+   * cannot wait for a load on demand, or no engine has its weights cached.
+   */
   readonly reason: "waiting" | "demand" | "standby" | "unreachable";
 }
 
-/** Settings of the plan. */
+/** Tuning parameters of the planner. */
 export interface PlanRules {
-  /** Load that one replica is to carry, as a share of what an engine can do. */
+  /** Target load per replica, as a fraction of the engine's capacity. */
   readonly targetReplicaLoad: number;
-  /** Time over which the next request of a rare model is weighed. */
+  /** Time horizon over which future requests for rarely used models are weighed. */
   readonly horizonMs: Milliseconds;
 }
 
@@ -25,9 +27,9 @@
   readonly engines: readonly EngineView[];
   readonly demand: ReadonlyMap<string, DemandView>;
   readonly models: ReadonlyMap<string, DeclaredModel>;
-  /** Time for which demand has been watched. */
+  /** Time over which demand has been observed. */
   readonly observedMs: Milliseconds;
-  /** Loads that the weight store's rate still permits now. */
+  /** Weight store loads that the rate limit still allows. */
   readonly storeLoadBudget: number;
   readonly rules: PlanRules;
 }
--- a/packages/weight-plan/src/plan.ts
+++ b/packages/weight-plan/src/plan.ts
@@ -1,36 +1,42 @@
-/** Plans which models engines swap: what is missed most comes in, what is missed least goes. */
+/** Plans which models to load and evict: highest demand first, cheapest evictions first. */
 import { selectPlacement, createEvictionOptionsCache } from "./placements.js";
 import type { PlanInput, WeightMove } from "./plan-input.js";
 import { summarizeAvailability, selectCandidates } from "./load-candidates.js";
 
-/** Moves to begin now: at most one an engine. */
+/** Returns the moves to start now, at most one per engine. */
 export function planMoves(input: PlanInput): readonly WeightMove[] {
-  const where = summarizeAvailability(input);
-  const { replicaCounts: copies } = where;
-  const prices = createEvictionOptionsCache(input, copies);
+  const availability = summarizeAvailability(input);
+  const { replicaCounts } = availability;
+  const evictionOptions = createEvictionOptionsCache(input, replicaCounts);
   const moves: WeightMove[] = [];
-  let { storeLoadBudget: storeLoadsLeft, engines } = input;
-  for (const { model, ...wish } of selectCandidates(input, where)) {
-    const place = selectPlacement({ ...input, engines }, prices, { model, ...wish }, storeLoadsLeft);
-    // An engine that is soon free and has the weights at hand is better than a slow load now.
-    if (!place || place.engine.availableInMs > 0) continue;
-    const { id } = place.engine;
-    const { source } = place;
-    if (source === "store") storeLoadsLeft -= 1;
+  let { storeLoadBudget, engines } = input;
+  for (const { model, ...candidate } of selectCandidates(input, availability)) {
+    const placement = selectPlacement(
+      { ...input, engines },
+      evictionOptions,
+      { model, ...candidate },
+      storeLoadBudget,
+    );
+    // Waits for a busy engine if it will be ready sooner than any idle one.
+    if (!placement || placement.engine.availableInMs > 0) continue;
+    const { id } = placement.engine;
+    const { source } = placement;
+    if (source === "store") storeLoadBudget -= 1;
     moves.push({
       engine: id,
       model: model.name,
-      victims: place.victims,
+      victims: placement.victims,
       source,
-      reason: wish.reason,
+      reason: candidate.reason,
     });
-    copies.set(model.name, (copies.get(model.name) ?? 0) + 1);
-    prices.invalidate(new Set([model.name, ...place.victims]));
-    for (const victim of place.victims) copies.set(victim, (copies.get(victim) ?? 0) - 1);
+    replicaCounts.set(model.name, (replicaCounts.get(model.name) ?? 0) + 1);
+    evictionOptions.invalidate(new Set([model.name, ...placement.victims]));
+    for (const victim of placement.victims)
+      replicaCounts.set(victim, (replicaCounts.get(victim) ?? 0) - 1);
     const occupied = {
-      freeInMs: Math.max(1, place.readyMs),
-      incoming: model.name,
-      loadsFromStore: source === "store",
+      availableInMs: Math.max(1, placement.readyMs),
+      loadingModel: model.name,
+      isLoadingFromStore: source === "store",
     };
     engines = engines.map((engine) => (engine.id === id ? { ...engine, ...occupied } : engine));
   }
--- a/packages/weight-plan/src/rate-limited-engines.ts
+++ b/packages/weight-plan/src/rate-limited-engines.ts
@@ -1,48 +1,51 @@
-/** Engines that take only so many requests a second: which of their copies serve what is asked. */
+/** Determines which replicas on rate-limited engines count as serving capacity. */
 import type { EngineView, DemandView } from "./engine-view.js";
 
-const isRateLimited = ({ maxRequestsPerSecond: takesPerSecond }: EngineView) => takesPerSecond !== undefined;
+const isRateLimited = ({ maxRequestsPerSecond: limit }: EngineView) => limit !== undefined;
 
-/** Models that some engine without a limit holds, and does not drop. */
+/** Returns the models loaded on an engine without a rate limit, except those being unloaded. */
 function modelsOnUnlimitedEngines(engines: readonly EngineView[]): ReadonlySet<string> {
-  const held = engines
+  const models = engines
     .filter((engine) => !isRateLimited(engine))
-    .flatMap(({ residents, unloadingModel: outgoing }) =>
-      residents.map(({ name }) => name).filter((name) => name !== outgoing),
+    .flatMap(({ residents, unloadingModel }) =>
+      residents.map(({ name }) => name).filter((name) => name !== unloadingModel),
     );
-  return new Set(held);
+  return new Set(models);
 }
 
-/** The engine's models that only limited engines hold and whose requests it takes, the least asked for first. */
+/**
+ * Selects the models of a rate-limited engine that fit within its rate limit, lowest request rate
+ * first. Models that are also loaded elsewhere are skipped.
+ */
 function modelsWithinRateLimit(
-  { residents, maxRequestsPerSecond: takesPerSecond = Infinity }: EngineView,
+  { residents, maxRequestsPerSecond: limit = Infinity }: EngineView,
   elsewhere: ReadonlySet<string>,
-  needs: ReadonlyMap<string, DemandView>,
+  demand: ReadonlyMap<string, DemandView>,
 ): ReadonlySet<string> {
-  const rateOf = (name: string) => needs.get(name)?.rate ?? 0;
-  const names = residents.map(({ name }) => name).filter((name) => !elsewhere.has(name));
+  const rateOf = (name: string) => demand.get(name)?.rate ?? 0;
+  const candidates = residents.map(({ name }) => name).filter((name) => !elsewhere.has(name));
   const served = new Set<string>();
-  let left = takesPerSecond;
-  for (const name of names.sort((one, other) => rateOf(one) - rateOf(other))) {
-    left -= rateOf(name);
-    if (left >= 0) served.add(name);
+  let remaining = limit;
+  for (const name of candidates.sort((one, other) => rateOf(one) - rateOf(other))) {
+    remaining -= rateOf(name);
+    if (remaining >= 0) served.add(name);
   }
   return served;
 }
 
 /**
- * The engines without the copies that don't count: a limited engine serves only models that no other engine holds, as far
- * as its limit goes. What it can't serve needs another copy.
+ * Removes replicas that add no usable capacity: a rate-limited engine only serves models that no
+ * unlimited engine holds, up to its rate limit. All other models need another replica.
  */
 export function withServingReplicas(
   engines: readonly EngineView[],
-  needs: ReadonlyMap<string, DemandView>,
+  demand: ReadonlyMap<string, DemandView>,
 ): readonly EngineView[] {
   if (!engines.some(isRateLimited)) return engines;
   const elsewhere = modelsOnUnlimitedEngines(engines);
   return engines.map((engine) => {
     if (!isRateLimited(engine)) return engine;
-    const served = modelsWithinRateLimit(engine, elsewhere, needs);
+    const served = modelsWithinRateLimit(engine, elsewhere, demand);
     return { ...engine, residents: engine.residents.filter(({ name }) => served.has(name)) };
   });
 }
