--- a/packages/weight-plan/src/weight-plan.steps.ts
+++ b/packages/weight-plan/src/weight-plan.steps.ts
@@ -175,7 +175,7 @@
   demand.set(name, {
     model: declared,
     inFlight: 0,
-    engineLoad: load,
+    engineLoad,
     rate: 0,
     objectiveMs,
     waiting: 0,
