--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -10,7 +10,11 @@
   orderLeaseName,
 } from "@linkfall/order-lease";
 import { boxOf } from "@linkfall/types";
-import { createOrderDispatcher, type OrderDispatcher, orderDispatcherName } from "@linkfall/weight-orders";
+import {
+  createOrderDispatcher,
+  type OrderDispatcher,
+  orderDispatcherName,
+} from "@linkfall/weight-orders";
 import { hasWaiting } from "./box-loads.js";
 import type { BoxParts } from "./box-parts.js";
 import { targetLimitsName } from "./provide-limits.js";
