--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -10,7 +10,7 @@
 import { desiredFeedName } from "@linkfall/desired-feed";
 import { fleetName } from "@linkfall/fleet";
 import type { ChangeWaiter } from "@linkfall/forwarding";
-import type { Wanted } from "@linkfall/model-demand";
+import type { RequestedWeights } from "@linkfall/model-demand";
 import { orderLeaseName } from "@linkfall/order-lease";
 import type { Milliseconds } from "@linkfall/types";
 import { orderDispatcherName } from "@linkfall/weight-orders";
@@ -20,7 +20,7 @@
 
 export interface HeartbeatReceiver {
   /** Time until weights are expected to be there, as the order giver told. */
-  expectedWeightsMs(wanted: Wanted): Milliseconds | undefined;
+  expectedWeightsMs(wanted: RequestedWeights): Milliseconds | undefined;
 }
 
 /** What was taken of the order giver's reports. */
