--- a/packages/model-demand/src/index.ts
+++ b/packages/model-demand/src/index.ts
@@ -1,60 +1,68 @@
-/** What callers of this box ask of each model: requests at work or waiting, and since when. */
+/**
+ * Measures the demand for each model: running and waiting requests, rates and the time since the
+ * last request.
+ */
 import type { Clock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 
-/** Weights that a request asks for. */
+/** Model and optional adapter that a request needs. */
 export interface RequestedWeights {
   readonly service: string;
   readonly model: string;
   readonly adapter?: string;
 }
 
-/** What one request asks of an engine, whether or not it gets there. */
+/** Demand of one request, whether or not it reaches an engine. */
 export interface RequestDemand {
-  /** Time in which its answer is to begin. */
+  /** Latency objective for the start of the response. */
   readonly objectiveMs: Milliseconds;
-  /** Time for which an engine has to read its prompt. */
+  /** Estimated time for an engine to process the prompt. */
   readonly prefillMs: Milliseconds;
 }
 
-/** Demand for the weights of one model, as one box or all boxes see it. */
+/** Demand for one model, on one box or summed over several. */
 export interface ModelDemand {
   readonly service: string;
   readonly model: string;
-  /** Requests at work or waiting, averaged over the last second or so. */
+  /** Running and waiting requests, averaged over about one second. */
   readonly inFlight: number;
-  /** Time in which engines have to read the prompts of its requests, per time that passes, averaged
-   * likewise: 1 is one engine that does nothing else. Requests that were refused count as well. */
+  /**
+   * Prompt processing time per unit of time, averaged likewise: 1 occupies one engine fully.
+   * Includes refused requests.
+   */
   readonly reading: number;
-  /** Requests a second, averaged over the last second or so. */
+  /** Requests per second, averaged over about one second. */
   readonly rate: number;
-  /** Requests a second, averaged over a longer time: demand that grows is below `rate` here. */
+  /** Requests per second, averaged over a longer window; lower than `rate` while demand grows. */
   readonly earlierRate: number;
-  /** Shortest objective of the requests that asked for it. */
+  /** Shortest latency objective of the requests for the model. */
   readonly objectiveMs: Milliseconds;
-  /** Requests that wait for the model. */
+  /** Requests waiting for the model to be loaded. */
   readonly waiting: number;
-  /** Requests that wait for an adapter of it, by name. */
+  /** Requests waiting for an adapter of the model, by adapter name. */
   readonly waitingAdapters: Readonly<Record<string, number>>;
   /** Time since the last request. */
   readonly idleMs: Milliseconds;
 }
 
 export interface ModelDemandMeter {
-  /** Notes a request; the returned function notes its end. */
-  recordRequest(wanted: RequestedWeights, request: RequestDemand): () => void;
-  /** Notes that a request waits for weights; the returned function ends the wait. */
-  recordWait(wanted: RequestedWeights): () => void;
-  /** Demand of now, without models that nobody has asked for lately. */
+  /** Records a request; the returned function records its end. */
+  recordRequest(weights: RequestedWeights, request: RequestDemand): () => void;
+  /** Records a request waiting for weights; the returned function ends the wait. */
+  recordWait(weights: RequestedWeights): () => void;
+  /** Returns the current demand, without models that have not been requested recently. */
   read(): readonly ModelDemand[];
 }
 
-/** Time over which requests in flight are averaged. */
+/** Averaging window of the running requests and the current rate. */
 const averagingWindowMs: Milliseconds = 1_000;
-/** Time over which the rate before is averaged: longer than a load from disk, so that growth shows before it. */
+/**
+ * Averaging window of the baseline rate; longer than a load from disk, which makes growth visible
+ * early.
+ */
 const baselineWindowMs: Milliseconds = 3_000;
 const millisecondsPerSecond = 1_000;
-/** Models that were not asked for in this time are left out. */
+/** Time after the last request until a model is dropped. */
 const retentionMs: Milliseconds = 120_000;
 const roundingFactor = 100;
 
@@ -73,17 +81,17 @@
   readonly waitingAdapters: Map<string, number>;
 }
 
-/** Brings the average up to now. */
+/** Decays the averages to the current time. */
 function updateAverages(entry: DemandEntry, now: Milliseconds): void {
-  const kept = Math.exp(-(now - entry.updatedAt) / averagingWindowMs);
-  entry.averageInFlight = entry.averageInFlight * kept + entry.inFlight * (1 - kept);
-  entry.reading *= kept;
-  entry.rate *= kept;
+  const decay = Math.exp(-(now - entry.updatedAt) / averagingWindowMs);
+  entry.averageInFlight = entry.averageInFlight * decay + entry.inFlight * (1 - decay);
+  entry.reading *= decay;
+  entry.rate *= decay;
   entry.earlierRate *= Math.exp(-(now - entry.updatedAt) / baselineWindowMs);
   entry.updatedAt = now;
 }
 
-/** Calls an action at most once. */
+/** Wraps an action such that it runs at most once. */
 function once(action: () => void): () => void {
   let done = false;
   return () => {
@@ -93,7 +101,7 @@
   };
 }
 
-/** Creates the meter of one box. */
+/** Creates the demand meter of one box. */
 export function createModelDemandMeter(clock: Clock): ModelDemandMeter {
   const entries = new Map<string, DemandEntry>();
 
@@ -118,24 +126,24 @@
     return entry;
   };
 
-  const countInFlight = (entry: DemandEntry, by: number) => {
+  const addInFlight = (entry: DemandEntry, delta: number) => {
     const now = clock.now();
     updateAverages(entry, now);
-    entry.inFlight += by;
+    entry.inFlight += delta;
     entry.lastRequestAt = now;
   };
 
-  const countWaiting = (entry: DemandEntry, adapter: string | undefined, by: number) => {
+  const addWaiting = (entry: DemandEntry, adapter: string | undefined, delta: number) => {
     if (adapter === undefined) {
-      entry.waiting += by;
+      entry.waiting += delta;
       return;
     }
-    const left = (entry.waitingAdapters.get(adapter) ?? 0) + by;
-    if (left > 0) entry.waitingAdapters.set(adapter, left);
+    const remaining = (entry.waitingAdapters.get(adapter) ?? 0) + delta;
+    if (remaining > 0) entry.waitingAdapters.set(adapter, remaining);
     else entry.waitingAdapters.delete(adapter);
   };
 
-  const toDemand = (entry: DemandEntry): ModelDemand => {
+  const toModelDemand = (entry: DemandEntry): ModelDemand => {
     updateAverages(entry, clock.now());
     return {
       service: entry.service,
@@ -152,37 +160,39 @@
   };
 
   return {
-    recordRequest(wanted, { objectiveMs, prefillMs: readingMs }) {
-      const entry = entryOf(wanted);
+    recordRequest(weights, { objectiveMs, prefillMs }) {
+      const entry = entryOf(weights);
       entry.objectiveMs = Math.min(entry.objectiveMs, objectiveMs);
-      countInFlight(entry, 1);
-      entry.reading += readingMs / averagingWindowMs;
+      addInFlight(entry, 1);
+      entry.reading += prefillMs / averagingWindowMs;
       entry.rate += millisecondsPerSecond / averagingWindowMs;
       entry.earlierRate += millisecondsPerSecond / baselineWindowMs;
-      return once(() => countInFlight(entry, -1));
+      return once(() => addInFlight(entry, -1));
     },
-    recordWait(wanted) {
-      const entry = entryOf(wanted);
-      countWaiting(entry, wanted.adapter, 1);
-      return once(() => countWaiting(entry, wanted.adapter, -1));
+    recordWait(weights) {
+      const entry = entryOf(weights);
+      addWaiting(entry, weights.adapter, 1);
+      return once(() => addWaiting(entry, weights.adapter, -1));
     },
     read() {
       const now = clock.now();
       for (const [key, entry] of entries) {
         if (entry.inFlight === 0 && now - entry.lastRequestAt > retentionMs) entries.delete(key);
       }
-      return [...entries.values()].map(toDemand);
+      return [...entries.values()].map(toModelDemand);
     },
   };
 }
 
-/** Demand of several boxes together. */
-export function sumDemand(readings: readonly (readonly ModelDemand[])[]): readonly ModelDemand[] {
+/** Sums the demand of several boxes per model. */
+export function sumDemand(
+  demandByBox: readonly (readonly ModelDemand[])[],
+): readonly ModelDemand[] {
   const sums = new Map<string, ModelDemand>();
-  for (const demand of readings.flat()) {
+  for (const demand of demandByBox.flat()) {
     const key = `${demand.service} ${demand.model}`;
-    const known = sums.get(key);
-    sums.set(key, known ? addDemand(known, demand) : demand);
+    const previous = sums.get(key);
+    sums.set(key, previous ? addDemand(previous, demand) : demand);
   }
   return [...sums.values()];
 }
--- a/packages/model-demand/src/model-demand.feature
+++ b/packages/model-demand/src/model-demand.feature
@@ -1,27 +1,27 @@
-Feature: Demand for a model is what is at work or waits, over all boxes
+Feature: Demand for a model counts running and waiting requests over all boxes
 
-  Scenario: Requests in flight are averaged over about a second
-    Given a meter in which 10 requests for m begin
+  Scenario: Requests in flight are averaged over about one second
+    Given a meter with 10 running requests for m
     When 3 s pass
     Then m has between 9 and 10 requests in flight
     When the requests end and 3 s pass
-    Then m has between 0 and 1 requests in flight and was last asked for 3 s ago
+    Then m has between 0 and 1 requests in flight and was last requested 3 s ago
 
-  Scenario: Waits are counted by model and by adapter, and end once
-    Given a meter in which 2 requests wait for m and 1 for its adapter x
-    Then the meter tells of 2 waiting for m and 1 for its adapter x
+  Scenario: Waiting requests are counted per model and adapter, and removed only once
+    Given a meter with 2 requests waiting for m and 1 for its adapter x
+    Then the meter reports 2 requests waiting for m and 1 for its adapter x
     When the waits end twice
-    Then the meter tells of 0 waiting for m and 0 for its adapter x
+    Then the meter reports 0 requests waiting for m and 0 for its adapter x
 
-  Scenario: Demand of several boxes adds up
-    Given two meters in which 4 requests for m begin each
+  Scenario: The demand of several boxes is summed
+    Given two meters with 4 running requests for m each
     When 3 s pass
-    Then together m has between 7 and 8 requests in flight
+    Then m has between 7 and 8 requests in flight in total
 
-  Scenario: Requests that are refused are demand as well
-    Given a meter in which 25 requests a second for m are refused
-    Then its prompts would take between 0.4 and 0.6 of an engine
+  Scenario: Refused requests count as demand
+    Given a meter that records 25 refused requests per second for m
+    Then its prompts would occupy between 0.4 and 0.6 of an engine
 
-  Scenario: Demand that grows shows before it has grown
-    Given a meter in which requests for m come at 2 a second for 5 s and then at 40
-    Then its rate is more than 1 times that of before
+  Scenario: Growing demand raises the rate above the baseline
+    Given a meter that records 2 requests per second for m for 5 s and then 40 per second
+    Then its rate is more than 1 times the baseline rate
--- a/packages/model-demand/src/model-demand.steps.ts
+++ b/packages/model-demand/src/model-demand.steps.ts
@@ -1,21 +1,26 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
-import { createModelDemandMeter, type ModelDemandMeter, type ModelDemand, sumDemand } from "./index.js";
+import {
+  createModelDemandMeter,
+  type ModelDemand,
+  type ModelDemandMeter,
+  sumDemand,
+} from "./index.js";
 
 interface Scene {
   readonly clock: VirtualClock;
   readonly meters: readonly ModelDemandMeter[];
-  readonly ends: (() => void)[];
+  readonly endCallbacks: (() => void)[];
 }
 
 const scenes = new WeakMap<object, Scene>();
-const wanted = { service: "s", model: "m" };
+const weights = { service: "s", model: "m" };
 
-function begin(world: object, meters: number): Scene {
+function createScene(world: object, meterCount: number): Scene {
   const clock = createVirtualClock();
-  const made = Array.from({ length: meters }, () => createModelDemandMeter(clock));
-  const scene = { clock, meters: made, ends: [] };
+  const meters = Array.from({ length: meterCount }, () => createModelDemandMeter(clock));
+  const scene = { clock, meters, endCallbacks: [] };
   scenes.set(world, scene);
   return scene;
 }
@@ -26,76 +31,76 @@
   return scene;
 }
 
-const requestDemand = { objectiveMs: 400, readingMs: 20 };
+const requestDemand = { objectiveMs: 400, prefillMs: 20 };
 
 function demandOf(world: object): ModelDemand {
   const [demand] = sumDemand(sceneOf(world).meters.map((meter) => meter.read()));
   return demand;
 }
 
-Given("a meter in which {int} requests for m begin", function (this: object, count: number) {
-  const { meters, ends } = begin(this, 1);
-  for (let index = 0; index < count; index++) ends.push(meters[0].recordRequest(wanted, requestDemand));
+Given("a meter with {int} running requests for m", function (this: object, count: number) {
+  const { meters, endCallbacks } = createScene(this, 1);
+  for (let index = 0; index < count; index++)
+    endCallbacks.push(meters[0].recordRequest(weights, requestDemand));
 });
 
-Given(
-  "two meters in which {int} requests for m begin each",
-  function (this: object, count: number) {
-    const { meters, ends } = begin(this, 2);
-    for (const meter of meters) {
-      for (let index = 0; index < count; index++) ends.push(meter.recordRequest(wanted, requestDemand));
-    }
-  },
-);
+Given("two meters with {int} running requests for m each", function (this: object, count: number) {
+  const { meters, endCallbacks } = createScene(this, 2);
+  for (const meter of meters) {
+    for (let index = 0; index < count; index++)
+      endCallbacks.push(meter.recordRequest(weights, requestDemand));
+  }
+});
 
 Given(
-  "a meter in which {int} requests wait for m and {int} for its adapter x",
-  function (this: object, plain: number, adapted: number) {
-    const { meters, ends } = begin(this, 1);
-    for (let index = 0; index < plain; index++) ends.push(meters[0].recordWait(wanted));
-    for (let index = 0; index < adapted; index++) {
-      ends.push(meters[0].recordWait({ ...wanted, adapter: "x" }));
+  "a meter with {int} requests waiting for m and {int} for its adapter x",
+  function (this: object, modelWaits: number, adapterWaits: number) {
+    const { meters, endCallbacks } = createScene(this, 1);
+    for (let index = 0; index < modelWaits; index++)
+      endCallbacks.push(meters[0].recordWait(weights));
+    for (let index = 0; index < adapterWaits; index++) {
+      endCallbacks.push(meters[0].recordWait({ ...weights, adapter: "x" }));
     }
   },
 );
 
 Given(
-  "a meter in which {int} requests a second for m are refused",
+  "a meter that records {int} refused requests per second for m",
   async function (this: object, count: number) {
-    const { meters, clock } = begin(this, 1);
+    const { meters, clock } = createScene(this, 1);
     const seconds = 5;
     for (let index = 0; index < count * seconds; index++) {
-      meters[0].recordRequest(wanted, requestDemand)();
+      meters[0].recordRequest(weights, requestDemand)();
       await clock.runUntil(clock.now() + 1_000 / count);
     }
   },
 );
 
 Given(
-  "a meter in which requests for m come at {int} a second for {int} s and then at {int}",
-  async function (this: object, before: number, seconds: number, after: number) {
-    const { meters, clock } = begin(this, 1);
-    const come = async (perSecond: number, count: number) => {
+  "a meter that records {int} requests per second for m for {int} s and then {int} per second",
+  async function (this: object, initialRate: number, seconds: number, finalRate: number) {
+    const { meters, clock } = createScene(this, 1);
+    const sendRequests = async (perSecond: number, count: number) => {
       for (let index = 0; index < count; index++) {
-        meters[0].recordRequest(wanted, requestDemand)();
+        meters[0].recordRequest(weights, requestDemand)();
         await clock.runUntil(clock.now() + 1_000 / perSecond);
       }
     };
-    await come(before, before * seconds);
-    await come(after, after);
+    await sendRequests(initialRate, initialRate * seconds);
+    await sendRequests(finalRate, finalRate);
   },
 );
 
-Then("its rate is more than {int} times that of before", function (this: object, times: number) {
+Then("its rate is more than {int} times the baseline rate", function (this: object, times: number) {
   const { rate, earlierRate } = demandOf(this);
-  assert.ok(rate > earlierRate * times, `${rate} against ${earlierRate}`);
+  assert.ok(rate > earlierRate * times, `rate ${rate}, baseline ${earlierRate}`);
 });
 
 Then(
-  "its prompts would take between {float} and {float} of an engine",
-  function (this: object, least: number, most: number) {
+  "its prompts would occupy between {float} and {float} of an engine",
+  function (this: object, min: number, max: number) {
     const { reading } = demandOf(this);
-    assert.ok(reading >= least && reading <= most, String(reading));
+    assert.ok(reading >= min && reading <= max, String(reading));
   },
 );
 
@@ -105,50 +110,50 @@
 });
 
 When("the requests end and {int} s pass", function (this: object, seconds: number) {
-  const { clock, ends } = sceneOf(this);
-  for (const end of ends) end();
+  const { clock, endCallbacks } = sceneOf(this);
+  for (const end of endCallbacks) end();
   return clock.runUntil(clock.now() + seconds * 1_000);
 });
 
 When("the waits end twice", function (this: object) {
-  for (const end of sceneOf(this).ends) {
+  for (const end of sceneOf(this).endCallbacks) {
     end();
     end();
   }
 });
 
-function assertInFlight(world: object, least: number, most: number): void {
+function assertInFlight(world: object, min: number, max: number): void {
   const { inFlight } = demandOf(world);
-  assert.ok(inFlight >= least && inFlight <= most, String(inFlight));
+  assert.ok(inFlight >= min && inFlight <= max, String(inFlight));
 }
 
 Then(
   "m has between {int} and {int} requests in flight",
-  function (this: object, least: number, most: number) {
-    assertInFlight(this, least, most);
+  function (this: object, min: number, max: number) {
+    assertInFlight(this, min, max);
   },
 );
 
 Then(
-  "together m has between {int} and {int} requests in flight",
-  function (this: object, least: number, most: number) {
-    assertInFlight(this, least, most);
+  "m has between {int} and {int} requests in flight in total",
+  function (this: object, min: number, max: number) {
+    assertInFlight(this, min, max);
   },
 );
 
 Then(
-  "m has between {int} and {int} requests in flight and was last asked for {int} s ago",
-  function (this: object, least: number, most: number, seconds: number) {
-    assertInFlight(this, least, most);
+  "m has between {int} and {int} requests in flight and was last requested {int} s ago",
+  function (this: object, min: number, max: number, seconds: number) {
+    assertInFlight(this, min, max);
     assert.equal(demandOf(this).idleMs, seconds * 1_000);
   },
 );
 
 Then(
-  "the meter tells of {int} waiting for m and {int} for its adapter x",
-  function (this: object, plain: number, adapted: number) {
+  "the meter reports {int} requests waiting for m and {int} for its adapter x",
+  function (this: object, modelWaits: number, adapterWaits: number) {
     const demand = demandOf(this);
-    assert.equal(demand.waiting, plain);
-    assert.equal(demand.waitingAdapters.x ?? 0, adapted);
+    assert.equal(demand.waiting, modelWaits);
+    assert.equal(demand.waitingAdapters.x ?? 0, adapterWaits);
   },
 );
