--- a/packages/model-demand/src/index.ts
+++ b/packages/model-demand/src/index.ts
@@ -71,7 +71,7 @@
   readonly model: string;
   inFlight: number;
   averageInFlight: number;
-  reading: number;
+  prefillLoad: number;
   rate: number;
   earlierRate: number;
   objectiveMs: Milliseconds;
@@ -85,7 +85,7 @@
 function updateAverages(entry: DemandEntry, now: Milliseconds): void {
   const decay = Math.exp(-(now - entry.updatedAt) / averagingWindowMs);
   entry.averageInFlight = entry.averageInFlight * decay + entry.inFlight * (1 - decay);
-  entry.reading *= decay;
+  entry.prefillLoad *= decay;
   entry.rate *= decay;
   entry.earlierRate *= Math.exp(-(now - entry.updatedAt) / baselineWindowMs);
   entry.updatedAt = now;
@@ -113,7 +113,7 @@
       model,
       inFlight: 0,
       averageInFlight: 0,
-      reading: 0,
+      prefillLoad: 0,
       rate: 0,
       earlierRate: 0,
       objectiveMs: Infinity,
@@ -149,7 +149,7 @@
       service: entry.service,
       model: entry.model,
       inFlight: Math.round(entry.averageInFlight * roundingFactor) / roundingFactor,
-      reading: Math.round(entry.reading * roundingFactor) / roundingFactor,
+      reading: Math.round(entry.prefillLoad * roundingFactor) / roundingFactor,
       rate: Math.round(entry.rate * roundingFactor) / roundingFactor,
       earlierRate: Math.round(entry.earlierRate * roundingFactor) / roundingFactor,
       objectiveMs: entry.objectiveMs,
@@ -164,7 +164,7 @@
       const entry = entryOf(weights);
       entry.objectiveMs = Math.min(entry.objectiveMs, objectiveMs);
       addInFlight(entry, 1);
-      entry.reading += prefillMs / averagingWindowMs;
+      entry.prefillLoad += prefillMs / averagingWindowMs;
       entry.rate += millisecondsPerSecond / averagingWindowMs;
       entry.earlierRate += millisecondsPerSecond / baselineWindowMs;
       return once(() => addInFlight(entry, -1));
