--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -93,9 +93,9 @@
         engine,
         accelerators: ledgersOf(engine, { ...reportWith(engine, 0), residents }, []),
         role: "mixed",
-        roleOrdered: false,
-        orderable: true,
-        counted: true,
+        roleChangePending: false,
+        acceptsOrders: true,
+        available: true,
         utilisation: 0.4 + (index % 5) / 10,
       };
     }),
@@ -104,7 +104,7 @@
       if (model.kind !== "model") throw new Error("not a model");
       return { model, adapters: [], demandShare: 1 / models, coolingDown: false };
     }),
-    limits: { attainmentWeight: 1, movesWeight: 1, mayUnload: true, spareMoves: 1 },
+    limits: { attainmentWeight: 1, movesWeight: 1, mayUnload: true, demandMoveBudget: 1 },
   };
 }
 
--- a/packages/placement/src/placement.steps.ts
+++ b/packages/placement/src/placement.steps.ts
@@ -15,7 +15,7 @@
   readonly leaving = new Set<string>();
   readonly busy = new Map<string, number>();
   shares = new Map<string, number>();
-  limits: PlanLimits = { attainmentWeight: 1, movesWeight: 1, mayUnload: true, spareMoves: 0 };
+  limits: PlanLimits = { attainmentWeight: 1, movesWeight: 1, mayUnload: true, demandMoveBudget: 0 };
 
   constructor(
     readonly engines: readonly Engine[],
@@ -34,9 +34,9 @@
           [],
         ),
         role: "mixed",
-        roleOrdered: false,
-        orderable: !this.leaving.has(declared.name),
-        counted: !this.leaving.has(declared.name),
+        roleChangePending: false,
+        acceptsOrders: !this.leaving.has(declared.name),
+        available: !this.leaving.has(declared.name),
         utilisation: this.busy.get(declared.name) ?? 0,
       })),
       models: this.models.map((entry) => ({
@@ -222,7 +222,7 @@
   "the plan adds a copy of {string} at equal weights and none when moves weigh 200 times as much",
   function (this: object, name: string) {
     const small = poolOf(this);
-    small.limits = { ...small.limits, spareMoves: 1 };
+    small.limits = { ...small.limits, demandMoveBudget: 1 };
     const [move] = small.plan().moves;
     assert.ok(move.kind === "load" && move.artifact === modelArtifact(name, "1"));
     assert.equal(move.cause, "demand");
--- a/packages/pool-control/src/pool-view.ts
+++ b/packages/pool-control/src/pool-view.ts
@@ -40,9 +40,9 @@
     engine,
     accelerators: [],
     role: engine.role,
-    roleOrdered: false,
-    orderable: false,
-    counted: false,
+    roleChangePending: false,
+    acceptsOrders: false,
+    available: false,
     utilisation: 0,
   });
 
@@ -57,9 +57,9 @@
       engine,
       accelerators: ledgersOf(engine, watched.report, open),
       role: watched.report.role,
-      roleOrdered: open.some((order) => order.kind === "role"),
-      orderable: silentMs <= settings.report_stale_ms && mayOrder && !leaving,
-      counted: silentMs <= settings.silent_lost_ms && !leaving,
+      roleChangePending: open.some((order) => order.kind === "role"),
+      acceptsOrders: silentMs <= settings.report_stale_ms && mayOrder && !leaving,
+      available: silentMs <= settings.silent_lost_ms && !leaving,
       utilisation: utilisation.get(engine.name) ?? 0,
     };
   };
@@ -83,11 +83,11 @@
       const { attainmentWeight, movesWeight } = store.desired().deployment;
       const engines = context.engines().map(viewOf);
       // Replicas on an engine that does not count protect nothing, so its fence is not waited for.
-      const mayUnload = engines.every((view) => !view.counted || fences.isSafe(view.engine));
+      const mayUnload = engines.every((view) => !view.available || fences.isSafe(view.engine));
       return {
         engines,
         models: modelViews(coolingDown),
-        limits: { attainmentWeight, movesWeight, mayUnload, spareMoves },
+        limits: { attainmentWeight, movesWeight, mayUnload, demandMoveBudget: spareMoves },
       };
     },
     takeReport({ report }) {
