--- a/packages/placement/src/make-room.ts
+++ b/packages/placement/src/make-room.ts
@@ -1,15 +1,30 @@
-/** Makes room for a model that fits nowhere: spare copies go first, then single copies are moved. */
+/**
+ * Frees memory for a model that fits nowhere: unloads redundant copies first, then relocates other
+ * copies.
+ */
 import type { Mebibytes } from "@linkfall/types";
 import type { ModelView, PoolView } from "./pool-view.js";
-import type { ArtifactCopy, PlacementConstraints, Accelerator, WorkingPool } from "./working-pool.js";
+import type {
+  Accelerator,
+  ArtifactCopy,
+  PlacementConstraints,
+  WorkingPool,
+} from "./working-pool.js";
 
-/** Ready copies of a slot that are not the last ones of what they serve, cheapest to lose first. */
-export function redundantCopies(pool: WorkingPool, slot: Accelerator): readonly ArtifactCopy[] {
-  if (!slot.engineView.acceptsOrders) return [];
-  return slot.copies.filter((copy) => isRedundant(pool, copy)).sort((a, b) => b.sizeMb - a.sizeMb);
+/** Returns the redundant copies on an accelerator, largest first. */
+export function redundantCopies(
+  pool: WorkingPool,
+  accelerator: Accelerator,
+): readonly ArtifactCopy[] {
+  if (!accelerator.engineView.acceptsOrders) return [];
+  return accelerator.copies
+    .filter((copy) => isRedundant(pool, copy))
+    .sort((a, b) => b.sizeMb - a.sizeMb);
 }
 
-/** Whether another copy serves while this one goes, its adapters included. */
+/**
+ * Returns whether another copy serves the artifact, and its adapters, once this one is unloaded.
+ */
 export function isRedundant(pool: WorkingPool, copy: ArtifactCopy): boolean {
   if (copy.state !== "ready") return false;
   const others = pool.readyCopies(copy.artifact).filter((other) => other !== copy);
@@ -18,7 +33,7 @@
   return colocatedAdapters(copy).every((adapter) => isServedElsewhere(pool, adapter, others));
 }
 
-/** An adapter's copy serves only where a model copy stands beside it. */
+/** Returns whether one of the adapter copies has a ready model copy on the same accelerator. */
 function hasBaseModel(adapterCopies: readonly ArtifactCopy[]): boolean {
   return adapterCopies.some((adapter) =>
     adapter.accelerator.copies.some(
@@ -33,78 +48,110 @@
   );
 }
 
-/** An adapter may belong to another model of this slot; then the model's going does not touch it. */
-function isServedElsewhere(pool: WorkingPool, adapter: ArtifactCopy, bases: readonly ArtifactCopy[]): boolean {
+/**
+ * Returns whether the adapter is also served next to another copy of the model. The adapter may
+ * belong to another model on this accelerator, which is not affected.
+ */
+function isServedElsewhere(
+  pool: WorkingPool,
+  adapter: ArtifactCopy,
+  bases: readonly ArtifactCopy[],
+): boolean {
   const elsewhere = pool.readyCopies(adapter.artifact).filter((copy) => copy !== adapter);
   return elsewhere.some((copy) => bases.some((base) => base.accelerator === copy.accelerator));
 }
 
-/** Memory that would be free on a slot, without its spare copies and those under way out. */
-function reclaimableMb(pool: WorkingPool, slot: Accelerator): Mebibytes {
-  const spare = redundantCopies(pool, slot).reduce((sum, copy) => sum + copy.sizeMb, 0);
-  return slot.freeMb + slot.pendingFreeMb + spare;
+/** Returns the memory available once redundant copies and those being unloaded are gone. */
+function reclaimableMb(pool: WorkingPool, accelerator: Accelerator): Mebibytes {
+  const redundantMb = redundantCopies(pool, accelerator).reduce(
+    (sum, copy) => sum + copy.sizeMb,
+    0,
+  );
+  return accelerator.freeMb + accelerator.pendingFreeMb + redundantMb;
 }
 
 /**
- * Starts making room; the load itself follows in a later plan, once the unloads are confirmed.
+ * Starts to free memory; the load follows in a later plan, after the unloads are confirmed.
  *
- * @returns false when nothing can be done
+ * @returns false if no memory can be freed
  */
-export function makeRoom(pool: WorkingPool, input: PoolView, wish: PlacementConstraints): boolean {
-  const open = pool.accelerators.filter((slot) => slot.engineView.acceptsOrders && slot.engineView.available);
-  const soon = open.find((slot) => slot.freeMb + slot.pendingFreeMb >= wish.sizeMb);
-  if (soon) {
-    pool.reserve(soon, wish.sizeMb);
+export function makeRoom(
+  pool: WorkingPool,
+  input: PoolView,
+  constraints: PlacementConstraints,
+): boolean {
+  const candidates = pool.accelerators.filter(
+    (accelerator) => accelerator.engineView.acceptsOrders && accelerator.engineView.available,
+  );
+  const freeingSoon = candidates.find(
+    (accelerator) => accelerator.freeMb + accelerator.pendingFreeMb >= constraints.sizeMb,
+  );
+  if (freeingSoon) {
+    pool.reserve(freeingSoon, constraints.sizeMb);
     return true;
   }
-  return unloadRedundantCopies(pool, open, wish) || relocateCopy(pool, input, open, wish);
+  return (
+    unloadRedundantCopies(pool, candidates, constraints) ||
+    relocateCopy(pool, input, candidates, constraints)
+  );
 }
 
-function unloadRedundantCopies(pool: WorkingPool, open: readonly Accelerator[], wish: PlacementConstraints): boolean {
-  const enough = open
-    .filter((slot) => reclaimableMb(pool, slot) >= wish.sizeMb)
+function unloadRedundantCopies(
+  pool: WorkingPool,
+  candidates: readonly Accelerator[],
+  constraints: PlacementConstraints,
+): boolean {
+  const sufficient = candidates
+    .filter((accelerator) => reclaimableMb(pool, accelerator) >= constraints.sizeMb)
     .sort((a, b) => b.freeMb - a.freeMb);
-  const slot = enough[0];
-  if (!slot) return false;
+  const accelerator = sufficient[0];
+  if (!accelerator) return false;
   for (;;) {
-    if (slot.freeMb + slot.pendingFreeMb >= wish.sizeMb) break;
-    const spare = redundantCopies(pool, slot)[0];
-    if (!spare) return false;
-    pool.unload(spare, "make_room");
+    if (accelerator.freeMb + accelerator.pendingFreeMb >= constraints.sizeMb) break;
+    const redundantCopy = redundantCopies(pool, accelerator)[0];
+    if (!redundantCopy) return false;
+    pool.unload(redundantCopy, "make_room");
   }
-  pool.reserve(slot, wish.sizeMb);
+  pool.reserve(accelerator, constraints.sizeMb);
   return true;
 }
 
-/** Loads a second copy of one model elsewhere, so that the first becomes spare. */
+/** Loads a second copy of a model elsewhere, which makes the first one redundant. */
 function relocateCopy(
   pool: WorkingPool,
   input: PoolView,
-  open: readonly Accelerator[],
-  wish: PlacementConstraints,
+  candidates: readonly Accelerator[],
+  constraints: PlacementConstraints,
 ): boolean {
-  const declared = new Map(
+  const declaredModels = new Map(
     input.models.map((view) => [`model:${view.model.name}@${view.model.version}`, view]),
   );
-  const candidates = open
-    .flatMap((slot) => slot.copies)
-    .filter((copy) => copy.state === "ready" && declared.has(copy.artifact))
-    .filter((copy) => reclaimableMb(pool, copy.accelerator) + footprintOf(declared, copy) >= wish.sizeMb)
-    .sort((a, b) => footprintOf(declared, a) - footprintOf(declared, b));
-  for (const copy of candidates) {
-    const sizeMb = footprintOf(declared, copy);
-    const place = pool
+  const relocatable = candidates
+    .flatMap((accelerator) => accelerator.copies)
+    .filter((copy) => copy.state === "ready" && declaredModels.has(copy.artifact))
+    .filter(
+      (copy) =>
+        reclaimableMb(pool, copy.accelerator) + memoryWithAdapters(declaredModels, copy) >=
+        constraints.sizeMb,
+    )
+    .sort((a, b) => memoryWithAdapters(declaredModels, a) - memoryWithAdapters(declaredModels, b));
+  for (const copy of relocatable) {
+    const sizeMb = memoryWithAdapters(declaredModels, copy);
+    const destination = pool
       .findAccelerators({ sizeMb, excludedArtifacts: [copy.artifact] })
-      .find((slot) => slot !== copy.accelerator);
-    if (!place) continue;
-    pool.load(place, copy.artifact, copy.sizeMb, "make_room");
-    pool.reserve(copy.accelerator, Math.min(wish.sizeMb, copy.accelerator.freeMb));
+      .find((accelerator) => accelerator !== copy.accelerator);
+    if (!destination) continue;
+    pool.load(destination, copy.artifact, copy.sizeMb, "make_room");
+    pool.reserve(copy.accelerator, Math.min(constraints.sizeMb, copy.accelerator.freeMb));
     return true;
   }
   return false;
 }
 
-function footprintOf(declared: ReadonlyMap<string, ModelView>, copy: ArtifactCopy): Mebibytes {
-  const adapters = declared.get(copy.artifact)?.adapters ?? [];
+function memoryWithAdapters(
+  declaredModels: ReadonlyMap<string, ModelView>,
+  copy: ArtifactCopy,
+): Mebibytes {
+  const adapters = declaredModels.get(copy.artifact)?.adapters ?? [];
   return adapters.reduce((sum, adapter) => sum + adapter.sizeMb, copy.sizeMb);
 }
--- a/packages/placement/src/placement.feature
+++ b/packages/placement/src/placement.feature
@@ -1,38 +1,38 @@
-Feature: Placement keeps every model reachable and moves little
+Feature: Placement keeps every model available with few moves
 
-  Scenario: Every model gets a place, copies in different domains
-    Given 3 engines of 100 MB in 3 domains, and 6 models of 30 MB of which "m0" wants 2 copies
-    When plans are carried out until nothing is left to do
-    Then every model is resident, and the copies of "m0" are in different domains
+  Scenario: Every model is loaded, with replicas in different failure domains
+    Given 3 engines of 100 MB in 3 failure domains, and 6 models of 30 MB of which "m0" needs 2 replicas
+    When plans are executed until no moves are left
+    Then every model is resident, and the replicas of "m0" are in different failure domains
 
-  Scenario: At rest there is nothing to move
-    Given 3 engines of 100 MB in 3 domains, and 6 models of 30 MB of which "m0" wants 2 copies
-    When plans are carried out until nothing is left to do
-    Then 100 further plans hold no move
+  Scenario: Steady demand causes no moves
+    Given 3 engines of 100 MB in 3 failure domains, and 6 models of 30 MB of which "m0" needs 2 replicas
+    When plans are executed until no moves are left
+    Then 100 further plans contain no moves
 
-  Scenario: A new version serves before the old one goes
-    Given 3 engines of 100 MB in 3 domains, and 6 models of 30 MB of which "m0" wants 2 copies
-    When plans are carried out until nothing is left to do
+  Scenario: A new version is ready before the old one is unloaded
+    Given 3 engines of 100 MB in 3 failure domains, and 6 models of 30 MB of which "m0" needs 2 replicas
+    When plans are executed until no moves are left
     And the version of "m1" changes to "2"
-    Then at no step of the way is "m1" without a ready copy, and at the end only version "2" is there
+    Then "m1" has a ready replica after every move, and finally only version "2" is loaded
 
-  Scenario: What is on a leaving engine is loaded elsewhere
-    Given 3 engines of 100 MB in 3 domains, and 6 models of 30 MB of which "m0" wants 2 copies
-    When plans are carried out until nothing is left to do
+  Scenario: Models on a leaving engine are loaded elsewhere
+    Given 3 engines of 100 MB in 3 failure domains, and 6 models of 30 MB of which "m0" needs 2 replicas
+    When plans are executed until no moves are left
     And engine "e1" is leaving
-    Then every model is resident on the engines that stay
+    Then every model is resident on the remaining engines
 
-  Scenario: Spare copies make room, last copies never
-    Then for any sizes and any losses, no plan takes the last ready copy of a model or exceeds an accelerator
+  Scenario: Only redundant replicas are unloaded to free memory
+    Then for random model sizes and engine losses no plan unloads the last ready replica of a model or exceeds an accelerator's memory
 
-  Scenario: Nothing is unloaded before the fence stands everywhere
-    Given 3 engines of 100 MB in 3 domains, and 6 models of 30 MB of which "m0" wants 2 copies
-    When plans are carried out until nothing is left to do
+  Scenario: Nothing is unloaded until the fence is established on every engine
+    Given 3 engines of 100 MB in 3 failure domains, and 6 models of 30 MB of which "m0" needs 2 replicas
+    When plans are executed until no moves are left
     And the version of "m1" changes to "2" while unloads are not allowed
-    Then no plan holds an unload
+    Then no plan contains an unload
 
-  Scenario: A busy model gets a replica only where that pays
-    Given 3 engines of 100 MB in 3 domains, and 6 models of 30 MB of which "m0" wants 2 copies
-    When plans are carried out until nothing is left to do
-    And the engine of "m1" is busy with it
-    Then the plan adds a copy of "m1" at equal weights and none when moves weigh 200 times as much
+  Scenario: A saturated model gets another replica only if the benefit exceeds the cost
+    Given 3 engines of 100 MB in 3 failure domains, and 6 models of 30 MB of which "m0" needs 2 replicas
+    When plans are executed until no moves are left
+    And the engine of "m1" is saturated with its requests
+    Then the plan adds a replica of "m1" at equal weights and none when moves weigh 200 times as much
--- a/packages/placement/src/placement.steps.ts
+++ b/packages/placement/src/placement.steps.ts
@@ -7,15 +7,20 @@
 import { planPool } from "./plan.js";
 import type { Move, Plan, PlanLimits, PoolView } from "./pool-view.js";
 
-const mostSteps = 200;
+const maxSteps = 200;
 
-/** Engines that carry out moves at once; a load is ready in the next step. */
-class SmallPool {
+/** A pool of simulated engines that execute moves immediately. */
+class FakePool {
   readonly residents = new Map<string, Resident[]>();
   readonly leaving = new Set<string>();
   readonly busy = new Map<string, number>();
   shares = new Map<string, number>();
-  limits: PlanLimits = { attainmentWeight: 1, movesWeight: 1, mayUnload: true, demandMoveBudget: 0 };
+  limits: PlanLimits = {
+    attainmentWeight: 1,
+    movesWeight: 1,
+    mayUnload: true,
+    demandMoveBudget: 0,
+  };
 
   constructor(
     readonly engines: readonly Engine[],
@@ -53,7 +58,7 @@
     return planPool(this.view());
   }
 
-  carryOut(moves: readonly Move[]): void {
+  execute(moves: readonly Move[]): void {
     for (const move of moves) {
       if (move.kind === "role") continue;
       const { engine: name, artifact, accelerator, sizeMb } = move;
@@ -67,33 +72,33 @@
     }
   }
 
-  /** Carries plans out until one is empty; `check` sees each state on the way. */
+  /** Executes plans until one is empty; `check` runs after every move. */
   settle(check: () => void = () => undefined): void {
-    for (let step = 0; step < mostSteps; step++) {
+    for (let step = 0; step < maxSteps; step++) {
       const { moves } = this.plan();
       if (moves.length === 0) return;
       for (const move of moves) {
-        this.carryOut([move]);
+        this.execute([move]);
         check();
       }
     }
-    assert.fail("the plans never come to rest");
+    assert.fail("plans still contain moves after the maximum number of steps");
   }
 
   copies(name: string, version?: string): readonly { engine: string; artifact: string }[] {
-    const start = version === undefined ? modelArtifact(name, "") : modelArtifact(name, version);
+    const prefix = version === undefined ? modelArtifact(name, "") : modelArtifact(name, version);
     return [...this.residents].flatMap(([engineName, list]) =>
       list
-        .filter((resident) => resident.artifact.startsWith(start))
+        .filter((resident) => resident.artifact.startsWith(prefix))
         .map((resident) => ({ engine: engineName, artifact: resident.artifact })),
     );
   }
 }
 
-const poolOf = (world: object) => notes(world).get<SmallPool>("pool");
+const poolOf = (world: object) => notes(world).get<FakePool>("pool");
 
 Given(
-  "3 engines of 100 MB in 3 domains, and 6 models of 30 MB of which {string} wants 2 copies",
+  "3 engines of 100 MB in 3 failure domains, and 6 models of 30 MB of which {string} needs 2 replicas",
   function (this: object, name: string) {
     const engines = ["north", "south", "east"].map((domain, index) =>
       engine(`e${index + 1}`, { domain }),
@@ -101,30 +106,31 @@
     const models = [0, 1, 2, 3, 4, 5].map((index) =>
       model(`m${index}`, { sizeMb: 30, minReplicas: `m${index}` === name ? 2 : 1 }),
     );
-    notes(this).set("pool", new SmallPool(engines, models));
+    notes(this).set("pool", new FakePool(engines, models));
   },
 );
 
-When("plans are carried out until nothing is left to do", function (this: object) {
+When("plans are executed until no moves are left", function (this: object) {
   poolOf(this).settle();
 });
 
 Then(
-  "every model is resident, and the copies of {string} are in different domains",
+  "every model is resident, and the replicas of {string} are in different failure domains",
   function (this: object, name: string) {
-    const small = poolOf(this);
-    for (const { name: each } of small.models) assert.ok(small.copies(each).length >= 1, each);
-    const engines = new Set(small.copies(name).map((copy) => copy.engine));
+    const pool = poolOf(this);
+    for (const { name: modelName } of pool.models)
+      assert.ok(pool.copies(modelName).length >= 1, modelName);
+    const engines = new Set(pool.copies(name).map((copy) => copy.engine));
     assert.equal(engines.size, 2);
   },
 );
 
-Then("100 further plans hold no move", function (this: object) {
+Then("100 further plans contain no moves", function (this: object) {
   for (let count = 0; count < 100; count++) assert.deepEqual(poolOf(this).plan().moves, []);
 });
 
-function changeVersion(small: SmallPool, name: string, version: string): void {
-  small.models = small.models.map((entry) => (entry.name === name ? { ...entry, version } : entry));
+function changeVersion(pool: FakePool, name: string, version: string): void {
+  pool.models = pool.models.map((entry) => (entry.name === name ? { ...entry, version } : entry));
 }
 
 When(
@@ -135,11 +141,11 @@
 );
 
 Then(
-  "at no step of the way is {string} without a ready copy, and at the end only version {string} is there",
+  "{string} has a ready replica after every move, and finally only version {string} is loaded",
   function (this: object, name: string, version: string) {
-    const small = poolOf(this);
-    small.settle(() => assert.ok(small.copies(name).length >= 1));
-    assert.equal(small.copies(name, version).length, small.copies(name).length);
+    const pool = poolOf(this);
+    pool.settle(() => assert.ok(pool.copies(name).length >= 1));
+    assert.equal(pool.copies(name, version).length, pool.copies(name).length);
   },
 );
 
@@ -147,27 +153,27 @@
   poolOf(this).leaving.add(name);
 });
 
-Then("every model is resident on the engines that stay", function (this: object) {
-  const small = poolOf(this);
-  // Two engines hold six models of 30 MB; the second copy of the one that wants two has no room.
-  small.settle();
-  for (const { name } of small.models) {
-    const staying = small.copies(name).filter((copy) => !small.leaving.has(copy.engine));
-    assert.ok(staying.length >= 1, name);
+Then("every model is resident on the remaining engines", function (this: object) {
+  const pool = poolOf(this);
+  // The remaining two engines fit six models of 30 MB, but not the second replica.
+  pool.settle();
+  for (const { name } of pool.models) {
+    const remaining = pool.copies(name).filter((copy) => !pool.leaving.has(copy.engine));
+    assert.ok(remaining.length >= 1, name);
   }
 });
 
 Then(
-  "for any sizes and any losses, no plan takes the last ready copy of a model or exceeds an accelerator",
+  "for random model sizes and engine losses no plan unloads the last ready replica of a model or exceeds an accelerator's memory",
   () => {
     const sizes = fc.array(fc.integer({ min: 5, max: 60 }), { minLength: 1, maxLength: 12 });
     const losses = fc.array(fc.integer({ min: 0, max: 3 }), { maxLength: 4 });
     fc.assert(
-      fc.property(sizes, losses, (modelSizes, lost) => {
+      fc.property(sizes, losses, (modelSizes, lostEngines) => {
         const engines = [0, 1, 2, 3].map((index) =>
           engine(`e${index}`, { domain: `d${index % 2}` }),
         );
-        const small = new SmallPool(
+        const pool = new FakePool(
           engines,
           modelSizes.map((sizeMb, index) =>
             model(`m${index}`, { sizeMb, minReplicas: 1 + (index % 2) }),
@@ -175,17 +181,17 @@
         );
         const runSteps = (steps: number) => {
           for (let step = 0; step < steps; step++) {
-            for (const move of small.plan().moves) {
-              small.carryOut([move]);
+            for (const move of pool.plan().moves) {
+              pool.execute([move]);
               if (move.kind !== "unload") continue;
               const name = move.artifact.slice("model:".length, move.artifact.lastIndexOf("@"));
-              assert.ok(small.copies(name).length > 0, `last copy of ${name}`);
+              assert.ok(pool.copies(name).length > 0, `last copy of ${name}`);
             }
           }
         };
         runSteps(10);
-        for (const index of lost) {
-          small.residents.set(`e${index}`, []);
+        for (const index of lostEngines) {
+          pool.residents.set(`e${index}`, []);
           runSteps(6);
         }
       }),
@@ -197,36 +203,39 @@
 When(
   "the version of {string} changes to {string} while unloads are not allowed",
   function (this: object, name: string, version: string) {
-    const small = poolOf(this);
-    changeVersion(small, name, version);
-    small.limits = { ...small.limits, mayUnload: false };
+    const pool = poolOf(this);
+    changeVersion(pool, name, version);
+    pool.limits = { ...pool.limits, mayUnload: false };
   },
 );
 
-Then("no plan holds an unload", function (this: object) {
-  const small = poolOf(this);
+Then("no plan contains an unload", function (this: object) {
+  const pool = poolOf(this);
   for (let step = 0; step < 10; step++) {
-    const { moves } = small.plan();
+    const { moves } = pool.plan();
     assert.ok(moves.every((move) => move.kind !== "unload"));
-    small.carryOut(moves);
+    pool.execute(moves);
   }
 });
 
-When("the engine of {string} is busy with it", function (this: object, name: string) {
-  const small = poolOf(this);
-  small.busy.set(small.copies(name)[0].engine, 2);
-  small.shares = new Map([[name, 0.5]]);
-});
+When(
+  "the engine of {string} is saturated with its requests",
+  function (this: object, name: string) {
+    const pool = poolOf(this);
+    pool.busy.set(pool.copies(name)[0].engine, 2);
+    pool.shares = new Map([[name, 0.5]]);
+  },
+);
 
 Then(
-  "the plan adds a copy of {string} at equal weights and none when moves weigh 200 times as much",
+  "the plan adds a replica of {string} at equal weights and none when moves weigh 200 times as much",
   function (this: object, name: string) {
-    const small = poolOf(this);
-    small.limits = { ...small.limits, demandMoveBudget: 1 };
-    const [move] = small.plan().moves;
+    const pool = poolOf(this);
+    pool.limits = { ...pool.limits, demandMoveBudget: 1 };
+    const [move] = pool.plan().moves;
     assert.ok(move.kind === "load" && move.artifact === modelArtifact(name, "1"));
     assert.equal(move.cause, "demand");
-    small.limits = { ...small.limits, movesWeight: 200 };
-    assert.deepEqual(small.plan().moves, []);
+    pool.limits = { ...pool.limits, movesWeight: 200 };
+    assert.deepEqual(pool.plan().moves, []);
   },
 );
--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -1,27 +1,32 @@
 /**
- * Plans the next moves of a pool. The plan is small and made anew each time from what is there: it
- * never starts from an empty table, so at steady demand there is nothing to move.
+ * Plans the next moves of a pool. Plans are incremental: each starts from the current state, and
+ * there are no moves at steady demand.
  */
 import { capacityOf } from "@linkfall/ledger";
-import { adapterArtifact, type Adapter, type Mebibytes, modelArtifact } from "@linkfall/types";
+import { type Adapter, adapterArtifact, type Mebibytes, modelArtifact } from "@linkfall/types";
 import { planDemandReplicas } from "./demand.js";
 import { makeRoom, redundantCopies } from "./make-room.js";
-import { moveCauses, type ModelView, type Plan, type PoolView } from "./pool-view.js";
-import { type ArtifactCopy, createWorkingPool, type Accelerator, type WorkingPool } from "./working-pool.js";
+import { type ModelView, moveCauses, type Plan, type PoolView } from "./pool-view.js";
+import {
+  type Accelerator,
+  type ArtifactCopy,
+  createWorkingPool,
+  type WorkingPool,
+} from "./working-pool.js";
 
 const modelPrefix = "model:";
 
-/** Artifact of the version that operators want. */
+/** Returns the artifact of the declared version. */
 export function currentArtifact(view: ModelView): string {
   return modelArtifact(view.model.name, view.model.version);
 }
 
-/** Memory of a model with all of its adapters. */
-function footprint(view: ModelView): Mebibytes {
+/** Returns the memory of a model with all of its adapters. */
+function memoryWithAdapters(view: ModelView): Mebibytes {
   return view.adapters.reduce((sum, adapter) => sum + adapter.sizeMb, view.model.sizeMb);
 }
 
-/** Models by need: priority first, then demand, then name, so that every holder agrees. */
+/** Orders models by priority, then demand, then name; deterministic across lease holders. */
 function byPriority(a: ModelView, b: ModelView): number {
   return (
     b.model.priority - a.model.priority ||
@@ -30,7 +35,9 @@
   );
 }
 
-/** Loads one more copy of a model; false when there is no room even after making some. */
+/**
+ * Loads another copy of a model; returns false if there is not enough memory and none can be freed.
+ */
 function placeModel(
   pool: WorkingPool,
   input: PoolView,
@@ -38,17 +45,22 @@
   cause: "reachability" | "min_replicas" | "adapter" | "new_version" | "role",
 ): boolean {
   const artifact = currentArtifact(view);
-  const notBeside = [artifact];
-  const withAdapters = pool.findAccelerators({ sizeMb: footprint(view), excludedArtifacts: notBeside });
-  const alone =
-    withAdapters.length > 0 ? [] : pool.findAccelerators({ sizeMb: view.model.sizeMb, excludedArtifacts: notBeside });
-  const slot = withAdapters[0] ?? (cause === "adapter" ? undefined : alone[0]);
-  if (slot) {
-    pool.load(slot, artifact, view.model.sizeMb, cause);
+  const excludedArtifacts = [artifact];
+  const withAdapters = pool.findAccelerators({
+    sizeMb: memoryWithAdapters(view),
+    excludedArtifacts,
+  });
+  const withoutAdapters =
+    withAdapters.length > 0
+      ? []
+      : pool.findAccelerators({ sizeMb: view.model.sizeMb, excludedArtifacts });
+  const accelerator = withAdapters[0] ?? (cause === "adapter" ? undefined : withoutAdapters[0]);
+  if (accelerator) {
+    pool.load(accelerator, artifact, view.model.sizeMb, cause);
     return true;
   }
-  const urgent = cause === "reachability" || cause === "new_version" || cause === "adapter";
-  return urgent && makeRoom(pool, input, { sizeMb: view.model.sizeMb, excludedArtifacts: notBeside });
+  const mayFreeMemory = cause === "reachability" || cause === "new_version" || cause === "adapter";
+  return mayFreeMemory && makeRoom(pool, input, { sizeMb: view.model.sizeMb, excludedArtifacts });
 }
 
 function planMissingModels(pool: WorkingPool, input: PoolView): readonly string[] {
@@ -57,8 +69,10 @@
     (view) => pool.liveCopies(currentArtifact(view)).length === 0,
   );
   for (const view of [...missing].sort(byPriority)) {
-    const oldServes = outdatedCopies(pool, view).some((copy) => copy.accelerator.engineView.available);
-    const cause = oldServes ? "new_version" : "reachability";
+    const isServedByOldVersion = outdatedCopies(pool, view).some(
+      (copy) => copy.accelerator.engineView.available,
+    );
+    const cause = isServedByOldVersion ? "new_version" : "reachability";
     if (!placeModel(pool, input, view, cause)) unplaceable.push(view.model.name);
   }
   return unplaceable;
@@ -66,42 +80,49 @@
 
 function planMinReplicas(pool: WorkingPool, input: PoolView): void {
   for (const view of [...input.models].sort(byPriority)) {
-    const standing = pool.liveCopies(currentArtifact(view)).length;
-    for (let count = standing; count > 0 && count < view.model.minReplicas; count++) {
+    const liveCount = pool.liveCopies(currentArtifact(view)).length;
+    for (let count = liveCount; count > 0 && count < view.model.minReplicas; count++) {
       if (!placeModel(pool, input, view, "min_replicas")) break;
     }
   }
 }
 
-/** Copies of this model's other versions. */
+/** Returns the copies of other versions of this model. */
 function outdatedCopies(pool: WorkingPool, view: ModelView): readonly ArtifactCopy[] {
-  const start = modelArtifact(view.model.name, "");
+  const prefix = modelArtifact(view.model.name, "");
   const current = currentArtifact(view);
-  return pool.accelerators.flatMap((slot) =>
-    slot.copies.filter((copy) => copy.artifact.startsWith(start) && copy.artifact !== current),
+  return pool.accelerators.flatMap((accelerator) =>
+    accelerator.copies.filter(
+      (copy) => copy.artifact.startsWith(prefix) && copy.artifact !== current,
+    ),
   );
 }
 
-function hasLiveCopy(slot: Accelerator, artifact: string): boolean {
-  return slot.copies.some((copy) => copy.artifact === artifact && copy.state !== "going");
+function hasLiveCopy(accelerator: Accelerator, artifact: string): boolean {
+  return accelerator.copies.some(
+    (copy) => copy.artifact === artifact && copy.state !== "unloading",
+  );
 }
 
-/** Loads an adapter beside a ready copy of its model that has none yet. */
+/** Loads an adapter next to a ready copy of its model, unless one is already there. */
 function placeAdapter(pool: WorkingPool, input: PoolView, view: ModelView, adapter: Adapter): void {
   const artifact = adapterArtifact(adapter.name, adapter.version);
   const bases = pool.readyCopies(currentArtifact(view));
   if (bases.some((base) => hasLiveCopy(base.accelerator, artifact))) return;
-  const open = bases
-    .filter((base) => base.accelerator.engineView.acceptsOrders && base.accelerator.freeMb >= adapter.sizeMb)
+  const candidates = bases
+    .filter(
+      (base) =>
+        base.accelerator.engineView.acceptsOrders && base.accelerator.freeMb >= adapter.sizeMb,
+    )
     .sort((a, b) => b.accelerator.freeMb - a.accelerator.freeMb);
-  if (open.length > 0) {
-    pool.load(open[0].accelerator, artifact, adapter.sizeMb, "adapter");
+  if (candidates.length > 0) {
+    pool.load(candidates[0].accelerator, artifact, adapter.sizeMb, "adapter");
     return;
   }
-  const comingWithRoom = pool
+  const isLoadingWithRoom = pool
     .liveCopies(currentArtifact(view))
-    .some((copy) => copy.state === "coming" && copy.accelerator.freeMb >= adapter.sizeMb);
-  if (bases.length > 0 && !comingWithRoom) placeModel(pool, input, view, "adapter");
+    .some((copy) => copy.state === "loading" && copy.accelerator.freeMb >= adapter.sizeMb);
+  if (bases.length > 0 && !isLoadingWithRoom) placeModel(pool, input, view, "adapter");
 }
 
 function planAdapters(pool: WorkingPool, input: PoolView): void {
@@ -110,15 +131,15 @@
   }
 }
 
-/** An old version goes once the new one serves and its adapters do. */
+/** Unloads outdated versions once the declared version and its adapters are ready. */
 function planOutdatedVersions(pool: WorkingPool, input: PoolView): void {
   for (const view of input.models) {
-    const ready = pool.readyCopies(currentArtifact(view)).length;
-    const old = outdatedCopies(pool, view).filter((copy) => copy.state === "ready");
-    if (old.length === 0 || ready === 0 || !areAdaptersServed(pool, view)) continue;
-    // The number of serving copies does not fall under what the model is to have at the least.
-    const surplus = ready + old.length - view.model.minReplicas;
-    for (const copy of old.slice(0, Math.max(surplus, 0))) {
+    const readyCount = pool.readyCopies(currentArtifact(view)).length;
+    const outdated = outdatedCopies(pool, view).filter((copy) => copy.state === "ready");
+    if (outdated.length === 0 || readyCount === 0 || !areAdaptersServed(pool, view)) continue;
+    // Keeps at least the minimum number of serving copies.
+    const surplus = readyCount + outdated.length - view.model.minReplicas;
+    for (const copy of outdated.slice(0, Math.max(surplus, 0))) {
       if (copy.accelerator.engineView.acceptsOrders) pool.unload(copy, "old_version");
     }
   }
@@ -134,62 +155,77 @@
   });
 }
 
-/** What nobody declares any more, old adapter versions included once the new ones serve. */
+/**
+ * Unloads artifacts that are no longer declared, and outdated adapters once the new ones are ready.
+ */
 function planUndeclaredArtifacts(pool: WorkingPool, input: PoolView): void {
   const declaredModels = new Set(input.models.map((view) => view.model.name));
-  const wanted = new Set<string>();
-  const rolling = new Set<string>();
+  const declaredAdapters = new Set<string>();
+  const adaptersBeingUpdated = new Set<string>();
   for (const view of input.models) {
     const served = areAdaptersServed(pool, view);
     for (const adapter of view.adapters) {
-      wanted.add(adapterArtifact(adapter.name, adapter.version));
-      if (!served) rolling.add(adapter.name);
+      declaredAdapters.add(adapterArtifact(adapter.name, adapter.version));
+      if (!served) adaptersBeingUpdated.add(adapter.name);
     }
   }
   const nameOf = (artifact: string) =>
     artifact.slice(artifact.indexOf(":") + 1, artifact.lastIndexOf("@"));
-  for (const copy of pool.accelerators.flatMap((slot) => slot.copies)) {
+  for (const copy of pool.accelerators.flatMap((accelerator) => accelerator.copies)) {
     if (copy.state !== "ready" || !copy.accelerator.engineView.acceptsOrders) continue;
     const isModel = copy.artifact.startsWith(modelPrefix);
     const keep = isModel
       ? declaredModels.has(nameOf(copy.artifact))
-      : wanted.has(copy.artifact) || rolling.has(nameOf(copy.artifact));
+      : declaredAdapters.has(copy.artifact) || adaptersBeingUpdated.has(nameOf(copy.artifact));
     if (!keep) pool.unload(copy, "undeclared");
   }
 }
 
-/** Changes the role of engines; one that would not fit is first relieved of copies. */
+/**
+ * Changes the role of engines; if the capacity in the new role is too small, memory is freed first.
+ */
 function planRoleChanges(pool: WorkingPool, input: PoolView): void {
   for (const view of input.engines) {
     const role = view.engine.role;
-    if (role === view.role || view.roleChangePending || !view.acceptsOrders || !view.available) continue;
-    const slots = pool.accelerators.filter((slot) => slot.engineView === view);
-    const lacking = (slot: Accelerator) => {
-      const change =
-        capacityOf(view.engine, slot.index, role) - slot.engineView.accelerators[slot.index].capacityMb;
-      return -(slot.freeMb + change);
+    if (role === view.role || view.roleChangePending || !view.acceptsOrders || !view.available)
+      continue;
+    const accelerators = pool.accelerators.filter((accelerator) => accelerator.engineView === view);
+    const shortfallMb = (accelerator: Accelerator) => {
+      const capacityChangeMb =
+        capacityOf(view.engine, accelerator.index, role) -
+        accelerator.engineView.accelerators[accelerator.index].capacityMb;
+      return -(accelerator.freeMb + capacityChangeMb);
     };
-    const full = slots.filter((slot) => lacking(slot) > 0);
-    if (full.length === 0) {
+    const overcommitted = accelerators.filter((accelerator) => shortfallMb(accelerator) > 0);
+    if (overcommitted.length === 0) {
       pool.moves.push({ kind: "role", engine: view.engine.name, role, cause: "role" });
-      for (const slot of slots) slot.freeMb = Math.min(slot.freeMb, -lacking(slot));
+      for (const accelerator of accelerators)
+        accelerator.freeMb = Math.min(accelerator.freeMb, -shortfallMb(accelerator));
       continue;
     }
-    for (const slot of full) freeMemory(pool, input, slot, lacking(slot));
+    for (const accelerator of overcommitted)
+      freeMemory(pool, input, accelerator, shortfallMb(accelerator));
   }
 }
 
-/** Frees memory of a slot: spare copies go, others are loaded elsewhere first. */
-function freeMemory(pool: WorkingPool, input: PoolView, slot: Accelerator, lackingMb: Mebibytes): void {
-  let left = lackingMb - slot.pendingFreeMb;
-  for (const copy of redundantCopies(pool, slot)) {
-    if (left <= 0 || !input.limits.mayUnload) return;
+/**
+ * Frees memory on an accelerator: unloads redundant copies, or loads other copies elsewhere first.
+ */
+function freeMemory(
+  pool: WorkingPool,
+  input: PoolView,
+  accelerator: Accelerator,
+  shortfall: Mebibytes,
+): void {
+  let remainingMb = shortfall - accelerator.pendingFreeMb;
+  for (const copy of redundantCopies(pool, accelerator)) {
+    if (remainingMb <= 0 || !input.limits.mayUnload) return;
     pool.unload(copy, "role");
-    left -= copy.sizeMb;
+    remainingMb -= copy.sizeMb;
   }
-  if (left <= 0) return;
+  if (remainingMb <= 0) return;
   const views = new Map(input.models.map((view) => [currentArtifact(view), view]));
-  for (const copy of slot.copies) {
+  for (const copy of accelerator.copies) {
     const view = views.get(copy.artifact);
     if (!view || pool.liveCopies(copy.artifact).length > 1) continue;
     if (placeModel(pool, input, view, "role")) return;
@@ -201,7 +237,7 @@
   return [...plan].sort((a, b) => (rank.get(a.cause) ?? 0) - (rank.get(b.cause) ?? 0));
 }
 
-/** The next moves of a pool. */
+/** Returns the next moves of a pool, most urgent first. */
 export function planPool(input: PoolView): Plan {
   const pool = createWorkingPool(input);
   const unplaceable = planMissingModels(pool, input);
--- a/packages/placement/src/pool-view.ts
+++ b/packages/placement/src/pool-view.ts
@@ -1,38 +1,38 @@
-/** What the planner is given, and what it answers. */
+/** Input and output types of the planner. */
 import type { AcceleratorLedger } from "@linkfall/ledger";
 import type { Adapter, Engine, EngineRole, Mebibytes, Model } from "@linkfall/types";
 
-/** An engine as the holder of its pool sees it. */
+/** State of one engine, as known to the lease holder of its pool. */
 export interface EngineView {
   readonly engine: Engine;
   readonly accelerators: readonly AcceleratorLedger[];
   readonly role: EngineRole;
   readonly roleChangePending: boolean;
-  /** Whether it can be given orders now. */
+  /** Whether the engine can receive orders now. */
   readonly acceptsOrders: boolean;
-  /** Whether its replicas count: it has reported lately and is not leaving. */
+  /** Whether its replicas count as serving: it has reported recently and is not leaving. */
   readonly available: boolean;
-  /** Requests in it for each place in its batch, smoothed; above 1 requests wait. */
+  /** Running and queued requests per batch slot, smoothed; requests are queued above 1. */
   readonly utilisation: number;
 }
 
-/** A model with what is known of its use. */
+/** A model with its adapters and demand. */
 export interface ModelView {
   readonly model: Model;
   readonly adapters: readonly Adapter[];
-  /** This model's share of the pool's demand, from 0 to 1. */
+  /** Share of the pool's demand, from 0 to 1. */
   readonly demandShare: number;
-  /** Whether the model's spare replicas were moved too short a time ago. */
+  /** Whether replicas of the model were moved too recently to move again. */
   readonly coolingDown: boolean;
 }
 
-/** Weights and limits of one plan. */
+/** Weights and limits of a plan. */
 export interface PlanLimits {
   readonly attainmentWeight: number;
   readonly movesWeight: number;
-  /** False until no other holder's order can take effect anywhere in the pool. */
+  /** False while an order of another lease holder may still take effect anywhere in the pool. */
   readonly mayUnload: boolean;
-  /** Moves of spare replicas that the rate limit still allows. */
+  /** Demand-driven moves that the rate limit still allows. */
   readonly demandMoveBudget: number;
 }
 
@@ -42,7 +42,7 @@
   readonly limits: PlanLimits;
 }
 
-/** Why a move is made, most urgent first. */
+/** Reasons for a move, most urgent first. */
 export const moveCauses = [
   "reachability",
   "min_replicas",
@@ -74,7 +74,7 @@
       readonly cause: MoveCause;
     };
 
-/** What to do next, most urgent first, and which models have no place. */
+/** Moves to make next, most urgent first, and models that fit nowhere. */
 export interface Plan {
   readonly moves: readonly Move[];
   readonly unplaceable: readonly string[];
--- a/packages/placement/src/working-pool.ts
+++ b/packages/placement/src/working-pool.ts
@@ -1,12 +1,15 @@
-/** The planner's scratch copy of a pool. Loads take memory at once, unloads give none back. */
+/**
+ * Mutable state of a pool during planning. Loads reserve memory immediately; unloads only release
+ * it once confirmed.
+ */
 import { invariant } from "@linkfall/errors";
 import type { Mebibytes } from "@linkfall/types";
 import type { EngineView, Move, MoveCause, PoolView } from "./pool-view.js";
 
-/** State of an artifact on an accelerator in the planner's eyes. */
-export type CopyState = "ready" | "coming" | "going";
+/** Planned state of an artifact on an accelerator. */
+export type CopyState = "ready" | "loading" | "unloading";
 
-/** One copy of an artifact. */
+/** One copy of an artifact on an accelerator. */
 export interface ArtifactCopy {
   readonly artifact: string;
   readonly sizeMb: Mebibytes;
@@ -14,20 +17,20 @@
   state: CopyState;
 }
 
-/** One accelerator. */
+/** One accelerator of an engine, with its planned copies and free memory. */
 export interface Accelerator {
   readonly engineView: EngineView;
   readonly index: number;
   readonly copies: ArtifactCopy[];
   freeMb: Mebibytes;
-  /** Memory that unloads under way will give back. */
+  /** Memory that pending unloads will release. */
   pendingFreeMb: Mebibytes;
 }
 
-/** What is asked of a place. */
+/** Constraints on where an artifact may be loaded. */
 export interface PlacementConstraints {
   readonly sizeMb: Mebibytes;
-  /** Accelerators of engines that hold one of these already are passed over. */
+  /** Engines that hold any of these artifacts are excluded. */
   readonly excludedArtifacts: readonly string[];
 }
 
@@ -36,116 +39,131 @@
   readonly moves: Move[];
   /** All copies of an artifact. */
   copiesOf(artifact: string): readonly ArtifactCopy[];
-  /** Copies that serve now on engines that count. */
+  /** Copies that are ready on available engines. */
   readyCopies(artifact: string): readonly ArtifactCopy[];
-  /** Copies that serve now or soon on engines that count. */
+  /** Copies that are ready or being loaded on available engines. */
   liveCopies(artifact: string): readonly ArtifactCopy[];
-  load(slot: Accelerator, artifact: string, sizeMb: Mebibytes, cause: MoveCause): void;
+  load(accelerator: Accelerator, artifact: string, sizeMb: Mebibytes, cause: MoveCause): void;
   unload(copy: ArtifactCopy, cause: MoveCause): void;
-  /** Slots on which the wish fits now, best first. */
-  findAccelerators(wish: PlacementConstraints): readonly Accelerator[];
-  /** Keeps memory that is free or soon free from being planned for something else. */
-  reserve(slot: Accelerator, sizeMb: Mebibytes): void;
+  /** Returns the accelerators on which the artifact fits now, best first. */
+  findAccelerators(constraints: PlacementConstraints): readonly Accelerator[];
+  /** Reserves memory that is free or about to be released. */
+  reserve(accelerator: Accelerator, sizeMb: Mebibytes): void;
 }
 
-function copiesOnAccelerator(slot: Accelerator): ArtifactCopy[] {
-  const ledger = slot.engineView.accelerators[slot.index];
-  const resident = ledger.residents.map((entry): ArtifactCopy => {
-    const going = entry.state === "unloading" || ledger.pendingUnloads.has(entry.artifact);
-    const state = entry.state === "ready" ? "ready" : "coming";
-    return { artifact: entry.artifact, sizeMb: entry.sizeMb, accelerator: slot, state: going ? "going" : state };
+function copiesOnAccelerator(accelerator: Accelerator): ArtifactCopy[] {
+  const ledger = accelerator.engineView.accelerators[accelerator.index];
+  const residentCopies = ledger.residents.map((resident): ArtifactCopy => {
+    const isUnloading =
+      resident.state === "unloading" || ledger.pendingUnloads.has(resident.artifact);
+    const state = resident.state === "ready" ? "ready" : "loading";
+    return {
+      artifact: resident.artifact,
+      sizeMb: resident.sizeMb,
+      accelerator,
+      state: isUnloading ? "unloading" : state,
+    };
   });
-  const pending = ledger.pendingLoads.map((order): ArtifactCopy => ({
+  const pendingCopies = ledger.pendingLoads.map((order): ArtifactCopy => ({
     artifact: order.artifact,
     sizeMb: order.sizeMb,
-    accelerator: slot,
-    state: "coming",
+    accelerator,
+    state: "loading",
   }));
-  return [...resident, ...pending];
+  return [...residentCopies, ...pendingCopies];
 }
 
 function toAccelerators(view: EngineView): readonly Accelerator[] {
   return view.accelerators.map((ledger) => {
-    const slot: Accelerator = {
+    const accelerator: Accelerator = {
       engineView: view,
       index: ledger.index,
       copies: [],
       freeMb: ledger.freeMb,
       pendingFreeMb: 0,
     };
-    slot.copies.push(...copiesOnAccelerator(slot));
-    const going = slot.copies.filter((copy) => copy.state === "going");
-    slot.pendingFreeMb = going.reduce((sum, copy) => sum + copy.sizeMb, 0);
-    return slot;
+    accelerator.copies.push(...copiesOnAccelerator(accelerator));
+    const unloading = accelerator.copies.filter((copy) => copy.state === "unloading");
+    accelerator.pendingFreeMb = unloading.reduce((sum, copy) => sum + copy.sizeMb, 0);
+    return accelerator;
   });
 }
 
-/** Copies a pool for planning. */
+/** Creates the planning state of a pool. */
 export function createWorkingPool(pool: PoolView): WorkingPool {
-  const slots = pool.engines.flatMap(toAccelerators);
+  const accelerators = pool.engines.flatMap(toAccelerators);
   const moves: Move[] = [];
   const byArtifact = new Map<string, ArtifactCopy[]>();
-  const index = (copy: ArtifactCopy) => {
+  const addToIndex = (copy: ArtifactCopy) => {
     const list = byArtifact.get(copy.artifact) ?? [];
     list.push(copy);
     byArtifact.set(copy.artifact, list);
   };
-  for (const slot of slots) slot.copies.forEach(index);
+  for (const accelerator of accelerators) accelerator.copies.forEach(addToIndex);
 
   const copiesOf = (artifact: string): readonly ArtifactCopy[] => byArtifact.get(artifact) ?? [];
-  const counted = (copy: ArtifactCopy) => copy.accelerator.engineView.available;
+  const isAvailable = (copy: ArtifactCopy) => copy.accelerator.engineView.available;
   const readyCopies = (artifact: string) =>
-    copiesOf(artifact).filter((copy) => counted(copy) && copy.state === "ready");
-  const standingCopies = (artifact: string) =>
-    copiesOf(artifact).filter((copy) => counted(copy) && copy.state !== "going");
+    copiesOf(artifact).filter((copy) => isAvailable(copy) && copy.state === "ready");
+  const liveCopies = (artifact: string) =>
+    copiesOf(artifact).filter((copy) => isAvailable(copy) && copy.state !== "unloading");
 
-  /** Fewer copies in the domain first, then the engine with less to do, then the tightest fit. */
-  const compareFor = (wish: PlacementConstraints) => {
-    const holders = wish.excludedArtifacts.flatMap((artifact) => [...standingCopies(artifact)]);
-    const inDomain = (slot: Accelerator) =>
-      holders.filter((copy) => copy.accelerator.engineView.engine.domain === slot.engineView.engine.domain).length;
-    const crowding = (slot: Accelerator) =>
-      slot.engineView.utilisation + modelsOn(slot.engineView) / slot.engineView.accelerators.length / 10;
+  /**
+   * Orders accelerators by copies in the same failure domain, then by load, then by free memory
+   * (best fit).
+   */
+  const compareBy = (constraints: PlacementConstraints) => {
+    const holders = constraints.excludedArtifacts.flatMap((artifact) => [...liveCopies(artifact)]);
+    const inDomain = (accelerator: Accelerator) =>
+      holders.filter(
+        (copy) =>
+          copy.accelerator.engineView.engine.domain === accelerator.engineView.engine.domain,
+      ).length;
+    const loadOf = (accelerator: Accelerator) =>
+      accelerator.engineView.utilisation +
+      modelsOn(accelerator.engineView) / accelerator.engineView.accelerators.length / 10;
     return (a: Accelerator, b: Accelerator) =>
-      inDomain(a) - inDomain(b) || crowding(a) - crowding(b) || a.freeMb - b.freeMb;
+      inDomain(a) - inDomain(b) || loadOf(a) - loadOf(b) || a.freeMb - b.freeMb;
   };
   const modelsOn = (view: EngineView) =>
-    slots
-      .filter((slot) => slot.engineView === view)
+    accelerators
+      .filter((accelerator) => accelerator.engineView === view)
       .reduce(
-        (sum, slot) =>
-          sum + slot.copies.filter((copy) => copy.artifact.startsWith("model:")).length,
+        (sum, accelerator) =>
+          sum + accelerator.copies.filter((copy) => copy.artifact.startsWith("model:")).length,
         0,
       );
 
-  const isOpen = (slot: Accelerator) => slot.engineView.acceptsOrders && slot.engineView.available;
-  const holdsAny = (slot: Accelerator, artifacts: readonly string[]) =>
-    slots.some(
+  const canLoad = (accelerator: Accelerator) =>
+    accelerator.engineView.acceptsOrders && accelerator.engineView.available;
+  const holdsAny = (accelerator: Accelerator, artifacts: readonly string[]) =>
+    accelerators.some(
       (other) =>
-        other.engineView === slot.engineView && other.copies.some((copy) => artifacts.includes(copy.artifact)),
+        other.engineView === accelerator.engineView &&
+        other.copies.some((copy) => artifacts.includes(copy.artifact)),
     );
 
   return {
-    accelerators: slots,
+    accelerators,
     moves,
     copiesOf,
     readyCopies,
-    liveCopies: standingCopies,
-    load(slot, artifact, sizeMb, cause) {
+    liveCopies,
+    load(accelerator, artifact, sizeMb, cause) {
       invariant(
-        slot.freeMb >= sizeMb,
+        accelerator.freeMb >= sizeMb,
         "plan-fits",
-        () => `${artifact} on ${slot.engineView.engine.name}`,
+        () => `${artifact} on ${accelerator.engineView.engine.name}`,
       );
-      slot.freeMb -= sizeMb;
-      const copy: ArtifactCopy = { artifact, sizeMb, accelerator: slot, state: "coming" };
-      slot.copies.push(copy);
-      index(copy);
-      const { name: engine } = slot.engineView.engine;
-      moves.push({ kind: "load", engine, accelerator: slot.index, artifact, sizeMb, cause });
+      accelerator.freeMb -= sizeMb;
+      const copy: ArtifactCopy = { artifact, sizeMb, accelerator, state: "loading" };
+      accelerator.copies.push(copy);
+      addToIndex(copy);
+      const { name: engine } = accelerator.engineView.engine;
+      moves.push({ kind: "load", engine, accelerator: accelerator.index, artifact, sizeMb, cause });
     },
     unload(copy, cause) {
-      copy.state = "going";
+      copy.state = "unloading";
       copy.accelerator.pendingFreeMb += copy.sizeMb;
       moves.push({
         kind: "unload",
@@ -156,15 +174,15 @@
         cause,
       });
     },
-    findAccelerators: (wish) =>
-      slots
-        .filter((slot) => isOpen(slot) && slot.freeMb >= wish.sizeMb)
-        .filter((slot) => !holdsAny(slot, wish.excludedArtifacts))
-        .sort(compareFor(wish)),
-    reserve(slot, sizeMb) {
-      const now = Math.max(0, Math.min(slot.freeMb, sizeMb));
-      slot.freeMb -= now;
-      slot.pendingFreeMb -= sizeMb - now;
+    findAccelerators: (constraints) =>
+      accelerators
+        .filter((accelerator) => canLoad(accelerator) && accelerator.freeMb >= constraints.sizeMb)
+        .filter((accelerator) => !holdsAny(accelerator, constraints.excludedArtifacts))
+        .sort(compareBy(constraints)),
+    reserve(accelerator, sizeMb) {
+      const immediateMb = Math.max(0, Math.min(accelerator.freeMb, sizeMb));
+      accelerator.freeMb -= immediateMb;
+      accelerator.pendingFreeMb -= sizeMb - immediateMb;
     },
   };
 }
