--- a/packages/pool-control/src/fences.ts
+++ b/packages/pool-control/src/fences.ts
@@ -1,4 +1,7 @@
-/** Raises this session's fence on the pool's engines. */
+/**
+ * Raises the fence of a session on the pool's engines, which makes them reject orders of earlier
+ * epochs.
+ */
 import { clockName, type Kernel } from "@linkfall/kernel";
 import { loggerName } from "@linkfall/logger";
 import { enginePortName } from "@linkfall/ports";
@@ -7,44 +10,44 @@
 import type { PoolContext } from "./pool-context.js";
 
 export interface Fences {
-  /** Raises the fence wherever it does not stand, and takes in what the engines answer. */
+  /** Raises the fence where it is missing, and processes the reports in the responses. */
   raise(): Promise<void>;
   isRaisedOn(engine: Engine): boolean;
-  /** Whether no order of another holder that this session does not know can take effect there. */
+  /** Returns whether no unknown order of another lease holder can take effect on the engine. */
   isSafe(engine: Engine): boolean;
   isRaisedEverywhere(): boolean;
-  /** Notes that an engine refused this session's epoch. */
+  /** Records that an engine rejected this session's epoch. */
   invalidate(engine: string): void;
 }
 
-/** Creates the fences of a session; none stands yet. */
+/** Creates the fences of a session, none of which is raised yet. */
 export function createFences(kernel: Kernel, context: PoolContext): Fences {
   const clock = kernel.find(clockName);
   const logger = kernel.find(loggerName);
   const port = kernel.find(enginePortName);
   const watch = kernel.find(targetWatchName);
   const { lease } = context;
-  /** The start of each engine on which the fence stands; a restart takes it away. */
-  const raisedOn = new Map<string, string>();
-  let stood = false;
+  /** Incarnation of each engine on which the fence is raised; a restart removes it. */
+  const raisedIncarnations = new Map<string, string>();
+  let wasRaisedEverywhere = false;
 
-  const standsOn = (engine: Engine) => {
+  const isRaisedOn = (engine: Engine) => {
     const report = context.reportOf(engine.name)?.report;
     return (
       report !== undefined &&
-      raisedOn.get(engine.name) === report.engineIncarnation &&
+      raisedIncarnations.get(engine.name) === report.engineIncarnation &&
       report.fence >= lease.epoch
     );
   };
-  const isSafe = (engine: Engine) => !engine.fenced || standsOn(engine);
-  const standsEverywhere = () => context.engines().every(isSafe);
+  const isSafe = (engine: Engine) => !engine.fenced || isRaisedOn(engine);
+  const isRaisedEverywhere = () => context.engines().every(isSafe);
 
   const raiseOn = async (engine: Engine) => {
     const requestedAt = clock.now();
-    const raised = await port.raiseFence(engine.address, lease.epoch);
-    raised.ifRight((report) => {
+    const response = await port.raiseFence(engine.address, lease.epoch);
+    response.ifRight((report) => {
       if (report.engine !== engine.name || report.fence !== lease.epoch) return;
-      raisedOn.set(engine.name, report.engineIncarnation);
+      raisedIncarnations.set(engine.name, report.engineIncarnation);
       watch.ingest(report, requestedAt, "read");
     });
   };
@@ -53,15 +56,15 @@
     async raise() {
       const missing = context.engines().filter((engine) => !isSafe(engine));
       await Promise.all(missing.map(raiseOn));
-      const stands = standsEverywhere();
-      if (stands && !stood) {
+      const isComplete = isRaisedEverywhere();
+      if (isComplete && !wasRaisedEverywhere) {
         logger.event("fenceStands", { pool: lease.pool, epoch: lease.epoch });
       }
-      stood = stands;
+      wasRaisedEverywhere = isComplete;
     },
-    isRaisedOn: standsOn,
+    isRaisedOn,
     isSafe,
-    isRaisedEverywhere: standsEverywhere,
-    invalidate: (engine) => void raisedOn.delete(engine),
+    isRaisedEverywhere,
+    invalidate: (engine) => void raisedIncarnations.delete(engine),
   };
 }
--- a/packages/pool-control/src/intents.ts
+++ b/packages/pool-control/src/intents.ts
@@ -1,4 +1,7 @@
-/** Intents: orders for unfenced engines that stand in the log before any of them is sent. */
+/**
+ * Write-ahead intents: orders for unfenced engines are written to the log before any of them is
+ * sent.
+ */
 import { settingsName } from "@linkfall/config";
 import type { Kernel } from "@linkfall/kernel";
 import { logWriterName } from "@linkfall/log-writer";
@@ -8,15 +11,18 @@
 import type { PoolContext } from "./pool-context.js";
 
 export interface Intents {
-  /** Brings the book in step with the intents that stand in the log, an earlier holder's included. */
+  /**
+   * Adds the intents in the log to the open orders, including those of an earlier lease holder, and
+   * removes settled ones.
+   */
   syncWithLog(): void;
-  /** Records orders that are in the book; those that did not come into the log leave it again. */
+  /** Writes intents for open orders; orders that could not be logged are removed. */
   record(orders: readonly Order[]): Promise<void>;
-  /** Removes settled orders from the book and notes in the log that they are. */
+  /** Removes settled orders and logs their settlement. */
   settle(): Promise<void>;
-  /** Finds out what became of an append without an answer. */
+  /** Determines the outcome of an append that was not acknowledged. */
   resolveInDoubt(): Promise<void>;
-  /** Whether such an append stands out; nothing new may be planned then. */
+  /** Returns whether such an append is unresolved, in which case nothing new may be planned. */
   hasInDoubt(): boolean;
 }
 
@@ -25,77 +31,81 @@
   const store = kernel.find(stateStoreName);
   const writer = kernel.find(logWriterName);
   const logger = kernel.find(loggerName);
-  const limit = kernel.find(settingsName).lease.lease_ms;
-  const { lease, openOrders: book } = context;
-  let unsettled: Settlement[] = [];
+  const timeoutMs = kernel.find(settingsName).lease.lease_ms;
+  const { lease, openOrders } = context;
+  let pendingSettlements: Settlement[] = [];
   /** Orders whose intents may or may not be in the log. */
-  let doubtful: readonly Order[] = [];
+  let inDoubtOrders: readonly Order[] = [];
 
-  const appendSettled = (settlements: readonly Settlement[]) =>
-    writer.append((id) => ({ type: "settled", id, pool: lease.pool, settlements }), limit);
+  const appendSettlements = (settlements: readonly Settlement[]) =>
+    writer.append((id) => ({ type: "settled", id, pool: lease.pool, settlements }), timeoutMs);
 
-  const dropUnrecorded = (orders: readonly Order[]) => {
+  const removeUnrecorded = (orders: readonly Order[]) => {
     for (const order of orders) {
-      if (!store.state().intents.has(order.id)) book.remove(order.id);
+      if (!store.state().intents.has(order.id)) openOrders.remove(order.id);
     }
   };
 
   /**
-   * An intent that is gone from the log is settled, by a record whose answer was lost or by an earlier
-   * holder. The engine may have restarted since and show nothing of it any more.
+   * Removes orders whose intent is no longer in the log: they were settled by an earlier lease
+   * holder, or by a record that was not acknowledged. The engine may have restarted since and no
+   * longer report them.
    */
-  const dropSettledElsewhere = () => {
-    for (const { order } of book.all()) {
-      const unfenced = context.engineNamed(order.engine)?.fenced === false;
-      const isDoubtful = doubtful.some((other) => other.id === order.id);
-      if (unfenced && !isDoubtful && !store.state().intents.has(order.id)) book.remove(order.id);
+  const removeSettledElsewhere = () => {
+    for (const { order } of openOrders.all()) {
+      const isUnfenced = context.engineNamed(order.engine)?.fenced === false;
+      const isInDoubt = inDoubtOrders.some((other) => other.id === order.id);
+      if (isUnfenced && !isInDoubt && !store.state().intents.has(order.id))
+        openOrders.remove(order.id);
     }
   };
 
-  const takeSettled = () => {
+  const collectSettled = () => {
     for (const engine of context.engines()) {
       const report = context.reportOf(engine.name)?.report;
       if (!report) continue;
-      const settled = book.settle(report);
-      for (const entry of settled) logger.event("orderSettled", { order: entry.orderId });
-      unsettled.push(...settled.filter((entry) => store.state().intents.has(entry.orderId)));
+      const settled = openOrders.settle(report);
+      for (const settlement of settled) logger.event("orderSettled", { order: settlement.orderId });
+      pendingSettlements.push(
+        ...settled.filter((settlement) => store.state().intents.has(settlement.orderId)),
+      );
     }
   };
 
   return {
     syncWithLog() {
-      dropSettledElsewhere();
+      removeSettledElsewhere();
       for (const intent of store.state().intents.values()) {
-        if (intent.pool === lease.pool && !book.has(intent.order.id)) {
-          book.add(intent.order, -Infinity);
+        if (intent.pool === lease.pool && !openOrders.has(intent.order.id)) {
+          openOrders.add(intent.order, -Infinity);
         }
       }
     },
     async record(orders) {
-      const written = await writer.append(
+      const appended = await writer.append(
         (id) => ({ type: "intent", id, pool: lease.pool, epoch: lease.epoch, orders }),
-        limit,
+        timeoutMs,
       );
-      if (written.isLeft()) doubtful = orders;
-      else dropUnrecorded(orders);
+      if (appended.isLeft()) inDoubtOrders = orders;
+      else removeUnrecorded(orders);
     },
     async settle() {
-      takeSettled();
-      if (unsettled.length === 0 || !context.isLeaseValid()) return;
-      const settlements = unsettled;
-      unsettled = [];
-      const written = await appendSettled(settlements);
-      // What was not written is settled again: the intent still stands in the log.
-      if (written.isLeft()) unsettled.push(...settlements);
+      collectSettled();
+      if (pendingSettlements.length === 0 || !context.isLeaseValid()) return;
+      const settlements = pendingSettlements;
+      pendingSettlements = [];
+      const appended = await appendSettlements(settlements);
+      // The intents are still in the log, which means that the settlement has to be written again.
+      if (appended.isLeft()) pendingSettlements.push(...settlements);
     },
     async resolveInDoubt() {
-      if (doubtful.length === 0 || !context.isLeaseValid()) return;
-      // Once a later record of this box is in the log, the fold passes over the doubtful one.
-      const barrier = await appendSettled([]);
+      if (inDoubtOrders.length === 0 || !context.isLeaseValid()) return;
+      // Once a later record of this box is in the log, replay ignores the in-doubt one.
+      const barrier = await appendSettlements([]);
       if (barrier.isLeft()) return;
-      dropUnrecorded(doubtful);
-      doubtful = [];
+      removeUnrecorded(inDoubtOrders);
+      inDoubtOrders = [];
     },
-    hasInDoubt: () => doubtful.length > 0,
+    hasInDoubt: () => inDoubtOrders.length > 0,
   };
 }
--- a/packages/pool-control/src/order-sender.ts
+++ b/packages/pool-control/src/order-sender.ts
@@ -1,4 +1,6 @@
-/** Sends orders, checks right before each one that it may go, and repeats those without an effect. */
+/**
+ * Sends orders, checks each one immediately before it is sent, and resends those without effect.
+ */
 import { auditName } from "@linkfall/audit";
 import { settingsName } from "@linkfall/config";
 import { clockName, type Kernel } from "@linkfall/kernel";
@@ -14,24 +16,24 @@
 import type { ServedElsewhereCheck } from "./served-elsewhere.js";
 
 export interface OrderSender {
-  /** Sends an order that is in the book, and enters it in the audit trail. */
+  /** Sends an open order and records it in the audit trail. */
   issue(order: Order): Promise<void>;
-  /** Sends again what has had no effect for some time. */
+  /** Resends orders that have had no effect for some time. */
   resendDue(): Promise<void>;
 }
 
-/** An order in words. */
+/** Describes an order for logs and the audit trail. */
 export function describeOrder(order: Order): string {
   if (order.kind === "role") return `${order.engine}: role ${order.role} (${order.cause})`;
   return `${order.engine}/${order.accelerator}: ${order.kind} ${order.artifact} (${order.cause})`;
 }
 
-/** Creates the sender of a session. */
+/** Creates the order sender of a session. */
 export function createOrderSender(
   kernel: Kernel,
   context: PoolContext,
   fences: Fences,
-  servedElsewhere: ServedElsewhereCheck,
+  isServedElsewhere: ServedElsewhereCheck,
 ): OrderSender {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
@@ -39,19 +41,19 @@
   const audit = kernel.find(auditName);
   const logger = kernel.find(loggerName);
   const metrics = kernel.find(metricsName);
-  const repeatMs = kernel.find(settingsName).targets.order_repeat_ms;
-  const { lease, openOrders: book } = context;
+  const resendAfterMs = kernel.find(settingsName).targets.order_repeat_ms;
+  const { lease, openOrders } = context;
 
   const maySend = (engine: Engine, order: Order) => {
     if (!context.isLeaseCurrent()) return false;
-    // Decided some time ago, perhaps, and the copy that was to stay may be lost since. The order waits in the
-    // book until another copy serves.
-    if (order.kind === "unload" && !servedElsewhere(order)) return false;
+    // The order may be outdated, and the remaining copy lost since. It stays open until another
+    // copy serves.
+    if (order.kind === "unload" && !isServedElsewhere(order)) return false;
     if (engine.fenced) return fences.isRaisedOn(engine);
     return context.isLeaseValid() && store.state().intents.has(order.id);
   };
 
-  const takeReply = (engine: Engine, order: Order, reply: OrderReply) =>
+  const handleReply = (engine: Engine, order: Order, reply: OrderReply) =>
     match(reply)
       .with({ kind: "accepted" }, () => undefined)
       .with({ kind: "stale_epoch" }, ({ fence }) => {
@@ -67,15 +69,15 @@
     if (!maySend(engine, order)) return;
     const { id, kind, cause } = order;
     logger.event("orderSent", { order: id, kind, engine: engine.name, cause });
-    metrics.count("linkfall_orders_sent_total", "Orders sent to engines", { kind });
-    // An order adopted from an intent goes out under this session's epoch.
-    const sent = await port.order(engine.address, { ...order, epoch: lease.epoch });
-    sent.ifRight((reply) => takeReply(engine, order, reply));
+    metrics.count("linkfall_orders_sent_total", "Orders sent to engines.", { kind });
+    // An order of an earlier lease holder is sent with this session's epoch.
+    const response = await port.order(engine.address, { ...order, epoch: lease.epoch });
+    response.ifRight((reply) => handleReply(engine, order, reply));
   };
 
   const recordAudit = (order: Order) => {
     const { kind, cause } = order;
-    metrics.count("linkfall_moves_total", "Moves ordered", { kind, cause });
+    metrics.count("linkfall_moves_total", "Moves ordered, by kind and cause.", { kind, cause });
     audit.record({
       who: "linkfall",
       action: kind,
@@ -86,27 +88,29 @@
     });
   };
 
-  const repeat = async (entry: OpenOrder) => {
-    const engine = context.engineNamed(entry.order.engine);
+  const resend = async (openOrder: OpenOrder) => {
+    const engine = context.engineNamed(openOrder.order.engine);
     if (!engine) {
-      book.removeEngine(entry.order.engine);
+      openOrders.removeEngine(openOrder.order.engine);
       return;
     }
-    entry.sentAt = clock.now();
-    await send(engine, entry.order);
+    openOrder.sentAt = clock.now();
+    await send(engine, openOrder.order);
   };
 
   return {
     async issue(order) {
       const engine = context.engineNamed(order.engine);
-      if (!engine || !book.has(order.id)) return;
+      if (!engine || !openOrders.has(order.id)) return;
       recordAudit(order);
       await send(engine, order);
     },
     async resendDue() {
       const now = clock.now();
-      const due = book.all().filter((entry) => now - entry.sentAt >= repeatMs);
-      await Promise.all(due.map(repeat));
+      const dueOrders = openOrders
+        .all()
+        .filter((openOrder) => now - openOrder.sentAt >= resendAfterMs);
+      await Promise.all(dueOrders.map(resend));
     },
   };
 }
--- a/packages/pool-control/src/pool-context.ts
+++ b/packages/pool-control/src/pool-context.ts
@@ -1,4 +1,7 @@
-/** What the parts of a session share: the lease, the engines, their reports and the open orders. */
+/**
+ * State shared by the parts of a session: the lease, the engines, their reports and the open
+ * orders.
+ */
 import { clockName, type Kernel } from "@linkfall/kernel";
 import { type HeldLease, leaseHolderName } from "@linkfall/lease-holder";
 import { stateStoreName } from "@linkfall/state-store";
@@ -8,51 +11,58 @@
 
 export interface PoolContext {
   readonly lease: HeldLease;
-  /** When this session began, by this box's clock. */
+  /** Start of the session by this box's clock. */
   readonly startedAt: Milliseconds;
   readonly openOrders: OpenOrders;
   pool(): Pool;
   engines(): readonly Engine[];
   engineNamed(name: string): Engine | undefined;
-  /** The report of an engine, if it was asked for after this session began. */
+  /** Returns the latest report of an engine that was requested during this session. */
   reportOf(engine: string): WatchedReport | undefined;
-  /** Whether the lease is still this session's, as far as this box has read. */
+  /** Whether this session still holds the lease, according to the log as read by this box. */
   isLeaseCurrent(): boolean;
-  /** Whether it has not run out by this box's clock either. */
+  /** Whether the lease is also unexpired by this box's clock. */
   isLeaseValid(): boolean;
-  /** Orders that may still take effect: this session's, and intents that the log holds. */
+  /**
+   * Returns the orders that may still take effect: those of this session and intents in the log.
+   */
   openOrdersOf(engine: string): readonly Order[];
 }
 
-/** Creates the context of a session under a lease that has just been read. */
+/** Creates the context of a session for a lease that has just been read. */
 export function createPoolContext(kernel: Kernel, lease: HeldLease): PoolContext {
   const store = kernel.find(stateStoreName);
   const leases = kernel.find(leaseHolderName);
   const watch = kernel.find(targetWatchName);
-  const takenAt = kernel.find(clockName).now();
-  const book = createOpenOrders();
-  const isCurrent = () => leases.held(lease.pool)?.epoch === lease.epoch;
+  const startedAt = kernel.find(clockName).now();
+  const openOrders = createOpenOrders();
+  const isLeaseCurrent = () => leases.held(lease.pool)?.epoch === lease.epoch;
   return {
     lease,
-    startedAt: takenAt,
-    openOrders: book,
+    startedAt,
+    openOrders,
     pool() {
-      const least = { kind: "pool", name: lease.pool, loadsPerSecond: 1, loadsAtOnce: 1 } as const;
-      return store.desired().pools.get(lease.pool) ?? least;
+      const defaults = {
+        kind: "pool",
+        name: lease.pool,
+        loadsPerSecond: 1,
+        loadsAtOnce: 1,
+      } as const;
+      return store.desired().pools.get(lease.pool) ?? defaults;
     },
     engines: () => store.desired().enginesByPool.get(lease.pool) ?? [],
     engineNamed: (name) => store.desired().engines.get(name),
     reportOf(engine) {
       const watched = watch.reportOf(engine);
-      return watched && watched.requestedAt >= takenAt ? watched : undefined;
+      return watched && watched.requestedAt >= startedAt ? watched : undefined;
     },
-    isLeaseCurrent: isCurrent,
-    isLeaseValid: () => isCurrent() && leases.held(lease.pool)?.valid === true,
+    isLeaseCurrent,
+    isLeaseValid: () => isLeaseCurrent() && leases.held(lease.pool)?.valid === true,
     openOrdersOf(engine) {
       const intents = [...store.state().intents.values()]
         .map((intent) => intent.order)
-        .filter((order) => order.engine === engine && !book.has(order.id));
-      return [...book.forEngine(engine), ...intents];
+        .filter((order) => order.engine === engine && !openOrders.has(order.id));
+      return [...openOrders.forEngine(engine), ...intents];
     },
   };
 }
--- a/packages/pool-control/src/pool-control.ts
+++ b/packages/pool-control/src/pool-control.ts
@@ -14,53 +14,53 @@
 import { createPoolSession, type PoolSession, type SessionStatus } from "./pool-session.js";
 
 export interface PoolControl {
-  /** The sessions that run on this box. */
+  /** Returns the status of the sessions on this box. */
   sessions(): readonly SessionStatus[];
 }
 
 export const poolControlName = serviceName<PoolControl>("pool-control");
 
-/** Creates the control of one box; its life cycle is the rounds of its sessions. */
+/** Creates the pool control of a box; its life cycle starts and stops the sessions' rounds. */
 export function createPoolControl(kernel: Kernel): PoolControl & Service {
   const leases = kernel.find(leaseHolderName);
   const membership = kernel.find(membershipName);
   const sessions = new Map<string, PoolSession>();
-  const ticking = new Set<PoolSession>();
+  const runningSessions = new Set<PoolSession>();
 
   kernel.find(targetWatchName).onReport((watched) => {
     for (const session of sessions.values()) session.handleReport(watched);
   });
 
-  /** Ends the sessions of leases that are gone, and starts one for each new lease. */
+  /** Ends sessions whose lease is lost, and starts one for each new lease. */
   const alignSessions = () => {
-    const held = leases.heldPools();
-    const epochs = new Map(held.map((lease) => [lease.pool, lease.epoch]));
+    const heldLeases = leases.heldPools();
+    const epochs = new Map(heldLeases.map((lease) => [lease.pool, lease.epoch]));
     for (const [pool, session] of sessions) {
       if (epochs.get(pool) !== session.epoch) sessions.delete(pool);
     }
-    for (const lease of held) {
+    for (const lease of heldLeases) {
       if (!sessions.has(lease.pool) && lease.valid) {
         sessions.set(lease.pool, createPoolSession(kernel, lease));
       }
     }
   };
 
-  /** A round that waits for the log must not hold up the rounds of other pools. */
-  const tick = async (session: PoolSession) => {
-    if (ticking.has(session)) return;
-    ticking.add(session);
+  /** Runs sessions independently: one that waits for the log does not delay the others. */
+  const runSession = async (session: PoolSession) => {
+    if (runningSessions.has(session)) return;
+    runningSessions.add(session);
     await session.tick();
-    ticking.delete(session);
+    runningSessions.delete(session);
   };
 
-  const round = () => {
+  const runRound = () => {
     if (membership.isolated()) return;
     alignSessions();
-    for (const session of sessions.values()) void tick(session);
+    for (const session of sessions.values()) void runSession(session);
   };
 
   const interval = kernel.find(settingsName).placement.plan_ms;
-  const loop = repeatEvery(kernel.find(clockName), kernel.find(randomName), interval, round);
+  const loop = repeatEvery(kernel.find(clockName), kernel.find(randomName), interval, runRound);
   return {
     sessions: () => [...sessions.values()].map((session) => session.status()),
     start: loop.start,
--- a/packages/pool-control/src/pool-session.ts
+++ b/packages/pool-control/src/pool-session.ts
@@ -1,7 +1,7 @@
 /**
- * One tenure of a pool: from the reading of this box's claim to the reading of another's. It keeps
- * the fences it has raised and the orders that may still take effect; nothing outlives it but what
- * the engines and the log know.
+ * One lease term of a pool, from reading this box's claim to reading another box's. Keeps the
+ * raised fences and the orders that may still take effect; other state is kept only by the engines
+ * and the log.
  */
 import { settingsName } from "@linkfall/config";
 import { invariant } from "@linkfall/errors";
@@ -15,15 +15,15 @@
 import type { Milliseconds, Order } from "@linkfall/types";
 import { createFences } from "./fences.js";
 import { createIntents } from "./intents.js";
-import { createStoreLoadLimiter, countActiveLoads, mayStillLoad } from "./store-load-limiter.js";
 import { createOrderSender, describeOrder } from "./order-sender.js";
 import { createPoolContext } from "./pool-context.js";
 import { createPoolViewBuilder } from "./pool-view.js";
 import { createServedElsewhereCheck } from "./served-elsewhere.js";
+import { countActiveLoads, createStoreLoadLimiter, mayStillLoad } from "./store-load-limiter.js";
 
 const secondsPerMinute = 60;
 
-/** What a session shows of itself. */
+/** Status of a session. */
 export interface SessionStatus {
   readonly pool: string;
   readonly epoch: number;
@@ -34,14 +34,14 @@
 
 export interface PoolSession {
   readonly epoch: number;
-  /** One round: raise fences, settle, repeat, plan and order. */
+  /** Runs one round: raises fences, settles and resends orders, then plans and sends new ones. */
   tick(): Promise<void>;
-  /** Takes a report of one of the pool's engines. */
+  /** Processes a report of one of the pool's engines. */
   handleReport(watched: WatchedReport): void;
   status(): SessionStatus;
 }
 
-/** Starts a session under a lease that has just been read. */
+/** Creates a session for a lease that has just been read. */
 export function createPoolSession(kernel: Kernel, lease: HeldLease): PoolSession {
   const clock = kernel.find(clockName);
   const random = kernel.find(randomName);
@@ -50,38 +50,46 @@
   const context = createPoolContext(kernel, lease);
   const fences = createFences(kernel, context);
   const intents = createIntents(kernel, context);
-  const servedElsewhere = createServedElsewhereCheck(kernel, context);
-  const sender = createOrderSender(kernel, context, fences, servedElsewhere);
-  const viewer = createPoolViewBuilder(kernel, context, fences);
-  const slots = createStoreLoadLimiter(clock, context.pool());
-  const spareMoves = createTokenBucket(clock, {
+  const isServedElsewhere = createServedElsewhereCheck(kernel, context);
+  const sender = createOrderSender(kernel, context, fences, isServedElsewhere);
+  const viewBuilder = createPoolViewBuilder(kernel, context, fences);
+  const storeLoadLimiter = createStoreLoadLimiter(clock, context.pool());
+  const demandMoveLimiter = createTokenBucket(clock, {
     rate: placement.moves_per_minute / secondsPerMinute,
     burst: placement.moves_per_minute,
   });
-  const { openOrders: book } = context;
-  const movedAt = new Map<string, Milliseconds>();
+  const { openOrders } = context;
+  const lastDemandMoveAt = new Map<string, Milliseconds>();
   let unplaceable: readonly string[] = [];
 
-  /** Right after a takeover the engines are given time to report before anything is missed. */
-  const isSettling = () => {
+  /**
+   * Returns whether engines still have time to report after a change of lease holder, before any is
+   * considered lost.
+   */
+  const isAwaitingReports = () => {
     const allReported = context.engines().every((engine) => context.reportOf(engine.name));
     return !allReported && clock.now() - context.startedAt < targets.silent_lost_ms;
   };
 
   const coolingDown = (model: string) =>
-    clock.now() - (movedAt.get(model) ?? -Infinity) < placement.cooldown_ms;
+    clock.now() - (lastDemandMoveAt.get(model) ?? -Infinity) < placement.cooldown_ms;
 
   const plan = (): Plan => {
-    const planned = planPool(viewer.build(spareMoves.waitFor() === 0 ? 1 : 0, coolingDown));
-    if (planned.unplaceable.length > 0 && unplaceable.length === 0) {
-      logger.event("unplaceable", { pool: lease.pool, models: planned.unplaceable.join(",") });
+    const nextPlan = planPool(
+      viewBuilder.build(demandMoveLimiter.waitFor() === 0 ? 1 : 0, coolingDown),
+    );
+    if (nextPlan.unplaceable.length > 0 && unplaceable.length === 0) {
+      logger.event("unplaceable", { pool: lease.pool, models: nextPlan.unplaceable.join(",") });
     }
-    unplaceable = planned.unplaceable;
-    return planned;
+    unplaceable = nextPlan.unplaceable;
+    return nextPlan;
   };
 
-  /** Loads of the pool that use the weight store, with those that a silent engine may still run. */
-  const underWay = () => {
+  /**
+   * Counts the pool's loads from the weight store, including those that unreachable engines may
+   * still run.
+   */
+  const countPoolLoads = () => {
     const now = clock.now();
     let loads = 0;
     for (const engine of context.engines()) {
@@ -93,59 +101,61 @@
   };
 
   const toOrder = (move: Move, engineIncarnation: string): Order => {
-    const head = {
+    const common = {
       id: `${lease.pool}/${lease.epoch}/${random.identifier()}`,
       engine: move.engine,
       engineIncarnation,
       epoch: lease.epoch,
       cause: move.cause,
     };
-    if (move.kind === "role") return { ...head, kind: "role", role: move.role };
+    if (move.kind === "role") return { ...common, kind: "role", role: move.role };
     const { artifact, accelerator, sizeMb } = move;
-    return { ...head, kind: move.kind, artifact, accelerator, sizeMb };
+    return { ...common, kind: move.kind, artifact, accelerator, sizeMb };
   };
 
-  const noteSpareMove = (move: Move) => {
+  const recordDemandMove = (move: Move) => {
     if (move.cause !== "demand" || move.kind === "role") return;
-    spareMoves.take();
+    demandMoveLimiter.take();
     const model = move.artifact.slice("model:".length, move.artifact.lastIndexOf("@"));
-    movedAt.set(model, clock.now());
+    lastDemandMoveAt.set(model, clock.now());
   };
 
-  /** The orders of a plan that the weight store has slots for. */
-  const admit = (moves: readonly Move[]): readonly Order[] => {
+  /** Creates orders for the moves that the store load limit allows. */
+  const createOrders = (moves: readonly Move[]): readonly Order[] => {
     const orders: Order[] = [];
-    let loads = underWay();
+    let loads = countPoolLoads();
     for (const move of moves) {
       const report = context.reportOf(move.engine)?.report;
       if (!report) continue;
-      if (move.kind === "load" && !slots.tryAcquire(context.pool(), loads)) continue;
+      if (move.kind === "load" && !storeLoadLimiter.tryAcquire(context.pool(), loads)) continue;
       if (move.kind === "load") loads += 1;
-      noteSpareMove(move);
+      recordDemandMove(move);
       orders.push(toOrder(move, report.engineIncarnation));
     }
     return orders;
   };
 
-  /** Enters the orders in the book one after the other, so that each counts for the next. */
-  const enter = (orders: readonly Order[]) => {
+  /**
+   * Adds the orders one by one, which makes each count against the memory available to the next.
+   */
+  const addOpenOrders = (orders: readonly Order[]) => {
     for (const order of orders) {
       const engine = context.engineNamed(order.engine);
       const report = context.reportOf(order.engine)?.report;
       if (!engine || !report) continue;
       assertRoomFor(order, engine, report, context.openOrdersOf(order.engine));
-      invariant(order.kind !== "unload" || servedElsewhere(order), "last-replica-stays", () =>
+      invariant(order.kind !== "unload" || isServedElsewhere(order), "last-replica-stays", () =>
         describeOrder(order),
       );
-      book.add(order, clock.now());
+      openOrders.add(order, clock.now());
     }
   };
 
   const planAndOrder = async () => {
-    const orders = admit(plan().moves);
+    const orders = createOrders(plan().moves);
     const fenced = orders.filter((order) => context.engineNamed(order.engine)?.fenced);
     const unfenced = orders.filter((order) => !fenced.includes(order));
-    enter(orders);
+    addOpenOrders(orders);
     await Promise.all(fenced.map(sender.issue));
     if (unfenced.length === 0) return;
     await intents.record(unfenced);
@@ -154,21 +164,21 @@
 
   return {
     epoch: lease.epoch,
-    handleReport: viewer.handleReport,
+    handleReport: viewBuilder.handleReport,
     async tick() {
       intents.syncWithLog();
       await fences.raise();
       await intents.settle();
       await sender.resendDue();
       await intents.resolveInDoubt();
-      if (!context.isLeaseCurrent() || isSettling() || intents.hasInDoubt()) return;
+      if (!context.isLeaseCurrent() || isAwaitingReports() || intents.hasInDoubt()) return;
       await planAndOrder();
     },
     status: () => ({
       pool: lease.pool,
       epoch: lease.epoch,
       fenceStands: fences.isRaisedEverywhere(),
-      openOrders: book.all().length,
+      openOrders: openOrders.all().length,
       unplaceable,
     }),
   };
--- a/packages/pool-control/src/pool-view.ts
+++ b/packages/pool-control/src/pool-view.ts
@@ -1,4 +1,4 @@
-/** Shows the planner the pool as this session sees it. */
+/** Builds the planner's view of a pool. */
 import { settingsName } from "@linkfall/config";
 import { demandShares } from "@linkfall/demand-meter";
 import { clockName, type Kernel } from "@linkfall/kernel";
@@ -11,24 +11,28 @@
 import type { Fences } from "./fences.js";
 import type { PoolContext } from "./pool-context.js";
 
-/** Weight of one report in an engine's smoothed utilisation: it rises at once and falls slowly. */
+/** Smoothing weights of a report: utilisation rises quickly and falls slowly. */
 const risingWeight = 0.5;
 const fallingWeight = 0.1;
 
 export interface PoolViewBuilder {
   /**
-   * The pool now.
+   * Returns the current state of the pool.
    *
-   * @param spareMoves moves of spare replicas that the rate limit still allows
-   * @param coolingDown whether a model's spare replicas were moved too short a time ago
+   * @param demandMoveBudget demand-driven moves that the rate limit still allows
+   * @param coolingDown whether a model's replicas were moved too recently
    */
-  build(spareMoves: number, coolingDown: (model: string) => boolean): PoolView;
-  /** Takes a report of one of the pool's engines. */
+  build(demandMoveBudget: number, coolingDown: (model: string) => boolean): PoolView;
+  /** Updates the utilisation from a report of one of the pool's engines. */
   handleReport(watched: WatchedReport): void;
 }
 
-/** Creates the viewer of a session. */
-export function createPoolViewBuilder(kernel: Kernel, context: PoolContext, fences: Fences): PoolViewBuilder {
+/** Creates the view builder of a session. */
+export function createPoolViewBuilder(
+  kernel: Kernel,
+  context: PoolContext,
+  fences: Fences,
+): PoolViewBuilder {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
   const watch = kernel.find(targetWatchName);
@@ -36,7 +40,7 @@
   const settings = kernel.find(settingsName).targets;
   const utilisation = new Map<string, number>();
 
-  const unseen = (engine: Engine): EngineView => ({
+  const unreportedEngineView = (engine: Engine): EngineView => ({
     engine,
     accelerators: [],
     role: engine.role,
@@ -46,18 +50,18 @@
     utilisation: 0,
   });
 
-  const viewOf = (engine: Engine): EngineView => {
+  const engineViewOf = (engine: Engine): EngineView => {
     const watched = context.reportOf(engine.name);
-    if (!watched) return unseen(engine);
-    const open = context.openOrdersOf(engine.name);
+    if (!watched) return unreportedEngineView(engine);
+    const openOrders = context.openOrdersOf(engine.name);
     const silentMs = clock.now() - watched.receivedAt;
     const mayOrder = engine.fenced ? fences.isRaisedOn(engine) : context.isLeaseValid();
     const leaving = watch.isLeaving(engine);
     return {
       engine,
-      accelerators: ledgersOf(engine, watched.report, open),
+      accelerators: ledgersOf(engine, watched.report, openOrders),
       role: watched.report.role,
-      roleChangePending: open.some((order) => order.kind === "role"),
+      roleChangePending: openOrders.some((order) => order.kind === "role"),
       acceptsOrders: silentMs <= settings.report_stale_ms && mayOrder && !leaving,
       available: silentMs <= settings.silent_lost_ms && !leaving,
       utilisation: utilisation.get(engine.name) ?? 0,
@@ -79,24 +83,25 @@
   };
 
   return {
-    build(spareMoves, coolingDown) {
+    build(demandMoveBudget, coolingDown) {
       const { attainmentWeight, movesWeight } = store.desired().deployment;
-      const engines = context.engines().map(viewOf);
-      // Replicas on an engine that does not count protect nothing, so its fence is not waited for.
+      const engines = context.engines().map(engineViewOf);
+      // Engines that are not available hold no serving replicas to protect, which is why their
+      // fences are not awaited.
       const mayUnload = engines.every((view) => !view.available || fences.isSafe(view.engine));
       return {
         engines,
         models: modelViews(coolingDown),
-        limits: { attainmentWeight, movesWeight, mayUnload, demandMoveBudget: spareMoves },
+        limits: { attainmentWeight, movesWeight, mayUnload, demandMoveBudget },
       };
     },
     handleReport({ report }) {
       const engine = context.engineNamed(report.engine);
       if (engine?.pool !== context.lease.pool) return;
-      const now = (report.running + report.queued) / engine.concurrency;
-      const before = utilisation.get(report.engine) ?? now;
-      const step = now > before ? risingWeight : fallingWeight;
-      utilisation.set(report.engine, before + step * (now - before));
+      const current = (report.running + report.queued) / engine.concurrency;
+      const previous = utilisation.get(report.engine) ?? current;
+      const weight = current > previous ? risingWeight : fallingWeight;
+      utilisation.set(report.engine, previous + weight * (current - previous));
     },
   };
 }
--- a/packages/pool-control/src/served-elsewhere.ts
+++ b/packages/pool-control/src/served-elsewhere.ts
@@ -1,4 +1,4 @@
-/** Whether a model or adapter goes on being served when one of its copies goes. */
+/** Checks whether an artifact is still served after one of its copies is unloaded. */
 import { settingsName } from "@linkfall/config";
 import { clockName, type Kernel } from "@linkfall/kernel";
 import { targetWatchName } from "@linkfall/target-watch";
@@ -7,10 +7,10 @@
 
 type UnloadOrder = Extract<Order, { readonly kind: "unload" }>;
 
-/** Says whether another copy, of any version, serves as far as is known now. */
+/** Returns whether another copy of any version serves the artifact, as far as currently known. */
 export type ServedElsewhereCheck = (order: UnloadOrder) => boolean;
 
-/** One key for a copy on an accelerator. */
+/** Returns a key for the copy of an artifact on an accelerator. */
 function copyKey(copy: {
   readonly engine: string;
   readonly accelerator: number;
@@ -19,35 +19,40 @@
   return `${copy.engine}/${copy.accelerator}/${copy.artifact}`;
 }
 
-/** Creates the question for one session. */
-export function createServedElsewhereCheck(kernel: Kernel, context: PoolContext): ServedElsewhereCheck {
+/** Creates the check for a session. */
+export function createServedElsewhereCheck(
+  kernel: Kernel,
+  context: PoolContext,
+): ServedElsewhereCheck {
   const clock = kernel.find(clockName);
   const watch = kernel.find(targetWatchName);
-  const { silent_lost_ms: lostMs } = kernel.find(settingsName).targets;
+  const { silent_lost_ms: silentLostMs } = kernel.find(settingsName).targets;
 
-  /** What an engine holds; nothing counts on one that is silent for long, or leaving. */
-  const countedResidents = (engine: Engine): readonly Resident[] => {
+  /** Returns the artifacts on an engine; none if it is leaving or has not reported for too long. */
+  const availableResidents = (engine: Engine): readonly Resident[] => {
     const watched = context.reportOf(engine.name);
-    const isLost = !watched || clock.now() - watched.receivedAt > lostMs;
+    const isLost = !watched || clock.now() - watched.receivedAt > silentLostMs;
     return isLost || watch.isLeaving(engine) ? [] : watched.report.residents;
   };
 
   return (order) => {
-    // What nobody declares any more needs no copy.
+    // Artifacts that are no longer declared need no remaining copy.
     if (order.cause === "undeclared") return true;
     const anyVersion = order.artifact.slice(0, order.artifact.lastIndexOf("@") + 1);
-    const unloads = context.openOrders.all().map((entry) => entry.order);
-    const going = new Set(
-      [...unloads, order].flatMap((each) => (each.kind === "unload" ? [copyKey(each)] : [])),
+    const openOrders = context.openOrders.all().map((entry) => entry.order);
+    const unloadingKeys = new Set(
+      [...openOrders, order].flatMap((openOrder) =>
+        openOrder.kind === "unload" ? [copyKey(openOrder)] : [],
+      ),
     );
     return context
       .engines()
       .some((engine) =>
-        countedResidents(engine).some(
+        availableResidents(engine).some(
           (copy) =>
             copy.state === "ready" &&
             copy.artifact.startsWith(anyVersion) &&
-            !going.has(copyKey({ ...copy, engine: engine.name })),
+            !unloadingKeys.has(copyKey({ ...copy, engine: engine.name })),
         ),
       );
   };
--- a/packages/pool-control/src/store-load-limiter.ts
+++ b/packages/pool-control/src/store-load-limiter.ts
@@ -1,41 +1,49 @@
 /**
- * This pool's part of the weight store. After a takeover the loads that the former holder may still
- * have under way on engines that cannot be asked are counted too, for as long as a load may take.
+ * Limits the rate and concurrency of a pool's loads from the weight store. After a change of lease
+ * holder, loads of the previous one on unreachable engines are counted until they time out.
  */
 import type { Clock } from "@linkfall/kernel";
 import { createTokenBucket } from "@linkfall/token-bucket";
 import type { EngineReport, Milliseconds, Order, Pool } from "@linkfall/types";
 
 export interface StoreLoadLimiter {
-  /** Takes a slot for one more load if there is one. */
-  tryAcquire(pool: Pool, underWay: number): boolean;
+  /** Returns whether another load may start, and counts it against the limit. */
+  tryAcquire(pool: Pool, activeLoads: number): boolean;
 }
 
-/** Loads that an engine shows, and load orders that may still start there. */
-export function countActiveLoads(report: EngineReport, open: readonly Order[]): number {
+/** Counts the loads that an engine reports, and pending load orders that may still start. */
+export function countActiveLoads(report: EngineReport, openOrders: readonly Order[]): number {
   const loading = report.residents.filter((resident) => resident.state === "loading");
-  const shown = new Set(loading.map((resident) => resident.artifact));
-  const coming = open.filter((order) => order.kind === "load" && !shown.has(order.artifact));
-  return loading.length + coming.length;
+  const reportedArtifacts = new Set(loading.map((resident) => resident.artifact));
+  const pendingOrders = openOrders.filter(
+    (order) => order.kind === "load" && !reportedArtifacts.has(order.artifact),
+  );
+  return loading.length + pendingOrders.length;
 }
 
-/** Creates the slots of one session; its rate starts from nothing, since the former holder's is not known. */
+/**
+ * Creates the limiter of a session. Its bucket starts empty, since the previous lease holder's rate
+ * is unknown.
+ */
 export function createStoreLoadLimiter(clock: Clock, pool: Pool): StoreLoadLimiter {
-  const burst = (limits: Pool) => Math.max(1, Math.floor(limits.loadsPerSecond));
-  const bucket = createTokenBucket(clock, { rate: pool.loadsPerSecond, burst: burst(pool) }, 0);
+  const burstOf = (limits: Pool) => Math.max(1, Math.floor(limits.loadsPerSecond));
+  const bucket = createTokenBucket(clock, { rate: pool.loadsPerSecond, burst: burstOf(pool) }, 0);
   return {
-    tryAcquire(current, underWay) {
-      bucket.limit({ rate: current.loadsPerSecond, burst: burst(current) });
-      return underWay < current.loadsAtOnce && bucket.take();
+    tryAcquire(current, activeLoads) {
+      bucket.limit({ rate: current.loadsPerSecond, burst: burstOf(current) });
+      return activeLoads < current.loadsAtOnce && bucket.take();
     },
   };
 }
 
-/** Whether an engine that is silent since the takeover may still be loading for the former holder. */
+/**
+ * Returns whether an engine that has not reported in this session may still run a load of the
+ * previous lease holder.
+ */
 export function mayStillLoad(
-  takenAt: Milliseconds,
-  loadTimeout: Milliseconds,
+  sessionStartedAt: Milliseconds,
+  loadTimeoutMs: Milliseconds,
   now: Milliseconds,
 ): boolean {
-  return now - takenAt < loadTimeout;
+  return now - sessionStartedAt < loadTimeoutMs;
 }
