--- a/packages/pool-control/src/pool-context.ts
+++ b/packages/pool-control/src/pool-context.ts
@@ -17,7 +17,7 @@
   pool(): Pool;
   engines(): readonly Engine[];
   engineNamed(name: string): Engine | undefined;
-  /** Returns the latest report of an engine that was requested during this session. */
+  /** Returns the latest report of an engine that was requested during this session, if any. */
   reportOf(engine: string): WatchedReport | undefined;
   /** Whether this session still holds the lease, according to the log as read by this box. */
   isLeaseCurrent(): boolean;
--- a/packages/pool-control/src/pool-session.ts
+++ b/packages/pool-control/src/pool-session.ts
@@ -71,12 +71,12 @@
     return !allReported && clock.now() - context.startedAt < targets.silent_lost_ms;
   };
 
-  const coolingDown = (model: string) =>
+  const isCoolingDown = (model: string) =>
     clock.now() - (lastDemandMoveAt.get(model) ?? -Infinity) < placement.cooldown_ms;
 
   const plan = (): Plan => {
     const nextPlan = planPool(
-      viewBuilder.build(demandMoveLimiter.waitFor() === 0 ? 1 : 0, coolingDown),
+      viewBuilder.build(demandMoveLimiter.waitFor() === 0 ? 1 : 0, isCoolingDown),
     );
     if (nextPlan.unplaceable.length > 0 && unplaceable.length === 0) {
       logger.event("unplaceable", { pool: lease.pool, models: nextPlan.unplaceable.join(",") });
--- a/packages/pool-control/src/pool-view.ts
+++ b/packages/pool-control/src/pool-view.ts
@@ -20,9 +20,9 @@
    * Returns the current state of the pool.
    *
    * @param demandMoveBudget demand-driven moves that the rate limit still allows
-   * @param coolingDown whether a model's replicas were moved too recently
+   * @param isCoolingDown whether a model's replicas were moved too recently
    */
-  build(demandMoveBudget: number, coolingDown: (model: string) => boolean): PoolView;
+  build(demandMoveBudget: number, isCoolingDown: (model: string) => boolean): PoolView;
   /** Updates the utilisation from a report of one of the pool's engines. */
   handleReport(watched: WatchedReport): void;
 }
@@ -68,7 +68,7 @@
     };
   };
 
-  const modelViews = (coolingDown: (model: string) => boolean): readonly ModelView[] => {
+  const modelViews = (isCoolingDown: (model: string) => boolean): readonly ModelView[] => {
     const desired = store.desired();
     const shares = demandShares(usage.demand());
     const adapters = [...desired.adapters.values()];
@@ -78,12 +78,12 @@
         model,
         adapters: adapters.filter((adapter) => adapter.model === model.name),
         demandShare: shares.get(model.name) ?? 0,
-        coolingDown: coolingDown(model.name),
+        coolingDown: isCoolingDown(model.name),
       }));
   };
 
   return {
-    build(demandMoveBudget, coolingDown) {
+    build(demandMoveBudget, isCoolingDown) {
       const { attainmentWeight, movesWeight } = store.desired().deployment;
       const engines = context.engines().map(engineViewOf);
       // Engines that are not available hold no serving replicas to protect, which is why their
@@ -91,7 +91,7 @@
       const mayUnload = engines.every((view) => !view.available || fences.isSafe(view.engine));
       return {
         engines,
-        models: modelViews(coolingDown),
+        models: modelViews(isCoolingDown),
         limits: { attainmentWeight, movesWeight, mayUnload, demandMoveBudget },
       };
     },
--- a/packages/pool-control/src/served-elsewhere.ts
+++ b/packages/pool-control/src/served-elsewhere.ts
@@ -41,9 +41,7 @@
     const anyVersion = order.artifact.slice(0, order.artifact.lastIndexOf("@") + 1);
     const openOrders = context.openOrders.all().map((entry) => entry.order);
     const unloadingKeys = new Set(
-      [...openOrders, order].flatMap((openOrder) =>
-        openOrder.kind === "unload" ? [copyKey(openOrder)] : [],
-      ),
+      [...openOrders, order].flatMap((other) => (other.kind === "unload" ? [copyKey(other)] : [])),
     );
     return context
       .engines()
