--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -6,7 +6,7 @@
 import { createHttpClient } from "@linkfall/http-client";
 import { createJsonCaller } from "@linkfall/json-call";
 import { createVirtualClock, seededRandom, systemClock } from "@linkfall/kernel";
-import { ledgersOf } from "@linkfall/ledger";
+import { computeLedgers } from "@linkfall/ledger";
 import { createOnceMemory, createTicketOffice, parseOnceId } from "@linkfall/once";
 import { type PoolView, planPool } from "@linkfall/placement";
 import { createLogHttp } from "@linkfall/platform-http";
@@ -91,7 +91,7 @@
       }));
       return {
         engine,
-        accelerators: ledgersOf(engine, { ...reportWith(engine, 0), residents }, []),
+        accelerators: computeLedgers(engine, { ...reportWith(engine, 0), residents }, []),
         role: "mixed",
         roleChangePending: false,
         acceptsOrders: true,
--- a/packages/placement/src/placement.steps.ts
+++ b/packages/placement/src/placement.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { ledgersOf } from "@linkfall/ledger";
+import { computeLedgers } from "@linkfall/ledger";
 import { engine, model, notes, report } from "@linkfall/test-support";
 import { type Engine, type Model, modelArtifact, type Resident } from "@linkfall/types";
 import fc from "fast-check";
@@ -33,7 +33,7 @@
     return {
       engines: this.engines.map((declared) => ({
         engine: declared,
-        accelerators: ledgersOf(
+        accelerators: computeLedgers(
           declared,
           report(declared.name, { residents: this.residents.get(declared.name) }),
           [],
--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -2,7 +2,7 @@
  * Plans the next moves of a pool. Plans are incremental: each starts from the current state, and
  * there are no moves at steady demand.
  */
-import { capacityOf } from "@linkfall/ledger";
+import { weightCapacityMb } from "@linkfall/ledger";
 import { type Adapter, adapterArtifact, type Mebibytes, modelArtifact } from "@linkfall/types";
 import { planDemandReplicas } from "./demand.js";
 import { makeRoom, redundantCopies } from "./make-room.js";
@@ -192,7 +192,7 @@
     const accelerators = pool.accelerators.filter((accelerator) => accelerator.engineView === view);
     const shortfallMb = (accelerator: Accelerator) => {
       const capacityChangeMb =
-        capacityOf(view.engine, accelerator.index, role) -
+        weightCapacityMb(view.engine, accelerator.index, role) -
         accelerator.engineView.accelerators[accelerator.index].capacityMb;
       return -(accelerator.freeMb + capacityChangeMb);
     };
--- a/packages/pool-control/src/pool-session.ts
+++ b/packages/pool-control/src/pool-session.ts
@@ -7,7 +7,7 @@
 import { invariant } from "@linkfall/errors";
 import { clockName, type Kernel, randomName } from "@linkfall/kernel";
 import type { HeldLease } from "@linkfall/lease-holder";
-import { assertRoomFor } from "@linkfall/ledger";
+import { assertMemoryAvailable } from "@linkfall/ledger";
 import { loggerName } from "@linkfall/logger";
 import { type Move, type Plan, planPool } from "@linkfall/placement";
 import type { WatchedReport } from "@linkfall/target-watch";
@@ -143,7 +143,7 @@
       const engine = context.engineNamed(order.engine);
       const report = context.reportOf(order.engine)?.report;
       if (!engine || !report) continue;
-      assertRoomFor(order, engine, report, context.openOrdersOf(order.engine));
+      assertMemoryAvailable(order, engine, report, context.openOrdersOf(order.engine));
       invariant(order.kind !== "unload" || isServedElsewhere(order), "last-replica-stays", () =>
         describeOrder(order),
       );
--- a/packages/pool-control/src/pool-view.ts
+++ b/packages/pool-control/src/pool-view.ts
@@ -2,7 +2,7 @@
 import { settingsName } from "@linkfall/config";
 import { demandShares } from "@linkfall/demand-meter";
 import { clockName, type Kernel } from "@linkfall/kernel";
-import { ledgersOf } from "@linkfall/ledger";
+import { computeLedgers } from "@linkfall/ledger";
 import type { EngineView, ModelView, PoolView } from "@linkfall/placement";
 import { stateStoreName } from "@linkfall/state-store";
 import { targetWatchName, type WatchedReport } from "@linkfall/target-watch";
@@ -59,7 +59,7 @@
     const leaving = watch.isLeaving(engine);
     return {
       engine,
-      accelerators: ledgersOf(engine, watched.report, openOrders),
+      accelerators: computeLedgers(engine, watched.report, openOrders),
       role: watched.report.role,
       roleChangePending: openOrders.some((order) => order.kind === "role"),
       acceptsOrders: silentMs <= settings.report_stale_ms && mayOrder && !leaving,
