--- a/packages/operator-service/src/status.ts
+++ b/packages/operator-service/src/status.ts
@@ -32,7 +32,9 @@
         const adapters = [...store.desired().adapters.values()].filter(
           (adapter) => adapter.model === model.name,
         );
-        const callable = adapters.filter((adapter) => replicas.findServing(model, adapter).length > 0);
+        const callable = adapters.filter(
+          (adapter) => replicas.findServing(model, adapter).length > 0,
+        );
         const count = (test: (copy: Resident) => boolean) => copies.filter(test).length;
         return {
           model: model.name,
