--- a/packages/replicas/src/index.ts
+++ b/packages/replicas/src/index.ts
@@ -1,4 +1,4 @@
-/** Finds the engines that can serve a model now. */
+/** Finds the engines that can currently serve a model. */
 import { clockName, type Kernel, serviceName } from "@linkfall/kernel";
 import { settingsName } from "@linkfall/config";
 import { type Candidate, type EngineLoad, estimateWait, loadOf } from "@linkfall/routing";
@@ -15,7 +15,7 @@
   type Resident,
 } from "@linkfall/types";
 
-/** An engine that can serve, and what it must be asked for. */
+/** An engine that can serve a request, and the artifacts to request from it. */
 export interface Replica extends Candidate {
   readonly artifact: string;
   readonly adapterArtifact?: string;
@@ -23,17 +23,17 @@
 
 export interface ReplicaFinder {
   /**
-   * Engines that can serve the model, the adapter with it. Those with the current version come
-   * alone; while none has it the older versions serve.
+   * Returns the engines that can serve the model, and the adapter if given. Engines with the
+   * current version are preferred; older versions are only returned while none has it.
    */
   findServing(model: Model, adapter?: Adapter): readonly Replica[];
-  /** Whether a copy is being loaded, so that a wait may be worth it. */
+  /** Returns whether a copy is being loaded, in which case waiting may be worthwhile. */
   isLoading(model: Model, adapter?: Adapter): boolean;
 }
 
 export const replicaFinderName = serviceName<ReplicaFinder>("replicas");
 
-/** What one engine offers for a request. */
+/** An engine that can serve a request, with the artifacts it would use. */
 interface ServingEngine {
   readonly engine: Engine;
   readonly watched: WatchedReport;
@@ -44,94 +44,108 @@
 
 const isReady = (resident: Resident) => resident.state === "ready";
 
-/** The ready copy to use on an engine: of the current version, else of any other. */
-function selectReadyCopy(residents: readonly Resident[], current: string): Resident | undefined {
-  const anyVersion = current.slice(0, current.lastIndexOf("@") + 1);
+/** Returns the ready copy to use: the current version, or else any other. */
+function selectReadyCopy(
+  residents: readonly Resident[],
+  currentArtifact: string,
+): Resident | undefined {
+  const versionlessPrefix = currentArtifact.slice(0, currentArtifact.lastIndexOf("@") + 1);
   const copies = residents.filter(
-    (resident) => isReady(resident) && resident.artifact.startsWith(anyVersion),
+    (resident) => isReady(resident) && resident.artifact.startsWith(versionlessPrefix),
   );
-  return copies.find((copy) => copy.artifact === current) ?? copies[0];
+  return copies.find((copy) => copy.artifact === currentArtifact) ?? copies[0];
 }
 
-/** An adapter copy beside the model copy, on the same accelerator. */
-function findColocatedAdapter(report: EngineReport, base: Resident, adapter: Adapter) {
-  const beside = report.residents.filter((resident) => resident.accelerator === base.accelerator);
-  return selectReadyCopy(beside, adapterArtifact(adapter.name, adapter.version));
+/** Returns the adapter copy on the same accelerator as the model copy. */
+function findColocatedAdapter(report: EngineReport, modelCopy: Resident, adapter: Adapter) {
+  const colocated = report.residents.filter(
+    (resident) => resident.accelerator === modelCopy.accelerator,
+  );
+  return selectReadyCopy(colocated, adapterArtifact(adapter.name, adapter.version));
 }
 
-/** Creates the finder of one box. */
+/** Creates the replica finder of one box. */
 export function createReplicaFinder(kernel: Kernel): ReplicaFinder {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
   const watch = kernel.find(targetWatchName);
-  const load = kernel.find(targetLoadName);
+  const targetLoad = kernel.find(targetLoadName);
   const staleMs = kernel.find(settingsName).targets.report_stale_ms;
 
-  const offerOf = (engine: Engine, model: Model, adapter?: Adapter): ServingEngine | undefined => {
+  const servingEngineOf = (
+    engine: Engine,
+    model: Model,
+    adapter?: Adapter,
+  ): ServingEngine | undefined => {
     const watched = watch.reportOf(engine.name);
     if (!watched || watch.isLeaving(engine)) return undefined;
-    // A box that was paused does not know yet which targets have begun to leave meanwhile.
+    // After a pause, this box may not have received recent notices of leaving targets.
     if (clock.now() - watched.requestedAt > staleMs) return undefined;
-    const current = modelArtifact(model.name, model.version);
-    const base = selectReadyCopy(watched.report.residents, current);
-    if (!base) return undefined;
-    const beside = adapter && findColocatedAdapter(watched.report, base, adapter);
-    if (adapter && !beside) return undefined;
-    const isCurrent = base.artifact === current;
+    const currentArtifact = modelArtifact(model.name, model.version);
+    const modelCopy = selectReadyCopy(watched.report.residents, currentArtifact);
+    if (!modelCopy) return undefined;
+    const adapterCopy = adapter && findColocatedAdapter(watched.report, modelCopy, adapter);
+    if (adapter && !adapterCopy) return undefined;
+    const isCurrent = modelCopy.artifact === currentArtifact;
     return {
       engine,
       watched,
-      artifact: base.artifact,
-      adapterArtifact: beside?.artifact,
+      artifact: modelCopy.artifact,
+      adapterArtifact: adapterCopy?.artifact,
       isCurrent,
     };
   };
 
-  const toReplica = (offer: ServingEngine): Replica => {
-    const { engine, watched } = offer;
+  const toReplica = (candidate: ServingEngine): Replica => {
+    const { engine, watched } = candidate;
     const engineLoad: EngineLoad = {
       running: watched.report.running,
       queued: watched.report.queued,
       concurrency: engine.concurrency,
-      sentSince: load.sentSince(engine.name, watched.requestedAt),
-      serviceMs: load.serviceMs(engine.name),
+      sentSince: targetLoad.sentSince(engine.name, watched.requestedAt),
+      serviceMs: targetLoad.serviceMs(engine.name),
     };
     return {
       target: engine.name,
       address: engine.address,
       load: loadOf(engineLoad),
       waitMs: estimateWait(engineLoad),
-      artifact: offer.artifact,
-      adapterArtifact: offer.adapterArtifact,
+      artifact: candidate.artifact,
+      adapterArtifact: candidate.adapterArtifact,
     };
   };
 
   const poolEngines = (model: Model) => store.desired().enginesByPool.get(model.pool) ?? [];
 
-  /** Those that fulfil the test, or all where none does. */
-  const prefer = (offers: readonly ServingEngine[], test: (offer: ServingEngine) => boolean) => {
-    const preferred = offers.filter(test);
-    return preferred.length > 0 ? preferred : offers;
+  /** Returns the engines that match the predicate, or all if none does. */
+  const prefer = (
+    candidates: readonly ServingEngine[],
+    predicate: (candidate: ServingEngine) => boolean,
+  ) => {
+    const preferred = candidates.filter(predicate);
+    return preferred.length > 0 ? preferred : candidates;
   };
 
   return {
     findServing(model, adapter) {
       const now = clock.now();
-      const offers = poolEngines(model)
-        .map((engine) => offerOf(engine, model, adapter))
-        .filter((offer) => offer !== undefined);
-      const current = prefer(offers, (offer) => offer.isCurrent);
-      const kept = load.ejection().keep(current, (offer) => offer.engine.name, now);
-      return kept.map(toReplica);
+      const candidates = poolEngines(model)
+        .map((engine) => servingEngineOf(engine, model, adapter))
+        .filter((candidate) => candidate !== undefined);
+      const preferred = prefer(candidates, (candidate) => candidate.isCurrent);
+      const healthy = targetLoad
+        .ejection()
+        .keep(preferred, (candidate) => candidate.engine.name, now);
+      return healthy.map(toReplica);
     },
     isLoading(model, adapter) {
-      const wanted = [modelArtifact(model.name, model.version)];
-      if (adapter) wanted.push(adapterArtifact(adapter.name, adapter.version));
+      const artifacts = [modelArtifact(model.name, model.version)];
+      if (adapter) artifacts.push(adapterArtifact(adapter.name, adapter.version));
       return poolEngines(model).some((engine) =>
         watch
           .reportOf(engine.name)
           ?.report.residents.some(
-            (resident) => wanted.includes(resident.artifact) && resident.state === "loading",
+            (resident) => artifacts.includes(resident.artifact) && resident.state === "loading",
           ),
       );
     },
