--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * One ledger for each accelerator: what the engine reports, and every order that may still take
- * effect. Memory is free only when neither says otherwise.
+ * Memory accounting per accelerator, based on the engine's report and all orders that may still
+ * take effect. Memory is only free if neither uses it.
  */
 import { invariant } from "@linkfall/errors";
 import type {
@@ -13,42 +13,44 @@
   Resident,
 } from "@linkfall/types";
 
-/** The memory of one accelerator as far as it may be counted on. */
+/** Memory state of one accelerator. */
 export interface AcceleratorLedger {
   readonly index: number;
   readonly capacityMb: Mebibytes;
   readonly residents: readonly Resident[];
-  /** Load orders that may still take effect and do not show in the report. */
+  /** Load orders that may still take effect and are not visible in the report yet. */
   readonly pendingLoads: readonly LoadOrder[];
-  /** Artifacts that an unload order may still remove. */
+  /** Artifacts that a pending unload order may still remove. */
   readonly pendingUnloads: ReadonlySet<string>;
-  /** May be negative where an operator has declared less memory than is in use. */
+  /** Negative if an operator has declared less memory than is in use. */
   readonly freeMb: Mebibytes;
 }
 
-/** Weight memory of an accelerator in a role. */
+/** Returns the memory available for weights on an accelerator in the given role. */
 export function weightCapacityMb(engine: Engine, index: number, role: EngineRole): Mebibytes {
-  const whole = engine.acceleratorsMb[index];
-  return role === "batch" ? whole - engine.batchReserveMb : whole;
+  const totalMb = engine.acceleratorsMb[index];
+  return role === "batch" ? totalMb - engine.batchReserveMb : totalMb;
 }
 
-/** The least capacity over the reported role and every role that an order may still bring. */
+/**
+ * Returns the minimum capacity over the reported role and all roles that pending orders may set.
+ */
 function minCapacityMb(
   engine: Engine,
   index: number,
   report: EngineReport,
   orders: readonly Order[],
 ) {
-  const ordered = orders.flatMap((order) => (order.kind === "role" ? [order.role] : []));
-  const roles = [report.role, ...ordered];
+  const pendingRoles = orders.flatMap((order) => (order.kind === "role" ? [order.role] : []));
+  const roles = [report.role, ...pendingRoles];
   return Math.min(...roles.map((role) => weightCapacityMb(engine, index, role)));
 }
 
-function totalSizeMb(parts: readonly { readonly sizeMb: Mebibytes }[]): Mebibytes {
-  return parts.reduce((sum, part) => sum + part.sizeMb, 0);
+function totalSizeMb(items: readonly { readonly sizeMb: Mebibytes }[]): Mebibytes {
+  return items.reduce((sum, item) => sum + item.sizeMb, 0);
 }
 
-/** Whether the report already shows the memory that the order asks for. */
+/** Returns whether the report already includes the memory of the load order. */
 function isLoadReported(residents: readonly Resident[], order: LoadOrder): boolean {
   return residents.some(
     (resident) => resident.artifact === order.artifact && resident.state !== "unloading",
@@ -56,9 +58,9 @@
 }
 
 /**
- * The ledgers of one engine.
+ * Computes the ledgers of all accelerators of an engine.
  *
- * @param unresolved orders that the engine has not yet shown as settled
+ * @param unresolved orders that the engine has not reported as settled yet
  */
 export function computeLedgers(
   engine: Engine,
@@ -67,35 +69,39 @@
 ): readonly AcceleratorLedger[] {
   return engine.acceleratorsMb.map((_, index) => {
     const residents = report.residents.filter((resident) => resident.accelerator === index);
-    const here = unresolved.filter((order) => order.kind !== "role" && order.accelerator === index);
-    const pendingLoads = here
+    const acceleratorOrders = unresolved.filter(
+      (order) => order.kind !== "role" && order.accelerator === index,
+    );
+    const pendingLoads = acceleratorOrders
       .filter((order) => order.kind === "load")
       .filter((order) => !isLoadReported(residents, order));
-    const unloads = here.flatMap((order) => (order.kind === "unload" ? [order.artifact] : []));
+    const unloadedArtifacts = acceleratorOrders.flatMap((order) =>
+      order.kind === "unload" ? [order.artifact] : [],
+    );
     const capacityMb = minCapacityMb(engine, index, report, unresolved);
     return {
       index,
       capacityMb,
       residents,
       pendingLoads,
-      pendingUnloads: new Set(unloads),
+      pendingUnloads: new Set(unloadedArtifacts),
       freeMb: capacityMb - totalSizeMb(residents) - totalSizeMb(pendingLoads),
     };
   });
 }
 
-/** Asserts, right before an order is given, that it cannot overcommit memory. */
+/** Asserts, immediately before an order is sent, that it cannot overcommit memory. */
 export function assertMemoryAvailable(
   order: Order,
   engine: Engine,
   report: EngineReport,
   unresolved: readonly Order[],
 ): void {
-  const after = computeLedgers(engine, report, [...unresolved, order]);
-  const mayShrink = order.kind === "load" || order.kind === "role";
-  if (!mayShrink) return;
-  const touched = order.kind === "load" ? [after[order.accelerator]] : after;
-  for (const ledger of touched) {
+  const ledgersAfter = computeLedgers(engine, report, [...unresolved, order]);
+  const mayReduceFreeMemory = order.kind === "load" || order.kind === "role";
+  if (!mayReduceFreeMemory) return;
+  const affected = order.kind === "load" ? [ledgersAfter[order.accelerator]] : ledgersAfter;
+  for (const ledger of affected) {
     invariant(
       ledger.freeMb >= 0,
       "memory-never-overcommitted",
--- a/packages/ledger/src/ledger.steps.ts
+++ b/packages/ledger/src/ledger.steps.ts
@@ -5,10 +5,16 @@
 import type { EngineRole, LoadOrder, Order } from "@linkfall/types";
 import { assertMemoryAvailable, computeLedgers } from "./index.js";
 
-const declared = engine("e1");
-const head = { id: "o1", engine: "e1", engineIncarnation: "e1-1", epoch: 1, cause: "reachability" };
+const declaredEngine = engine("e1");
+const orderFields = {
+  id: "o1",
+  engine: "e1",
+  engineIncarnation: "e1-1",
+  epoch: 1,
+  cause: "reachability",
+};
 const load = (sizeMb: number): LoadOrder => ({
-  ...head,
+  ...orderFields,
   kind: "load",
   artifact: "model:b@1",
   accelerator: 0,
@@ -18,36 +24,40 @@
 Given("an engine of 100 MB that reports 40 MB in use", function (this: object) {
   const resident = { artifact: "model:a@1", accelerator: 0, sizeMb: 40, state: "ready" } as const;
   notes(this).set("report", report("e1", { residents: [resident] }));
-  notes(this).set("open", []);
+  notes(this).set("openOrders", []);
 });
 
 When("a load of 30 MB has been ordered and is not in the report yet", function (this: object) {
-  notes(this).set("open", [load(30)]);
+  notes(this).set("openOrders", [load(30)]);
 });
 
-When("its resident has been ordered to go", function (this: object) {
+When("an unload of its resident has been ordered", function (this: object) {
   const unload: Order = { ...load(40), kind: "unload", artifact: "model:a@1" };
-  notes(this).set("open", [unload]);
+  notes(this).set("openOrders", [unload]);
 });
 
 When(
-  "the role {string} has been ordered, which takes 20 MB",
+  "a change to the role {string} has been ordered, which reserves 20 MB",
   function (this: object, role: EngineRole) {
-    notes(this).set("open", [{ ...head, kind: "role", role }]);
+    notes(this).set("openOrders", [{ ...orderFields, kind: "role", role }]);
   },
 );
 
-Then("{int} MB are free", function (this: object, free: number) {
-  const [ledger] = computeLedgers(declared, notes(this).get("report"), notes(this).get("open"));
-  assert.equal(ledger.freeMb, free);
+Then("{int} MB are free", function (this: object, freeMb: number) {
+  const [ledger] = computeLedgers(
+    declaredEngine,
+    notes(this).get("report"),
+    notes(this).get("openOrders"),
+  );
+  assert.equal(ledger.freeMb, freeMb);
 });
 
 Then(
-  "giving an order to load {int} MB stops with the invariant {string}",
+  "ordering a load of {int} MB violates the invariant {string}",
   function (this: object, sizeMb: number, name: string) {
     assert.throws(
-      () => assertMemoryAvailable(load(sizeMb), declared, notes(this).get("report"), []),
-      (problem) => problem instanceof InvariantBroken && problem.invariant === name,
+      () => assertMemoryAvailable(load(sizeMb), declaredEngine, notes(this).get("report"), []),
+      (error) => error instanceof InvariantBroken && error.invariant === name,
     );
   },
 );
