--- a/packages/model-demand/src/index.ts
+++ b/packages/model-demand/src/index.ts
@@ -105,7 +105,7 @@
 export function createModelDemandMeter(clock: Clock): ModelDemandMeter {
   const entries = new Map<string, DemandEntry>();
 
-  const entryOf = ({ service, model }: RequestedWeights): DemandEntry => {
+  const getOrCreateEntry = ({ service, model }: RequestedWeights): DemandEntry => {
     const key = `${service} ${model}`;
     const now = clock.now();
     const entry: DemandEntry = entries.get(key) ?? {
@@ -161,7 +161,7 @@
 
   return {
     recordRequest(weights, { objectiveMs, prefillMs }) {
-      const entry = entryOf(weights);
+      const entry = getOrCreateEntry(weights);
       entry.objectiveMs = Math.min(entry.objectiveMs, objectiveMs);
       addInFlight(entry, 1);
       entry.prefillLoad += prefillMs / averagingWindowMs;
@@ -170,7 +170,7 @@
       return once(() => addInFlight(entry, -1));
     },
     recordWait(weights) {
-      const entry = entryOf(weights);
+      const entry = getOrCreateEntry(weights);
       addWaiting(entry, weights.adapter, 1);
       return once(() => addWaiting(entry, weights.adapter, -1));
     },
--- a/packages/placement/src/placement.steps.ts
+++ b/packages/placement/src/placement.steps.ts
@@ -13,8 +13,8 @@
 class FakePool {
   readonly residents = new Map<string, Resident[]>();
   readonly leaving = new Set<string>();
-  readonly busy = new Map<string, number>();
-  shares = new Map<string, number>();
+  readonly utilisations = new Map<string, number>();
+  demandShares = new Map<string, number>();
   limits: PlanLimits = {
     attainmentWeight: 1,
     movesWeight: 1,
@@ -42,12 +42,12 @@
         roleChangePending: false,
         acceptsOrders: !this.leaving.has(declared.name),
         available: !this.leaving.has(declared.name),
-        utilisation: this.busy.get(declared.name) ?? 0,
+        utilisation: this.utilisations.get(declared.name) ?? 0,
       })),
       models: this.models.map((entry) => ({
         model: entry,
         adapters: [],
-        demandShare: this.shares.get(entry.name) ?? 0,
+        demandShare: this.demandShares.get(entry.name) ?? 0,
         coolingDown: false,
       })),
       limits: this.limits,
@@ -222,8 +222,8 @@
   "the engine of {string} is saturated with its requests",
   function (this: object, name: string) {
     const pool = poolOf(this);
-    pool.busy.set(pool.copies(name)[0].engine, 2);
-    pool.shares = new Map([[name, 0.5]]);
+    pool.utilisations.set(pool.copies(name)[0].engine, 2);
+    pool.demandShares = new Map([[name, 0.5]]);
   },
 );
 
--- a/packages/pool-control/src/intents.ts
+++ b/packages/pool-control/src/intents.ts
@@ -21,9 +21,9 @@
   /** Removes settled orders and logs their settlement. */
   settle(): Promise<void>;
   /** Determines the outcome of an append that was not acknowledged. */
-  resolveInDoubt(): Promise<void>;
+  resolveInDoubtOrders(): Promise<void>;
   /** Returns whether such an append is unresolved, in which case nothing new may be planned. */
-  hasInDoubt(): boolean;
+  hasInDoubtOrders(): boolean;
 }
 
 /** Creates the intents of a session. */
@@ -98,7 +98,7 @@
       // The intents are still in the log, which means that the settlement has to be written again.
       if (appended.isLeft()) pendingSettlements.push(...settlements);
     },
-    async resolveInDoubt() {
+    async resolveInDoubtOrders() {
       if (inDoubtOrders.length === 0 || !context.isLeaseValid()) return;
       // Once a later record of this box is in the log, replay ignores the in-doubt one.
       const barrier = await appendSettlements([]);
@@ -106,6 +106,6 @@
       removeUnrecorded(inDoubtOrders);
       inDoubtOrders = [];
     },
-    hasInDoubt: () => inDoubtOrders.length > 0,
+    hasInDoubtOrders: () => inDoubtOrders.length > 0,
   };
 }
--- a/packages/pool-control/src/pool-session.ts
+++ b/packages/pool-control/src/pool-session.ts
@@ -159,7 +159,7 @@
     await Promise.all(fenced.map(sender.issue));
     if (unfenced.length === 0) return;
     await intents.record(unfenced);
-    if (!intents.hasInDoubt()) await Promise.all(unfenced.map(sender.issue));
+    if (!intents.hasInDoubtOrders()) await Promise.all(unfenced.map(sender.issue));
   };
 
   return {
@@ -170,8 +170,8 @@
       await fences.raise();
       await intents.settle();
       await sender.resendDue();
-      await intents.resolveInDoubt();
-      if (!context.isLeaseCurrent() || isAwaitingReports() || intents.hasInDoubt()) return;
+      await intents.resolveInDoubtOrders();
+      if (!context.isLeaseCurrent() || isAwaitingReports() || intents.hasInDoubtOrders()) return;
       await planAndOrder();
     },
     status: () => ({
--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -42,11 +42,11 @@
   busyUntil: number;
   lastSeenEpoch: number;
   exceededMemory: boolean;
-  /** State before the last order, which arrived at `until`. */
-  before?: {
+  /** State before the last order, which arrived at `replacedAt`. */
+  previous?: {
     readonly sequence: number;
     readonly models: readonly string[];
-    readonly until: number;
+    readonly replacedAt: number;
   };
 }
 
@@ -56,8 +56,8 @@
   readonly fleet: Fleet;
   readonly orders: { readonly at: number; readonly order: FencedOrder }[];
   readonly outcomes: OrderOutcome[];
-  readonly refused: number[];
-  readonly storeLoads: number[];
+  readonly refusedEpochs: number[];
+  readonly storeLoadTimes: number[];
   dispatcher?: OrderDispatcher;
   epoch: number | undefined;
   demand: readonly ModelDemand[];
@@ -68,7 +68,7 @@
   reportAgeMs: number;
   /** Response time of engines. */
   responseMs: number;
-  names: readonly string[];
+  modelNames: readonly string[];
   /** Models cached on the disk of every engine. */
   onDisk: readonly string[];
 }
@@ -94,14 +94,14 @@
   };
 }
 
-function configurationOf({ names, storeLoadsPerSecond, loadMs }: Scene): RoutedConfiguration {
+function configurationOf({ modelNames, storeLoadsPerSecond, loadMs }: Scene): RoutedConfiguration {
   const engine = {
     slots: 8,
     cacheTokens: 1_000,
     memoryMb: 150,
     adapterSlots: 2,
     storeLoadsPerSecond,
-    models: new Map(names.map((name) => [name, model(name, loadMs)])),
+    models: new Map(modelNames.map((name) => [name, model(name, loadMs)])),
   };
   const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
   const services = new Map([
@@ -117,25 +117,25 @@
   engine.lastSeenEpoch = order.epoch;
   if (now < engine.busyUntil || order.expectedSequence !== engine.sequence) return "conflict";
   if (order.adapter !== undefined) {
-    engine.before = { sequence: engine.sequence, models: [...engine.models], until: now };
+    engine.previous = { sequence: engine.sequence, models: [...engine.models], replacedAt: now };
     engine.sequence += 1;
     const key = `${order.model}/${order.adapter}`;
     if (order.action === "load") {
       engine.adapters.push(key);
       return "under_way";
     }
-    engine.adapters = engine.adapters.filter((held) => held !== key);
+    engine.adapters = engine.adapters.filter((adapter) => adapter !== key);
     return "in_force";
   }
   const tookMs = order.action === "load" ? scene.loadMs : defaultLoadMs;
-  engine.before = { sequence: engine.sequence, models: [...engine.models], until: now };
+  engine.previous = { sequence: engine.sequence, models: [...engine.models], replacedAt: now };
   engine.sequence += 1;
   engine.busyUntil = now + tookMs;
   if (order.action === "unload") {
     engine.models = engine.models.filter((name) => name !== order.model);
     return "under_way";
   }
-  scene.storeLoads.push(now);
+  scene.storeLoadTimes.push(now);
   if ((engine.models.length + 1) * modelMb > 150) engine.exceededMemory = true;
   engine.models.push(order.model);
   return "under_way";
@@ -156,13 +156,13 @@
         return Left({ kind: "target_unreachable", reason: "gone", mayHaveArrived: false });
       }
       const reportedAt = clock.now() - scene.reportAgeMs;
-      const { before } = engine;
-      const reported = before && reportedAt < before.until ? before : engine;
+      const { previous } = engine;
+      const reported = previous && reportedAt < previous.replacedAt ? previous : engine;
       const adaptersOf = (name: string) =>
         reported === engine
           ? engine.adapters
-              .filter((one) => one.startsWith(`${name}/`))
-              .map((one) => one.split("/")[1])
+              .filter((key) => key.startsWith(`${name}/`))
+              .map((key) => key.split("/")[1])
           : [];
       const models = reported.models.map((name) => ({
         name,
@@ -197,7 +197,7 @@
   };
 }
 
-function listed(id: string): ListedTarget {
+function createListedTarget(id: string): ListedTarget {
   return { id, service, address: "10.0.0.1:1", domain: "d", slots: 8, leaving: false };
 }
 
@@ -207,7 +207,7 @@
     known: () => undefined,
     hear: () => undefined,
     refused(epoch) {
-      scene.refused.push(epoch);
+      scene.refusedEpochs.push(epoch);
       scene.epoch = undefined;
     },
     ordersForMs: () => 1_000,
@@ -219,8 +219,8 @@
 
 function createScene(
   engineIds: readonly string[],
-  held: readonly string[],
-  names: readonly string[],
+  heldModels: readonly string[],
+  modelNames: readonly string[],
 ): Scene {
   const clock = createVirtualClock();
   const kernel = createKernel();
@@ -235,14 +235,14 @@
     lapse: { graceMs: 1_600, share: 0.3 },
     ejection: { failuresInARow: 3, firstMs: 1_000, longestMs: 8_000 },
   });
-  fleet.takeList(engineIds.map(listed));
+  fleet.takeList(engineIds.map(createListedTarget));
   const scene: Scene = {
     clock,
     fleet,
     engines: engineIds.map((id) => ({
       id,
       sequence: 0,
-      models: [...held],
+      models: [...heldModels],
       adapters: [],
       busyUntil: 0,
       lastSeenEpoch: 0,
@@ -250,16 +250,16 @@
     })),
     orders: [],
     outcomes: [],
-    refused: [],
-    storeLoads: [],
+    refusedEpochs: [],
+    storeLoadTimes: [],
     epoch: 4,
     demand: [],
     storeLoadsPerSecond: 100,
     loadMs: defaultLoadMs,
     reportAgeMs: 0,
     responseMs: defaultResponseMs,
-    names,
-    onDisk: names,
+    modelNames,
+    onDisk: modelNames,
   };
   scene.dispatcher = createOrderDispatcher(kernel, {
     self: "b1",
@@ -284,8 +284,8 @@
 
 Given(
   "engines {string} of 150 MB that hold {string} and models {string} of 100 MB",
-  function (this: object, ids: string, held: string, names: string) {
-    scenes.set(this, createScene(splitNames(ids), splitNames(held), splitNames(names)));
+  function (this: object, ids: string, heldModels: string, modelNames: string) {
+    scenes.set(this, createScene(splitNames(ids), splitNames(heldModels), splitNames(modelNames)));
   },
 );
 
@@ -339,8 +339,8 @@
   for (const engine of sceneOf(this).engines) engine.adapters = splitNames(keys);
 });
 
-When("a request waits for adapter {string}", function (this: object, weights: string) {
-  const [name, adapter] = weights.split("/");
+When("a request waits for adapter {string}", function (this: object, adapterKey: string) {
+  const [name, adapter] = adapterKey.split("/");
   const scene = sceneOf(this);
   addWaitingRequests(scene, name);
   scene.demand = scene.demand.map((entry) => ({
@@ -350,8 +350,8 @@
   }));
 });
 
-Then("one engine is assumed to hold adapter {string}", function (this: object, weights: string) {
-  const [name, adapter] = weights.split("/");
+Then("one engine is assumed to hold adapter {string}", function (this: object, adapterKey: string) {
+  const [name, adapter] = adapterKey.split("/");
   const now = sceneOf(this).clock.now();
   const holding = sceneOf(this)
     .fleet.all()
@@ -360,8 +360,8 @@
 });
 
 Then("no load was ordered after the first was accepted", function (this: object) {
-  const { orders, storeLoads } = sceneOf(this);
-  const later = orders.filter(({ at, order }) => order.action === "load" && at > storeLoads[0]);
+  const { orders, storeLoadTimes } = sceneOf(this);
+  const later = orders.filter(({ at, order }) => order.action === "load" && at > storeLoadTimes[0]);
   assert.deepEqual(later, []);
 });
 
@@ -412,8 +412,8 @@
 /** Updates which models have waiting requests: those that no engine holds. */
 function updateWaiting(scene: Scene): void {
   scene.demand = scene.demand.map((entry) => {
-    const held = scene.engines.some((engine) => engine.models.includes(entry.model));
-    return { ...entry, waiting: held ? 0 : 1 };
+    const isHeld = scene.engines.some((engine) => engine.models.includes(entry.model));
+    return { ...entry, waiting: isHeld ? 0 : 1 };
   });
 }
 
@@ -439,9 +439,9 @@
 
 When(
   "requests wait for {string} on many engines and the dispatcher runs for {int} ms",
-  async function (this: object, names: string, ms: number) {
+  async function (this: object, modelNames: string, ms: number) {
     const scene = sceneOf(this);
-    for (const name of splitNames(names)) addWaitingRequests(scene, name, 200);
+    for (const name of splitNames(modelNames)) addWaitingRequests(scene, name, 200);
     await runFor(scene, ms / 2);
     scene.epoch = (scene.epoch ?? 0) + 1;
     await runFor(scene, ms / 2);
@@ -450,15 +450,15 @@
 
 Then(
   "one engine holds {string} and one holds {string}",
-  function (this: object, one: string, other: string) {
-    const held = sceneOf(this).engines.map((engine) => engine.models.join(" "));
-    assert.deepEqual([...held].sort(), [one, other].sort());
+  function (this: object, first: string, second: string) {
+    const heldModels = sceneOf(this).engines.map((engine) => engine.models.join(" "));
+    assert.deepEqual([...heldModels].sort(), [first, second].sort());
   },
 );
 
 Then("one engine holds {string}", function (this: object, name: string) {
-  const held = sceneOf(this).engines.map((engine) => engine.models.join(" "));
-  assert.deepEqual(held, [name]);
+  const heldModels = sceneOf(this).engines.map((engine) => engine.models.join(" "));
+  assert.deepEqual(heldModels, [name]);
 });
 
 Then("no engine exceeded its memory", function (this: object) {
@@ -470,14 +470,14 @@
 });
 
 Then("the lease is notified that epoch {int} was refused", function (this: object, epoch: number) {
-  assert.ok(sceneOf(this).refused.includes(epoch));
+  assert.ok(sceneOf(this).refusedEpochs.includes(epoch));
 });
 
 Then("in any 5 s at most {int} loads from the store start", function (this: object, max: number) {
-  const { storeLoads } = sceneOf(this);
-  assert.ok(storeLoads.length > 0);
-  for (const from of storeLoads) {
-    const within = storeLoads.filter((at) => at >= from && at < from + 5_000);
+  const { storeLoadTimes } = sceneOf(this);
+  assert.ok(storeLoadTimes.length > 0);
+  for (const from of storeLoadTimes) {
+    const within = storeLoadTimes.filter((at) => at >= from && at < from + 5_000);
     assert.ok(within.length <= max, `${within.length} loads from ${from}`);
   }
 });
@@ -502,7 +502,11 @@
       await scene.dispatcher?.start();
       for (let step = 0; step < 10; step++) {
         for (let index = 0; index < 4; index++) scene.outcomes.push(randomOutcome(random));
-        addWaitingRequests(scene, scene.names[random.below(scene.names.length)], random.below(20));
+        addWaitingRequests(
+          scene,
+          scene.modelNames[random.below(scene.modelNames.length)],
+          random.below(20),
+        );
         await runFor(scene, 500 + random.below(2_000));
       }
       for (const engine of scene.engines)
--- a/packages/weight-plan/src/load-candidates.ts
+++ b/packages/weight-plan/src/load-candidates.ts
@@ -22,7 +22,7 @@
 const standbyWeight = 0.1;
 /** Requests expected within this time count as waiting; about the time of a load from disk. */
 const rateWindowSeconds = 1;
-/** Below this the demand comes from a request that has just been served. */
+/** Minimum demand that justifies a load; less remains from a request that has just been served. */
 const minPendingRequests = 1;
 /**
  * Minimum time that a second load must save over one in progress; about the time of a load from
--- a/packages/weight-plan/src/placements.ts
+++ b/packages/weight-plan/src/placements.ts
@@ -32,7 +32,7 @@
 const replicaBenefitMs: Milliseconds = 250;
 
 /** A possible load of a model on one engine. */
-export interface Placement {
+export interface LoadPlacement {
   readonly engine: EngineView;
   readonly source: LoadSource;
   readonly victims: readonly string[];
@@ -116,7 +116,7 @@
   evictionOptions: EvictionOptionsCache,
   engine: EngineView,
   model: DeclaredModel,
-): Placement | undefined {
+): LoadPlacement | undefined {
   if (engine.loadingModel === model.name) return undefined;
   if (engine.residents.some((resident) => resident.name === model.name)) return undefined;
   const { freeMb, residents } = evictionOptions.optionsFor(engine);
@@ -141,7 +141,11 @@
 }
 
 /** Returns whether the benefit of the load exceeds the cost of its evictions. */
-function isWorthwhile(input: PlanInput, candidate: LoadCandidate, placement: Placement): boolean {
+function isWorthwhile(
+  input: PlanInput,
+  candidate: LoadCandidate,
+  placement: LoadPlacement,
+): boolean {
   switch (candidate.reason) {
     case "waiting":
       return true;
@@ -164,7 +168,7 @@
   }
 }
 
-function placementCostMs(placement: Placement): number {
+function placementCostMs(placement: LoadPlacement): number {
   const waitPenaltyMs = placement.engine.availableInMs * (busyEngineFactor - 1);
   const limitPenaltyMs =
     placement.engine.maxRequestsPerSecond === undefined ? 0 : rateLimitedPenaltyMs;
@@ -215,9 +219,9 @@
   evictionOptions: EvictionOptionsCache,
   candidate: LoadCandidate,
   storeLoadBudget: number,
-): Placement | undefined {
+): LoadPlacement | undefined {
   const allowed = allowedStoreLoads(input, candidate, storeLoadBudget);
-  let best: Placement | undefined;
+  let best: LoadPlacement | undefined;
   for (const engine of input.engines) {
     const placement = findPlacement(evictionOptions, engine, candidate.model);
     if (!placement || !isWorthwhile(input, candidate, placement)) continue;
