--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -355,7 +355,7 @@
   const now = sceneOf(this).clock.now();
   const holding = sceneOf(this)
     .fleet.all()
-    .filter((belief) => holds(belief, name, adapter, now));
+    .filter((target) => holds(target, name, adapter, now));
   assert.equal(holding.length, 1);
 });
 
