--- a/packages/pool-control/src/pool-view.ts
+++ b/packages/pool-control/src/pool-view.ts
@@ -1,8 +1,8 @@
-/** Shows the planner the pool as this session sees it. */
+/** Builds the planner's view of a pool. */
 import { settingsName } from "@linkfall/config";
 import { demandShares } from "@linkfall/demand-meter";
 import { clockName, type Kernel } from "@linkfall/kernel";
-import { ledgersOf } from "@linkfall/ledger";
+import { computeLedgers } from "@linkfall/ledger";
 import type { EngineView, ModelView, PoolView } from "@linkfall/placement";
 import { stateStoreName } from "@linkfall/state-store";
 import { targetWatchName, type WatchedReport } from "@linkfall/target-watch";
@@ -11,24 +11,28 @@
 import type { Fences } from "./fences.js";
 import type { PoolContext } from "./pool-context.js";
 
-/** Weight of one report in an engine's smoothed utilisation: it rises at once and falls slowly. */
-const risingStep = 0.5;
-const fallingStep = 0.1;
+/** Smoothing weights of a report: utilisation rises quickly and falls slowly. */
+const risingWeight = 0.5;
+const fallingWeight = 0.1;
 
-export interface PoolViewer {
+export interface PoolViewBuilder {
   /**
-   * The pool now.
+   * Returns the current state of the pool.
    *
-   * @param spareMoves moves of spare replicas that the rate limit still allows
-   * @param coolingDown whether a model's spare replicas were moved too short a time ago
+   * @param demandMoveBudget demand-driven moves that the rate limit still allows
+   * @param isCoolingDown whether a model's replicas were moved too recently
    */
-  view(spareMoves: number, coolingDown: (model: string) => boolean): PoolView;
-  /** Takes a report of one of the pool's engines. */
-  takeReport(watched: WatchedReport): void;
+  build(demandMoveBudget: number, isCoolingDown: (model: string) => boolean): PoolView;
+  /** Updates the utilisation from a report of one of the pool's engines. */
+  handleReport(watched: WatchedReport): void;
 }
 
-/** Creates the viewer of a session. */
-export function createPoolViewer(kernel: Kernel, context: PoolContext, fences: Fences): PoolViewer {
+/** Creates the view builder of a session. */
+export function createPoolViewBuilder(
+  kernel: Kernel,
+  context: PoolContext,
+  fences: Fences,
+): PoolViewBuilder {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
   const watch = kernel.find(targetWatchName);
@@ -36,35 +40,35 @@
   const settings = kernel.find(settingsName).targets;
   const utilisation = new Map<string, number>();
 
-  const unseen = (engine: Engine): EngineView => ({
+  const unreportedEngineView = (engine: Engine): EngineView => ({
     engine,
     accelerators: [],
     role: engine.role,
-    roleOrdered: false,
-    orderable: false,
-    counted: false,
+    roleChangePending: false,
+    acceptsOrders: false,
+    available: false,
     utilisation: 0,
   });
 
-  const viewOf = (engine: Engine): EngineView => {
+  const engineViewOf = (engine: Engine): EngineView => {
     const watched = context.reportOf(engine.name);
-    if (!watched) return unseen(engine);
-    const open = context.openOrdersOf(engine.name);
+    if (!watched) return unreportedEngineView(engine);
+    const openOrders = context.openOrdersOf(engine.name);
     const silentMs = clock.now() - watched.receivedAt;
-    const mayOrder = engine.fenced ? fences.standsOn(engine) : context.isValid();
+    const mayOrder = engine.fenced ? fences.isRaisedOn(engine) : context.isLeaseValid();
     const leaving = watch.isLeaving(engine);
     return {
       engine,
-      accelerators: ledgersOf(engine, watched.report, open),
+      accelerators: computeLedgers(engine, watched.report, openOrders),
       role: watched.report.role,
-      roleOrdered: open.some((order) => order.kind === "role"),
-      orderable: silentMs <= settings.report_stale_ms && mayOrder && !leaving,
-      counted: silentMs <= settings.silent_lost_ms && !leaving,
+      roleChangePending: openOrders.some((order) => order.kind === "role"),
+      acceptsOrders: silentMs <= settings.report_stale_ms && mayOrder && !leaving,
+      available: silentMs <= settings.silent_lost_ms && !leaving,
       utilisation: utilisation.get(engine.name) ?? 0,
     };
   };
 
-  const modelViews = (coolingDown: (model: string) => boolean): readonly ModelView[] => {
+  const modelViews = (isCoolingDown: (model: string) => boolean): readonly ModelView[] => {
     const desired = store.desired();
     const shares = demandShares(usage.demand());
     const adapters = [...desired.adapters.values()];
@@ -74,29 +78,30 @@
         model,
         adapters: adapters.filter((adapter) => adapter.model === model.name),
         demandShare: shares.get(model.name) ?? 0,
-        coolingDown: coolingDown(model.name),
+        coolingDown: isCoolingDown(model.name),
       }));
   };
 
   return {
-    view(spareMoves, coolingDown) {
+    build(demandMoveBudget, isCoolingDown) {
       const { attainmentWeight, movesWeight } = store.desired().deployment;
-      const engines = context.engines().map(viewOf);
-      // Replicas on an engine that does not count protect nothing, so its fence is not waited for.
-      const mayUnload = engines.every((view) => !view.counted || fences.isSafe(view.engine));
+      const engines = context.engines().map(engineViewOf);
+      // Engines that are not available hold no serving replicas to protect, which is why their
+      // fences are not awaited.
+      const mayUnload = engines.every((view) => !view.available || fences.isSafe(view.engine));
       return {
         engines,
-        models: modelViews(coolingDown),
-        limits: { attainmentWeight, movesWeight, mayUnload, spareMoves },
+        models: modelViews(isCoolingDown),
+        limits: { attainmentWeight, movesWeight, mayUnload, demandMoveBudget },
       };
     },
-    takeReport({ report }) {
+    handleReport({ report }) {
       const engine = context.engineNamed(report.engine);
       if (engine?.pool !== context.lease.pool) return;
-      const now = (report.running + report.queued) / engine.concurrency;
-      const before = utilisation.get(report.engine) ?? now;
-      const step = now > before ? risingStep : fallingStep;
-      utilisation.set(report.engine, before + step * (now - before));
+      const current = (report.running + report.queued) / engine.concurrency;
+      const previous = utilisation.get(report.engine) ?? current;
+      const weight = current > previous ? risingWeight : fallingWeight;
+      utilisation.set(report.engine, previous + weight * (current - previous));
     },
   };
 }
--- a/packages/weight-orders/src/index.ts
+++ b/packages/weight-orders/src/index.ts
@@ -1,2 +1,2 @@
-export type { OrderGiverInput, OrderRules } from "./giver-context.js";
-export * from "./order-giver.js";
+export type { DispatchRules, OrderDispatcherInput } from "./dispatcher-context.js";
+export * from "./order-dispatcher.js";
--- a/packages/weight-orders/src/plan-service.ts
+++ b/packages/weight-orders/src/plan-service.ts
@@ -1,125 +1,150 @@
-/** Plans the moves of one service from what is believed and asked now, and begins them. */
+/** Plans the moves of one service from the current state and demand, and starts them. */
 import { isEjected, type TargetBelief } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { EngineShape, Epoch, Milliseconds } from "@linkfall/types";
-import { type AdapterNeed, type EngineView, planAdapters, planMoves } from "@linkfall/weight-plan";
-import { beginMove } from "./advance-moves.js";
-import { fits, giveOrder, planOrder } from "./give-order.js";
-import { enginesOf, type GiverContext, pendingAdapter, stateInTenure } from "./giver-context.js";
-import { leastLeftMs, moveLeftMs } from "./move-time.js";
-import { toEngineView, toNeeds } from "./views.js";
+import {
+  type AdapterDemand,
+  type EngineView,
+  planAdapters,
+  planMoves,
+} from "@linkfall/weight-plan";
+import { startMove } from "./advance-moves.js";
+import {
+  type DispatcherContext,
+  orderableEngines,
+  pendingAdapterOrder,
+  stateInCurrentTerm,
+} from "./dispatcher-context.js";
+import { toDemandViews, toEngineView } from "./planner-views.js";
+import { minRemainingMs, remainingMoveMs } from "./remaining-move-time.js";
+import { fits, planOrder, sendOrder } from "./send-order.js";
 
-function viewOf(
-  context: GiverContext,
-  belief: TargetBelief,
-  shape: EngineShape,
+function createEngineView(
+  context: DispatcherContext,
+  target: TargetBelief,
+  engineShape: EngineShape,
 ): EngineView | undefined {
-  const work = context.state.work.get(belief.listed.id);
+  const activeMove = context.state.activeMoves.get(target.listed.id);
   const view = toEngineView(
-    belief,
-    stateInTenure(context, belief),
-    shape,
-    work,
-    work ? moveLeftMs(context, work) : 0,
-    context.takesPerSecond(belief.listed.id),
+    target,
+    stateInCurrentTerm(context, target),
+    engineShape,
+    activeMove,
+    activeMove ? remainingMoveMs(context, activeMove) : 0,
+    context.maxRequestsPerSecond(target.listed.id),
   );
-  const pending = pendingAdapter(context, belief);
-  if (!view || !pending) return view;
-  const adaptersComing = [...view.adaptersComing, pending.key];
-  return { ...view, adaptersComing, freeInMs: Math.max(view.freeInMs, leastLeftMs) };
+  const pendingOrder = pendingAdapterOrder(context, target);
+  if (!view || !pendingOrder) return view;
+  const loadingAdapters = [...view.loadingAdapters, pendingOrder.key];
+  return { ...view, loadingAdapters, availableInMs: Math.max(view.availableInMs, minRemainingMs) };
 }
 
-function viewsOf(
-  context: GiverContext,
+function engineViewsOf(
+  context: DispatcherContext,
   service: string,
-  shape: EngineShape,
+  engineShape: EngineShape,
 ): readonly EngineView[] {
   const now = context.clock.now();
-  return enginesOf(context)
-    .filter((belief) => belief.listed.service === service && belief.missingSince === undefined)
-    .filter((belief) => !isEjected(belief.health, now))
-    .flatMap((belief) => viewOf(context, belief, shape) ?? []);
+  return orderableEngines(context)
+    .filter((target) => target.listed.service === service && target.missingSince === undefined)
+    .filter((target) => !isEjected(target.health, now))
+    .flatMap((target) => createEngineView(context, target, engineShape) ?? []);
 }
 
-/** Loads that may begin now, less those of moves whose load has yet to be ordered. */
-function storeLoadsLeft({ state, clock }: GiverContext, shape: EngineShape): number {
-  const ahead = [...state.work.values()].filter(
-    ({ move, sent }) => move.source === "store" && sent?.order.action !== "load",
+/**
+ * Returns the store loads that may start, less those reserved by moves that have not ordered their
+ * load yet.
+ */
+function remainingStoreLoads(
+  { state, clock }: DispatcherContext,
+  engineShape: EngineShape,
+): number {
+  const unorderedLoads = [...state.activeMoves.values()].filter(
+    ({ move, lastOrder }) => move.source === "store" && lastOrder?.order.action !== "load",
+  );
+  return (
+    state.storeLoads.remaining(engineShape.storeLoadsPerSecond, clock.now()) - unorderedLoads.length
   );
-  return state.loads.left(shape.storeLoadsPerSecond, clock.now()) - ahead.length;
 }
 
-/** Notes when models and adapters were asked for, and returns the adapters that requests wait for. */
-function noteDemand(
-  { state, clock }: GiverContext,
+/**
+ * Records the last requests for models and adapters, and returns the adapters with waiting
+ * requests.
+ */
+function recordDemand(
+  { state, clock }: DispatcherContext,
   demand: readonly ModelDemand[],
-): readonly AdapterNeed[] {
+): readonly AdapterDemand[] {
   const now = clock.now();
   return demand.flatMap((entry) => {
     const key = `${entry.service} ${entry.model}`;
-    const known = state.lastAsked.get(key)?.objectiveMs ?? Infinity;
-    const objectiveMs = Math.min(known, entry.objectiveMs);
-    state.lastAsked.set(key, { at: now - entry.idleMs, objectiveMs });
+    const knownObjectiveMs = state.lastRequests.get(key)?.objectiveMs ?? Infinity;
+    const objectiveMs = Math.min(knownObjectiveMs, entry.objectiveMs);
+    state.lastRequests.set(key, { at: now - entry.idleMs, objectiveMs });
     return Object.entries(entry.waitingAdapters).map(([adapter, waiting]) => {
-      state.adapterUse.set(`${entry.model}/${adapter}`, now);
+      state.adapterLastUsedAt.set(`${entry.model}/${adapter}`, now);
       return { model: entry.model, adapter, waiting };
     });
   });
 }
 
-function giveAdapterOrders(
-  context: GiverContext,
+function sendAdapterOrders(
+  context: DispatcherContext,
   views: readonly EngineView[],
-  needs: readonly AdapterNeed[],
-  shape: EngineShape,
+  adapterDemand: readonly AdapterDemand[],
+  engineShape: EngineShape,
   epoch: Epoch,
 ): void {
   const { state, fleet } = context;
-  const lastUsed = (key: string): Milliseconds => state.adapterUse.get(key) ?? -Infinity;
+  const lastUsed = (key: string): Milliseconds => state.adapterLastUsedAt.get(key) ?? -Infinity;
   for (const { engine, action, model, adapter } of planAdapters(
     views,
-    needs,
-    shape.models,
+    adapterDemand,
+    engineShape.models,
     lastUsed,
   )) {
-    const belief = fleet.find(engine);
-    const planned = belief && planOrder(belief, { action, model, adapter });
-    if (planned && fits(belief, shape, planned)) void giveOrder(context, belief, planned, epoch);
+    const target = fleet.find(engine);
+    const plannedOrder = target && planOrder(target, { action, model, adapter });
+    if (plannedOrder && fits(target, engineShape, plannedOrder))
+      void sendOrder(context, target, plannedOrder, epoch);
   }
 }
 
-/** An engine that has yet to answer an order can be given a move soon. */
-function afterOrder(view: EngineView): EngineView {
-  return { ...view, freeInMs: Math.max(view.freeInMs, leastLeftMs) };
+/** Marks an engine as available soon, once its pending order is answered. */
+function withPendingOrder(view: EngineView): EngineView {
+  return { ...view, availableInMs: Math.max(view.availableInMs, minRemainingMs) };
 }
 
-/** What was not asked for in so short a time may still be: it takes this long to tell. */
-const leastWatchedMs: Milliseconds = 10_000;
+/** Minimum observation time; shorter ones say little about rarely requested models. */
+const minObservedMs: Milliseconds = 10_000;
 
-/** Plans one service. */
+/** Plans one service and starts the resulting moves. */
 export function planService(
-  context: GiverContext,
+  context: DispatcherContext,
   service: string,
-  shape: EngineShape,
+  engineShape: EngineShape,
   epoch: Epoch,
 ): void {
   const { state, clock, rules } = context;
   const demand = context.demand().filter((entry) => entry.service === service);
-  if (demand.length > 0) state.watchedSince ??= clock.now();
-  const adapterNeeds = noteDemand(context, demand);
-  const lastAsked = (model: string) => state.lastAsked.get(`${service} ${model}`);
-  const views = viewsOf(context, service, shape);
-  // An adapter takes milliseconds of an engine, a move takes all of its orders for a second or more.
-  const free = views.filter((view) => !state.ordering.has(view.id));
-  giveAdapterOrders(context, free, adapterNeeds, shape, epoch);
+  if (demand.length > 0) state.demandSince ??= clock.now();
+  const adapterDemand = recordDemand(context, demand);
+  const lastRequest = (model: string) => state.lastRequests.get(`${service} ${model}`);
+  const views = engineViewsOf(context, service, engineShape);
+  // Adapter orders go first: they take milliseconds, whereas a move blocks the engine for a second
+  // or more.
+  const idleViews = views.filter((view) => !state.pendingOrders.has(view.id));
+  sendAdapterOrders(context, idleViews, adapterDemand, engineShape, epoch);
   const moves = planMoves({
-    engines: views.map((view) => (state.ordering.has(view.id) ? afterOrder(view) : view)),
-    needs: toNeeds(demand, service, shape, lastAsked, clock.now()),
-    models: shape.models,
-    watchedMs: Math.max(leastWatchedMs, clock.now() - (state.watchedSince ?? clock.now())),
-    storeLoadsLeft: storeLoadsLeft(context, shape),
+    engines: views.map((view) =>
+      state.pendingOrders.has(view.id) ? withPendingOrder(view) : view,
+    ),
+    demand: toDemandViews(demand, service, engineShape, lastRequest, clock.now()),
+    models: engineShape.models,
+    observedMs: Math.max(minObservedMs, clock.now() - (state.demandSince ?? clock.now())),
+    storeLoadBudget: remainingStoreLoads(context, engineShape),
     rules: rules.plan,
   });
-  for (const move of moves) beginMove(context, move);
-  if (moves.length > 0) context.announce();
+  for (const move of moves) startMove(context, move);
+  if (moves.length > 0) context.notifyPeers();
 }
--- /dev/null
+++ b/packages/weight-plan/src/load-candidates.ts
@@ -0,0 +1,142 @@
+/** Selects the models worth loading, ordered by how many requests they help. */
+import type { DeclaredModel, Milliseconds } from "@linkfall/types";
+import { countReplicas } from "./eviction-cost.js";
+import type { PlanInput, WeightMove } from "./plan-input.js";
+import { withServingReplicas } from "./rate-limited-engines.js";
+
+/** A model that the planner considers loading. */
+export interface LoadCandidate {
+  readonly model: DeclaredModel;
+  readonly reason: WeightMove["reason"];
+  /** Number of requests helped, weighted; higher values are planned first. */
+  readonly priority: number;
+  /** Maximum time until the model must be ready for the load to be useful. */
+  readonly maxReadyMs?: Milliseconds;
+  /** Running requests per replica at the target load. */
+  readonly targetInFlight: number;
+}
+
+/** Weight of a waiting request compared with one on an overloaded replica. */
+const waitingWeight = 3;
+/** Priority of models without waiting requests, below any model that has some. */
+const standbyWeight = 0.1;
+/** Requests expected within this time count as waiting; about the time of a load from disk. */
+const rateWindowSeconds = 1;
+/** Minimum demand that justifies a load; less remains from a request that has just been served. */
+const minPendingRequests = 1;
+/**
+ * Minimum time that a second load must save over one in progress; about the time of a load from
+ * disk.
+ */
+const minTimeSavedMs: Milliseconds = 1_500;
+/** Limit on concurrent loads of one model. */
+const maxConcurrentLoads = 2;
+/** Limit on candidates per plan; the rest is considered in the next cycle. */
+const maxCandidates = 32;
+
+/** Where models are loaded, cached or being loaded, computed once per plan. */
+interface ModelAvailability {
+  readonly replicaCounts: Map<string, number>;
+  /** Models that an engine has cached or is loading. */
+  readonly reachable: ReadonlySet<string>;
+  /** Loads in progress, by model. */
+  readonly pendingLoads: ReadonlyMap<string, PendingLoads>;
+}
+
+/** Loads in progress of one model. */
+interface PendingLoads {
+  readonly count: number;
+  /** Time until the first one finishes. */
+  readonly firstReadyMs: Milliseconds;
+}
+
+const noPendingLoads: PendingLoads = { count: 0, firstReadyMs: Infinity };
+
+/** Counts replicas and loads in progress over all engines. */
+export function summarizeAvailability({
+  engines,
+  demand,
+}: Pick<PlanInput, "engines" | "demand">): ModelAvailability {
+  const reachable = new Set<string>();
+  const pendingLoads = new Map<string, PendingLoads>();
+  for (const { cachedInMemory, cachedOnDisk, loadingModel, availableInMs } of engines) {
+    for (const name of cachedInMemory) reachable.add(name);
+    for (const name of cachedOnDisk) reachable.add(name);
+    if (loadingModel === undefined) continue;
+    reachable.add(loadingModel);
+    const { count, firstReadyMs } = pendingLoads.get(loadingModel) ?? noPendingLoads;
+    pendingLoads.set(loadingModel, {
+      count: count + 1,
+      firstReadyMs: Math.min(firstReadyMs, availableInMs),
+    });
+  }
+  return {
+    replicaCounts: countReplicas(withServingReplicas(engines, demand)),
+    reachable,
+    pendingLoads,
+  };
+}
+
+function createCandidate(
+  input: PlanInput,
+  { replicaCounts, reachable, pendingLoads }: ModelAvailability,
+  model: DeclaredModel,
+): LoadCandidate | undefined {
+  const demand = input.demand.get(model.name);
+  const replicas = replicaCounts.get(model.name) ?? 0;
+  const { count: loadCount, firstReadyMs } = pendingLoads.get(model.name) ?? noPendingLoads;
+  // Includes the request rate: urgent requests are refused instead of queued, so waiting requests
+  // alone would underestimate the demand for urgent models.
+  const pendingRequests = demand ? demand.waiting + demand.rate * rateWindowSeconds : 0;
+  if (pendingRequests >= minPendingRequests && replicas <= loadCount) {
+    // A second load is only useful if it finishes well before the one in progress.
+    const maxReadyMs = firstReadyMs - minTimeSavedMs;
+    const priority = pendingRequests * waitingWeight;
+    return {
+      model,
+      reason: "waiting",
+      priority,
+      targetInFlight: 0,
+      maxReadyMs,
+    };
+  }
+  const load = demand && replicas > 0 ? demand.engineLoad / replicas : 0;
+  // Limits concurrent loads: requests queued behind a load do not justify more replicas.
+  if (demand && load > input.rules.targetReplicaLoad && loadCount < maxConcurrentLoads) {
+    const inFlightPerReplica = demand.inFlight / replicas;
+    const targetInFlight = (inFlightPerReplica * input.rules.targetReplicaLoad) / load;
+    return {
+      model,
+      reason: "demand",
+      priority: inFlightPerReplica - targetInFlight,
+      targetInFlight,
+    };
+  }
+  if (replicas === 0 && input.demand.size === 0 && reachable.has(model.name)) {
+    return { model, reason: "standby", priority: standbyWeight, targetInFlight: 0 };
+  }
+  if (replicas === 0 && demand && demand.objectiveMs < model.fromDiskMs) {
+    return { model, reason: "standby", priority: standbyWeight, targetInFlight: 0 };
+  }
+  if (replicas === 0 && !reachable.has(model.name)) {
+    return { model, reason: "unreachable", priority: 0, targetInFlight: 0 };
+  }
+  return undefined;
+}
+
+/** Returns the models to consider for loading, highest priority first. */
+export function selectCandidates(
+  input: PlanInput,
+  availability: ModelAvailability,
+): readonly LoadCandidate[] {
+  const candidates = [...input.models.values()].flatMap(
+    (model) => createCandidate(input, availability, model) ?? [],
+  );
+  const urgent = candidates.filter(
+    (candidate) => candidate.reason !== "unreachable" || input.demand.size === 0,
+  );
+  // Loads of uncached models without demand are only planned when nothing else is pending.
+  const selected = urgent.length > 0 ? urgent : candidates;
+  const sorted = [...selected].sort((left, right) => right.priority - left.priority);
+  return sorted.slice(0, maxCandidates);
+}
