--- a/packages/desired-feed/src/configuration-holder.ts
+++ b/packages/desired-feed/src/configuration-holder.ts
@@ -56,7 +56,7 @@
     const shapes = [...configuration.services.values()].map(
       (service) => [service.name, service.engine] as const,
     );
-    fleet.setEngines(new Map(shapes));
+    fleet.setEngineShapes(new Map(shapes));
     logger.event("configurationInForce", {
       version: configuration.version,
       routes: configuration.routes.length,
--- a/packages/desired-feed/src/desired-feed.steps.ts
+++ b/packages/desired-feed/src/desired-feed.steps.ts
@@ -70,8 +70,8 @@
       recordingLogger((name) => void events.push(name)),
     );
     const fleet = createFleet(kernel, {
-      lapse: { graceMs: 1_600, share: 0.3 },
-      ejection: { failuresInARow: 3, firstMs: 1_000, longestMs: 8_000 },
+      lapse: { graceMs: 1_600, minShare: 0.3 },
+      ejection: { consecutiveFailures: 3, initialMs: 1_000, maxMs: 8_000 },
     });
     const configurations = createKeyedStore(clock);
     const targets = createKeyedStore(clock);
@@ -99,7 +99,7 @@
   const end = clock.now() + ms;
   while (clock.now() < end) {
     await clock.runUntil(clock.now() + 50);
-    fleet.expireLapsed(feed.storeDisturbed());
+    fleet.expireMissing(feed.storeDisturbed());
   }
 }
 
--- a/packages/desired-feed/src/desired-feed.ts
+++ b/packages/desired-feed/src/desired-feed.ts
@@ -118,13 +118,13 @@
   context.targetsKnown = true;
   context.targetsEnd = end;
   context.log.replace(targets, unreadable, end);
-  for (const id of unreadable) fleet.leaveAlone(id);
-  fleet.takeList(targets);
+  for (const id of unreadable) fleet.excludeUnreadable(id);
+  fleet.applyList(targets);
 }
 
 function takeUnreadable(context: FeedContext, id: string, offset: Offset): void {
   context.log.unreadable(id, offset);
-  context.input.fleet.leaveAlone(id);
+  context.input.fleet.excludeUnreadable(id);
 }
 
 function takeTargetRecord(context: FeedContext, { key, value, offset }: KeyedRecord): void {
@@ -132,13 +132,13 @@
   if (offset < context.targetsEnd) return;
   if (value === undefined) {
     context.log.gone(key, offset);
-    context.input.fleet.dropEntry(key);
+    context.input.fleet.removeEntry(key);
     return;
   }
   const target = readTarget(context, key, value);
   if (!target) return takeUnreadable(context, key, offset);
   context.log.changed(target, offset);
-  context.input.fleet.takeEntry(target);
+  context.input.fleet.applyEntry(target);
 }
 
 function takeNewestTargets(context: FeedContext, batch: KeyedBatch): void {
@@ -169,11 +169,11 @@
   for (const id of unreadable) takeUnreadable(context, id, lastOffset);
   for (const target of changed) {
     context.log.changed(target, lastOffset);
-    fleet.takeEntry(target);
+    fleet.applyEntry(target);
   }
   for (const id of gone) {
     context.log.gone(id, lastOffset);
-    fleet.dropEntry(id);
+    fleet.removeEntry(id);
   }
   context.targetsEnd = end;
 }
--- a/packages/entry-box/src/gauges.ts
+++ b/packages/entry-box/src/gauges.ts
@@ -29,7 +29,10 @@
   );
   metrics.gauge("linkfall_engine_reports_age_ms", "Age of the oldest engine's holdings.", () => {
     const engines = fleet.all().filter(({ holdings }) => holdings.sequence >= 0);
-    const oldest = Math.min(ports.clock.now(), ...engines.map(({ holdingsAt }) => holdingsAt));
+    const oldest = Math.min(
+      ports.clock.now(),
+      ...engines.map(({ holdingsConfirmedAt: holdingsAt }) => holdingsAt),
+    );
     return Math.round(ports.clock.now() - oldest);
   });
   metrics.gauge("linkfall_store_read_here", "1 while this box reads the store itself.", () =>
--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -65,7 +65,7 @@
     if (now - summedAt < sumEveryMs) return;
     summedAt = now;
     const statuses = kernel.find(peersName).statuses();
-    kernel.find(fleetName).takeOthers(sumLoads(statuses.map((status) => status.loads)));
+    kernel.find(fleetName).setOtherBoxesLoads(sumLoads(statuses.map((status) => status.loads)));
   };
 }
 
@@ -77,9 +77,9 @@
 
 function takeReport({ kernel, ports }: BoxParts, knowledge: HolderKnowledge, report: HolderReport) {
   const fleet = kernel.find(fleetName);
-  fleet.withhold(new Map(Object.entries(report.withheld)));
-  for (const { id, holdings } of report.engines) fleet.takeHoldings(id, holdings);
-  if (report.othersLoads) fleet.takeOthers(new Map(Object.entries(report.othersLoads)));
+  fleet.setWithheldModels(new Map(Object.entries(report.withheld)));
+  for (const { id, holdings } of report.engines) fleet.applyRelayedHoldings(id, holdings);
+  if (report.othersLoads) fleet.setOtherBoxesLoads(new Map(Object.entries(report.othersLoads)));
   knowledge.followed = report.followed;
   knowledge.hearsMost = report.hearsMost;
   const now = ports.clock.now();
@@ -101,7 +101,7 @@
   const targetLimits = kernel.find(targetLimitsName);
   const catchUp = createCatchUp(parts);
   const sumHeardLoads = createLoadSummer(parts);
-  kernel.find(fleetName).trustOwnWord(() => trustsHolder(parts));
+  kernel.find(fleetName).preferDirectReportsWhile(() => trustsHolder(parts));
 
   peers.onHeartbeat((heartbeat) => {
     const { status, report } = heartbeat;
--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -69,7 +69,7 @@
     noteLimit: (target, notice) =>
       targetLimits.hear({ target, notice, sentMsAgo: 0, served: false }),
     announce() {
-      fleet.withhold(giver.withheld());
+      fleet.setWithheldModels(giver.withheld());
       // In a large deployment all others hear of it in their next round.
       if (peers.mesh()) peers.send();
       else peers.send((member) => hasWaiting(member.status));
--- a/packages/entry-box/src/provide-state.ts
+++ b/packages/entry-box/src/provide-state.ts
@@ -18,11 +18,11 @@
 export function provideFleet({ kernel, settings }: BoxParts): Fleet {
   const { targets } = settings;
   const fleet = createFleet(kernel, {
-    lapse: { graceMs: targets.lapse_grace_ms, share: targets.lapse_share },
+    lapse: { graceMs: targets.lapse_grace_ms, minShare: targets.lapse_share },
     ejection: {
-      failuresInARow: targets.failures_in_a_row,
-      firstMs: targets.first_ejection_ms,
-      longestMs: targets.longest_ejection_ms,
+      consecutiveFailures: targets.failures_in_a_row,
+      initialMs: targets.first_ejection_ms,
+      maxMs: targets.longest_ejection_ms,
     },
   });
   return kernel.provide(fleetName, fleet);
@@ -48,7 +48,7 @@
     settleMs: store.settle_ms,
   });
   const lapses = repeatEvery(ports.clock, ports.random, lapseCheckMs, () =>
-    fleet.expireLapsed(feed.storeDisturbed()),
+    fleet.expireMissing(feed.storeDisturbed()),
   );
   kernel.provide({ name: "lapses" }, undefined, lapses);
   return kernel.provide(desiredFeedName, feed, feed);
--- a/packages/forwarding/src/forwarding.steps.ts
+++ b/packages/forwarding/src/forwarding.steps.ts
@@ -104,8 +104,8 @@
   kernel.provide(clockName, clock);
   kernel.provide(loggerName, logger);
   const fleet = createFleet(kernel, {
-    lapse: { graceMs: 1_600, share: 0.3 },
-    ejection: { failuresInARow: 3, firstMs: 1_000, longestMs: 8_000 },
+    lapse: { graceMs: 1_600, minShare: 0.3 },
+    ejection: { consecutiveFailures: 3, initialMs: 1_000, maxMs: 8_000 },
   });
   const waiter = createChangeWaiter(clock);
   fleet.onChange(waiter.wake);
@@ -170,7 +170,7 @@
   const stopsAt = () => scenes.get(this)?.stopsAt ?? Infinity;
   const { fleet, context } = contextOf(clock, expected, stopsAt);
   const models = [{ name: model, version: 1, adapters: [] }];
-  fleet.takeList([
+  fleet.applyList([
     { id: "e1", service: "engines", address, domain: "d1", slots: 8, leaving: false, models },
   ]);
   const route = { name: "none" } as Route;
@@ -279,7 +279,7 @@
     const { clock, fleet } = sceneOf(this);
     await clock.runUntil(ms);
     const models = [{ name, version: 1, adapters: [adapter] }];
-    fleet.takeHoldings("e1", { sequence: 1, models });
+    fleet.applyRelayedHoldings("e1", { sequence: 1, models });
     await clock.runUntil(ms + settleMs);
   },
 );
@@ -290,7 +290,7 @@
     const { clock, fleet } = sceneOf(this);
     await clock.runUntil(ms);
     const models = [{ name: model, version: 1, adapters: [] }];
-    fleet.takeHoldings("e1", { sequence: 1, models });
+    fleet.applyRelayedHoldings("e1", { sequence: 1, models });
     await clock.runUntil(ms + settleMs);
   },
 );
@@ -309,7 +309,7 @@
   "the engine takes {int} connections and other boxes have {int} there",
   function (this: object, most: number, inFlight: number) {
     assert.equal(service.maxConnections, most);
-    sceneOf(this).fleet.takeOthers(new Map([["e1", { inFlight, promptTokens: 0 }]]));
+    sceneOf(this).fleet.setOtherBoxesLoads(new Map([["e1", { inFlight, promptTokens: 0 }]]));
   },
 );
 
@@ -318,7 +318,7 @@
 
 Given("the engine has {int} ms of prompts to read", function (this: object, ms: number) {
   const { fleet } = sceneOf(this);
-  fleet.takeOthers(new Map([["e1", { inFlight: 4, promptTokens: ms * tokensPerMs }]]));
+  fleet.setOtherBoxesLoads(new Map([["e1", { inFlight: 4, promptTokens: ms * tokensPerMs }]]));
   sceneOf(this).queueMs = ms;
 });
 
--- a/packages/weight-orders/src/advance-moves.ts
+++ b/packages/weight-orders/src/advance-moves.ts
@@ -1,5 +1,5 @@
 /** Takes the moves under way a step further. */
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import type { Epoch } from "@linkfall/types";
 import type { WeightMove } from "@linkfall/weight-plan";
 import { type EngineWork, isPending, nextStep, wordToGoBy } from "./engine-work.js";
@@ -19,12 +19,7 @@
   });
 }
 
-function advance(
-  context: GiverContext,
-  belief: TargetBelief,
-  work: EngineWork,
-  epoch: Epoch,
-): void {
+function advance(context: GiverContext, belief: TargetView, work: EngineWork, epoch: Epoch): void {
   const { state, clock, rules } = context;
   const { id } = belief.listed;
   const now = clock.now();
--- a/packages/weight-orders/src/ask-engines.ts
+++ b/packages/weight-orders/src/ask-engines.ts
@@ -1,11 +1,11 @@
 /** Asks engines for their state: those with a move often, the others now and then. */
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import type { Milliseconds } from "@linkfall/types";
 import { enginesOf, type GiverContext, pendingAdapter } from "./giver-context.js";
 import { moveLeftMs } from "./move-time.js";
 
 /** Asks one engine, unless it is being asked. */
-export async function askEngine(context: GiverContext, belief: TargetBelief): Promise<void> {
+export async function askEngine(context: GiverContext, belief: TargetView): Promise<void> {
   const { state, clock, fleet } = context;
   const { id } = belief.listed;
   if (state.asking.has(id)) return;
@@ -18,7 +18,7 @@
   if (fleet.find(id) !== belief) return;
   answer.ifRight((read) => {
     const before = belief.holdings.sequence;
-    fleet.takeState(id, read, clock.now() - sentAt);
+    fleet.applyState(id, read, clock.now() - sentAt);
     // Heard here before any request is answered; that the report names none says nothing.
     if (read.limit.kind === "limited") context.noteLimit(id, read.limit);
     if (fleet.find(id)?.holdings.sequence !== before) context.announce();
@@ -34,7 +34,7 @@
 /** Time after its last question after which an engine is asked again. */
 function askEveryMs(
   context: GiverContext,
-  belief: TargetBelief,
+  belief: TargetView,
   stillMs: Milliseconds,
 ): Milliseconds {
   const { state, rules } = context;
--- a/packages/weight-orders/src/give-order.ts
+++ b/packages/weight-orders/src/give-order.ts
@@ -1,6 +1,6 @@
 /** Sends one order to one engine, checked against what the engine holds. */
 import { invariant } from "@linkfall/errors";
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import type {
   EngineShape,
   Epoch,
@@ -30,14 +30,14 @@
 }
 
 /** The order against what the engine says that it holds. */
-export function planOrder(belief: TargetBelief, wanted: WeightOrder): PlannedOrder {
+export function planOrder(belief: TargetView, wanted: WeightOrder): PlannedOrder {
   const { sequence, models } = belief.holdings;
   return { wanted, expectedSequence: sequence, residents: models };
 }
 
 /** The order against what the engine will hold, as far as a move knows it. */
 export function planOrderAhead(
-  belief: TargetBelief,
+  belief: TargetView,
   wanted: WeightOrder,
   word: EngineWord,
 ): PlannedOrder {
@@ -47,7 +47,7 @@
 
 /** Whether an order leaves the engine within its memory and its adapter places. */
 export function fits(
-  belief: TargetBelief,
+  belief: TargetView,
   shape: EngineShape,
   { wanted, residents }: PlannedOrder,
 ): boolean {
@@ -98,7 +98,7 @@
 
 function takeAnswer(context: GiverContext, id: string, order: FencedOrder, answer: OrderAnswer) {
   const { fleet, state } = context;
-  if (answer === "gone") fleet.unreachable(id, "another start has its address");
+  if (answer === "gone") fleet.recordUnreachable(id, "another start has its address");
   if (answer !== "conflict" && answer !== "refused" && answer !== "gone") return;
   state.adapterOrders.delete(id);
   endMove(context, id, answer);
@@ -121,7 +121,7 @@
 }
 
 /** Notes what the engine will hold when an order that it has taken is done. */
-function lookAhead(context: GiverContext, belief: TargetBelief, order: FencedOrder): void {
+function lookAhead(context: GiverContext, belief: TargetView, order: FencedOrder): void {
   const work = context.state.work.get(belief.listed.id);
   if (!work) return;
   const models = belief.holdings.models.map((model) => model.name);
@@ -162,7 +162,7 @@
     const state = belief && stateInTenure(context, belief);
     if (!state || belief.holdings.sequence !== order.expectedSequence) return;
     const models = belief.holdings.models.map((held) => withAdapter(held, order));
-    fleet.takeState(id, { ...state, sequence: order.expectedSequence + 1, models }, 0);
+    fleet.applyState(id, { ...state, sequence: order.expectedSequence + 1, models }, 0);
     announce();
   });
 }
@@ -170,7 +170,7 @@
 /** Gives the order under the epoch; an engine that does not take it is asked for its state. */
 export async function giveOrder(
   context: GiverContext,
-  belief: TargetBelief,
+  belief: TargetView,
   planned: PlannedOrder,
   epoch: Epoch,
 ): Promise<void> {
--- a/packages/weight-orders/src/giver-context.ts
+++ b/packages/weight-orders/src/giver-context.ts
@@ -1,5 +1,5 @@
 /** What the steps of the order giver share. */
-import type { Fleet, TargetBelief } from "@linkfall/fleet";
+import type { Fleet, TargetView } from "@linkfall/fleet";
 import type { Clock } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
 import type { Metrics } from "@linkfall/metrics";
@@ -111,12 +111,12 @@
 }
 
 /** What the configuration says of the engine's service. */
-export function shapeOf(context: GiverContext, belief: TargetBelief): EngineShape | undefined {
+export function shapeOf(context: GiverContext, belief: TargetView): EngineShape | undefined {
   return context.configuration()?.services.get(belief.listed.service)?.engine;
 }
 
 /** Engines that may be given orders. */
-export function enginesOf(context: GiverContext): readonly TargetBelief[] {
+export function enginesOf(context: GiverContext): readonly TargetView[] {
   return context.fleet
     .all()
     .filter((belief) => shapeOf(context, belief) !== undefined && !belief.listed.leaving);
@@ -128,16 +128,16 @@
  */
 export function stateInTenure(
   { state }: GiverContext,
-  belief: TargetBelief,
+  belief: TargetView,
 ): EngineState | undefined {
-  if (belief.stateAt < state.tenureSince || !belief.state) return undefined;
+  if (belief.stateReadAt < state.tenureSince || !belief.state) return undefined;
   return belief.state.sequence >= belief.holdings.sequence ? belief.state : undefined;
 }
 
 /** The order about an adapter whose effect on this engine has yet to be seen. */
 export function pendingAdapter(
   { state, clock }: GiverContext,
-  belief: TargetBelief,
+  belief: TargetView,
 ): AdapterOrder | undefined {
   const pending = state.adapterOrders.get(belief.listed.id);
   if (!pending || clock.now() >= pending.until) return undefined;
--- a/packages/weight-orders/src/order-giver.ts
+++ b/packages/weight-orders/src/order-giver.ts
@@ -84,7 +84,7 @@
     state: createGiverState(),
   };
   const { state } = context;
-  input.fleet.onLifeEnded((id) => {
+  input.fleet.onIncarnationEnded((id) => {
     endMove(context, id, "engine gone or started again");
     state.adapterOrders.delete(id);
     state.asked.delete(id);
--- a/packages/weight-orders/src/plan-service.ts
+++ b/packages/weight-orders/src/plan-service.ts
@@ -1,5 +1,5 @@
 /** Plans the moves of one service from what is believed and asked now, and begins them. */
-import { isEjected, type TargetBelief } from "@linkfall/fleet";
+import { isEjected, type TargetView } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { EngineShape, Epoch, Milliseconds } from "@linkfall/types";
 import { type AdapterNeed, type EngineView, planAdapters, planMoves } from "@linkfall/weight-plan";
@@ -11,7 +11,7 @@
 
 function viewOf(
   context: GiverContext,
-  belief: TargetBelief,
+  belief: TargetView,
   shape: EngineShape,
 ): EngineView | undefined {
   const work = context.state.work.get(belief.listed.id);
--- a/packages/weight-orders/src/views.ts
+++ b/packages/weight-orders/src/views.ts
@@ -1,5 +1,5 @@
 /** From what the box believes of engines to what the planner needs. */
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { EngineShape, EngineState, Milliseconds } from "@linkfall/types";
 import type { EngineView, ModelNeed } from "@linkfall/weight-plan";
@@ -11,7 +11,7 @@
 
 /** The planner's view of one engine; undefined before its `state` is known. */
 export function toEngineView(
-  belief: TargetBelief,
+  belief: TargetView,
   state: EngineState | undefined,
   shape: EngineShape,
   work: EngineWork | undefined,
@@ -20,7 +20,7 @@
 ): EngineView | undefined {
   const { listed, holdings } = belief;
   if (!state) return undefined;
-  const inFlight = belief.own.inFlight + belief.others.inFlight;
+  const inFlight = belief.ownLoad.inFlight + belief.otherBoxesLoad.inFlight;
   return {
     id: listed.id,
     domain: listed.domain,
--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { createFleet, type Fleet, holds } from "@linkfall/fleet";
+import { createFleet, type Fleet, hasModelLoaded } from "@linkfall/fleet";
 import {
   clockName,
   createKernel,
@@ -227,10 +227,10 @@
     recordingLogger(() => undefined),
   );
   const fleet = createFleet(kernel, {
-    lapse: { graceMs: 1_600, share: 0.3 },
-    ejection: { failuresInARow: 3, firstMs: 1_000, longestMs: 8_000 },
+    lapse: { graceMs: 1_600, minShare: 0.3 },
+    ejection: { consecutiveFailures: 3, initialMs: 1_000, maxMs: 8_000 },
   });
-  fleet.takeList(engineIds.map(listed));
+  fleet.applyList(engineIds.map(listed));
   const scene: Scene = {
     clock,
     fleet,
@@ -316,7 +316,7 @@
     assert.ok(engine);
     await scene.clock.runUntil(scene.clock.now() + 300);
     engine.sequence += 1;
-    scene.fleet.takeHoldings(id, { sequence: engine.sequence, models: [] });
+    scene.fleet.applyRelayedHoldings(id, { sequence: engine.sequence, models: [] });
     await scene.clock.runUntil(scene.clock.now() + 2_000);
     engine.models.push(name);
   },
@@ -350,7 +350,7 @@
   const now = sceneOf(this).clock.now();
   const holding = sceneOf(this)
     .fleet.all()
-    .filter((belief) => holds(belief, name, adapter, now));
+    .filter((belief) => hasModelLoaded(belief, name, adapter, now));
   assert.equal(holding.length, 1);
 });
 
