--- a/packages/fleet/src/fleet-state.ts
+++ b/packages/fleet/src/fleet-state.ts
@@ -1,43 +1,46 @@
-/** What the steps of the fleet share. */
+/** State shared by the modules of the fleet. */
 import type { Clock } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
 import type { EngineShape, Holdings, Milliseconds } from "@linkfall/types";
 import type { TargetView } from "./target-view.js";
 import type { EjectionPolicy } from "./health.js";
 
-/** How long a target whose entry lapsed goes on being believed in. */
+/** How long targets are kept after their entries disappear from the list. */
 export interface LapsePolicy {
-  /** After the store has come back, or after a lapse of many entries at once. */
+  /** Grace period after an entry disappears, or after the store is reachable again. */
   readonly graceMs: Milliseconds;
-  /** Share of a service's entries that go within the grace to be taken for a lapse. */
+  /** Share of a service's entries, 0 to 1, that must disappear within the grace period to count as a lapse of the list. */
   readonly minShare: number;
 }
 
+/** Settings of the fleet. */
 export interface FleetPolicies {
   readonly lapse: LapsePolicy;
   readonly ejection: EjectionPolicy;
 }
 
+/** Mutable state of one fleet. */
 export interface FleetState {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly policies: FleetPolicies;
   readonly targets: Map<string, TargetView>;
-  /** Holdings that were told of before their target, or its life, was listed here. */
+  /** Relayed holdings of targets, or of incarnations, that are not listed yet, by target id. */
   readonly pendingHoldings: Map<string, Holdings>;
   readonly changeListeners: (() => void)[];
-  /** Called with the id of a target that is gone or has started again. */
+  /** Called with the id of a target that is gone or has restarted. */
   readonly incarnationListeners: ((id: string) => void)[];
   engineShapes: ReadonlyMap<string, EngineShape | undefined>;
-  /** Whether engines' own word is fresh, so that the list is not believed about models. */
+  /** Whether the engines' own reports are up to date, in which case the models of the list are ignored. */
   hasDirectReports: () => boolean;
 }
 
-/** Tells that something changed that may let a waiting request go on. */
+/** Notifies listeners of a change that may allow a waiting request to proceed. */
 export function notifyChange(state: FleetState): void {
   for (const listener of state.changeListeners) listener();
 }
 
+/** Returns the targets of a service, listed or missing. */
 export function targetsOfService(state: FleetState, service: string): readonly TargetView[] {
-  return [...state.targets.values()].filter((belief) => belief.listed.service === service);
+  return [...state.targets.values()].filter((target) => target.listed.service === service);
 }
--- a/packages/fleet/src/fleet.feature
+++ b/packages/fleet/src/fleet.feature
@@ -1,56 +1,54 @@
-Feature: A box believes of its targets what was last known, and doubts the list when it lapses
+Feature: A box tracks its targets by the newest reports, and tolerates a lapse of the target list
 
   Background:
     Given a fleet with targets "t1 t2 t3 t4 t5" of one service
 
-  Scenario: A target that leaves gets nothing new, whatever the list says later
+  Scenario: A leaving target gets no new requests, even if it is listed as ready later
     When "t1" is listed as leaving
     And "t1" is listed as ready
     Then "t2 t3 t4 t5" may get requests
 
-  Scenario: A target whose entry goes alone gets nothing new
-    When the entry of "t1" goes
+  Scenario: A single target whose entry disappears gets no new requests
+    When the entry of "t1" disappears
     Then "t2 t3 t4 t5" may get requests
 
-  Scenario: When many entries go at once the list has lapsed and the targets are used on
-    When the entry of "t1" goes
-    And the entry of "t2" goes
-    And the entry of "t3" goes
+  Scenario: Targets stay in use when many entries disappear at once
+    When the entry of "t1" disappears
+    And the entry of "t2" disappears
+    And the entry of "t3" disappears
     Then "t1 t2 t3 t4 t5" may get requests
 
-  Scenario: Entries that go one after the other are no lapse, however long the first are missing
-    Requests reached a target 2.0 to 2.2 s after its entry had gone; 2 s are allowed. The box had left it out for 1.2 s, and then took it up again: "targetMissing" for
-    one target at 10.06 s, for it at 14.38 s and for a third at 15.59 s were taken together for a lapse of the list, 3 of 10, since the grace of the first began anew with
-    each look while the store was disturbed. From 15.59 s on it was chosen 22 times.
-    When the entry of "t1" goes
-    And 1700 ms pass without the store
-    And the entry of "t2" goes
+  Scenario: Entries that disappear one after the other are no lapse, however long the first are missing
+    Guards against sending requests to removed targets after a store outage has extended their grace period.
+    When the entry of "t1" disappears
+    And 1700 ms pass with the store unavailable
+    And the entry of "t2" disappears
     Then "t3 t4 t5" may get requests
 
-  Scenario: What is still missing after the grace is gone
-    When the entry of "t1" goes
-    And the entry of "t2" goes
-    And the entry of "t3" goes
+  Scenario: Targets still missing after the grace period are removed
+    When the entry of "t1" disappears
+    And the entry of "t2" disappears
+    And the entry of "t3" disappears
     And 2000 ms pass
     Then "t4 t5" may get requests
 
-  Scenario: While the store is away the grace does not run
-    When the entry of "t1" goes
-    And the entry of "t2" goes
-    And the entry of "t3" goes
-    And 9000 ms pass without the store
+  Scenario: The grace period does not run while the store is unavailable
+    When the entry of "t1" disappears
+    And the entry of "t2" disappears
+    And the entry of "t3" disappears
+    And 9000 ms pass with the store unavailable
     Then "t1 t2 t3 t4 t5" may get requests
     When 2000 ms pass
     Then "t4 t5" may get requests
 
-  Scenario: A target that comes back into the list within the grace is used on
-    When the entry of "t1" goes
+  Scenario: A target listed again within the grace period stays in use
+    When the entry of "t1" disappears
     And 500 ms pass
     And "t1" is listed as ready
     And 5000 ms pass
     Then "t1 t2 t3 t4 t5" may get requests
 
-  Scenario: Three failures in a row leave a target out for a while, longer each time
+  Scenario: Three consecutive failures eject a target, for longer each time
     When "t1" fails 3 times
     Then "t2 t3 t4 t5" may get requests
     When 1100 ms pass
@@ -59,98 +57,98 @@
     And 1100 ms pass
     Then "t2 t3 t4 t5" may get requests
 
-  Scenario: A port where nobody listens leaves a target out at once
-    When nobody listens at "t1"
+  Scenario: A refused connection ejects a target at once
+    When a connection to "t1" is refused
     Then "t2 t3 t4 t5" may get requests
 
-  Scenario: Targets that fail are better than none
-    When nobody listens at "t1"
-    And nobody listens at "t2"
-    And nobody listens at "t3"
-    And nobody listens at "t4"
-    And nobody listens at "t5"
+  Scenario: Ejected targets are used when no other is left
+    When a connection to "t1" is refused
+    And a connection to "t2" is refused
+    And a connection to "t3" is refused
+    And a connection to "t4" is refused
+    And a connection to "t5" is refused
     Then "t1 t2 t3 t4 t5" may get requests
 
-  Scenario: Older word of what an engine holds does not replace newer word
-    When "t1" says after 5 orders that it holds "a"
-    And "t1" says after 4 orders that it holds "b"
-    Then "t1" is believed to hold "a" and not "b"
-
-  Scenario: A model that is about to be dropped is held no more
-    When "t1" says after 5 orders that it holds "a"
-    And "a" is about to be dropped at "t1"
-    Then "t1" is believed not to hold "a"
-
-  Scenario: A target that denies a model is believed until it has taken another order
-    When "t1" says after 5 orders that it holds "a"
-    And "t1" denies "a"
-    Then "t1" is believed not to hold "a"
-    When "t1" says after 6 orders that it holds "a"
-    Then "t1" is believed to hold "a" and not "b"
-
-  Scenario: A target that refuses a model while an order seems to be under way is left for a moment
-    When "t1" says after 5 orders that it holds "a"
-    And "t1" refuses "a" for 500 ms
-    Then "t1" is believed not to hold "a"
+  Scenario: An older report of loaded models does not replace a newer one
+    When "t1" reports after 5 orders that it has loaded "a"
+    And "t1" reports after 4 orders that it has loaded "b"
+    Then "t1" is known to have "a" and not "b"
+
+  Scenario: A model about to be unloaded gets no requests
+    When "t1" reports after 5 orders that it has loaded "a"
+    And "a" is about to be unloaded at "t1"
+    Then "t1" is known not to have "a"
+
+  Scenario: A refusal of a model counts until the target has accepted another order
+    When "t1" reports after 5 orders that it has loaded "a"
+    And "t1" refuses to serve "a"
+    Then "t1" is known not to have "a"
+    When "t1" reports after 6 orders that it has loaded "a"
+    Then "t1" is known to have "a" and not "b"
+
+  Scenario: A refusal of a model with a time limit counts until then
+    When "t1" reports after 5 orders that it has loaded "a"
+    And "t1" refuses to serve "a" for 500 ms
+    Then "t1" is known not to have "a"
     When 600 ms pass
-    Then "t1" is believed to hold "a" and not "b"
-
-  Scenario: A target that starts again holds nothing of before
-    Given "t1" of life 1000 says after 7 orders that it holds "m"
-    When "t1" is listed with life 2000
-    Then "t1" is believed not to hold "m"
-    When "t1" of life 1000 says after 8 orders that it holds "m"
-    Then "t1" is believed not to hold "m"
-    When "t1" of life 2000 says after 1 orders that it holds "n"
-    Then "t1" is believed to hold "n"
-
-  Scenario: A target's own word of a new life counts before the list does
-    Given "t1" of life 1000 says after 7 orders that it holds "m"
-    When "t1" answers with life 2000 and 0 orders that it holds "n"
-    Then "t1" is believed to hold "n"
-    And "t1" is believed not to hold "m"
-    When "t1" is listed with life 1000
-    Then "t1" is believed to hold "n"
-
-  Scenario: A target whose clock was set back is believed all the same
-    Given "t1" is listed with life 2000
-    And "t1" of life 2000 says after 7 orders that it holds "m"
-    When "t1" of life 1000 says after 0 orders that it holds "n"
-    Then "t1" is believed to hold "m"
-    When "t1" is listed with life 1000
-    Then "t1" is believed to hold "n"
-    And "t1" is believed not to hold "m"
-
-  Scenario: What kept a target from being used ends with its life
-    Given "t1" is listed with life 1000
-    And nobody listens at "t1"
-    And "t2" is listed with life 1000
-    And "t2" is listed as leaving with life 1000
+    Then "t1" is known to have "a" and not "b"
+
+  Scenario: A restarted target has none of its previous models
+    Given another box reports that "t1" of incarnation 1000 has, after 7 orders, loaded "m"
+    When "t1" is listed with incarnation 2000
+    Then "t1" is known not to have "m"
+    When another box reports that "t1" of incarnation 1000 has, after 8 orders, loaded "m"
+    Then "t1" is known not to have "m"
+    When another box reports that "t1" of incarnation 2000 has, after 1 orders, loaded "n"
+    Then "t1" is known to have "n"
+
+  Scenario: A target's own report of a restart applies before the list shows it
+    Given another box reports that "t1" of incarnation 1000 has, after 7 orders, loaded "m"
+    When "t1" reports itself as incarnation 2000 and after 0 orders that it has loaded "n"
+    Then "t1" is known to have "n"
+    And "t1" is known not to have "m"
+    When "t1" is listed with incarnation 1000
+    Then "t1" is known to have "n"
+
+  Scenario: A restart is detected although the target's clock was set back
+    Given "t1" is listed with incarnation 2000
+    And another box reports that "t1" of incarnation 2000 has, after 7 orders, loaded "m"
+    When another box reports that "t1" of incarnation 1000 has, after 0 orders, loaded "n"
+    Then "t1" is known to have "m"
+    When "t1" is listed with incarnation 1000
+    Then "t1" is known to have "n"
+    And "t1" is known not to have "m"
+
+  Scenario: Ejection and leaving end with a restart
+    Given "t1" is listed with incarnation 1000
+    And a connection to "t1" is refused
+    And "t2" is listed with incarnation 1000
+    And "t2" is listed as leaving with incarnation 1000
     Then "t3 t4 t5" may get requests
-    When "t1" is listed with life 2000
-    And "t2" is listed with life 2000
+    When "t1" is listed with incarnation 2000
+    And "t2" is listed with incarnation 2000
     Then "t1 t2 t3 t4 t5" may get requests
 
-  Scenario: A target whose entry cannot be read gets nothing new, until its entry is good again
+  Scenario: A target whose entry can't be read gets no new requests until the entry is valid again
     When the entries of "t1 t2 t3" can't be read
     Then "t4 t5" may get requests
     When "t2" is listed as ready
     Then "t4 t5 t2" may get requests
 
-  Scenario: For random lives and words that come late or through other boxes the newest life counts
-    Then of 500 random histories each ends with what the last life of the target says
+  Scenario: The newest incarnation wins for random restarts with late and relayed reports
+    Then of 500 random histories each ends with the holdings of the last incarnation
 
-  Scenario: A target that asks to be left alone gets nothing new for that time
-    When "t1" asks to be left alone for 1000 ms
+  Scenario: A target that asks for a back-off gets no new requests for that time
+    When "t1" asks for a back-off of 1000 ms
     Then "t2 t3 t4 t5" may get requests
     When 1000 ms pass
     Then "t1 t2 t3 t4 t5" may get requests
 
-  Scenario: A target that asks to be left alone for very long is found again
-    When "t1" asks to be left alone for 3600000 ms
+  Scenario: A very long back-off is capped
+    When "t1" asks for a back-off of 3600000 ms
     And 10000 ms pass
     Then "t1 t2 t3 t4 t5" may get requests
 
-  Scenario: With all targets asking to be left alone, they are better than none
-    When each target asks to be left alone for 1000 ms
+  Scenario: Targets in back-off are used when no other is left
+    When each target asks for a back-off of 1000 ms
     Then "t1 t2 t3 t4 t5" may get requests
--- a/packages/fleet/src/fleet.steps.ts
+++ b/packages/fleet/src/fleet.steps.ts
@@ -25,7 +25,7 @@
   return { id, born, service, address: `10.0.0.1:${id.length}`, domain: "d", slots: 4, leaving };
 }
 
-function holding(born: Milliseconds | undefined, sequence: number, model: string): Holdings {
+function holdingsOf(born: Milliseconds | undefined, sequence: number, model: string): Holdings {
   return { born, sequence, models: [{ name: model, version: 1, adapters: [] }] };
 }
 
@@ -35,11 +35,11 @@
   return { ...holdings, ...idle, ...weights, limit: { kind: "none" } };
 }
 
-const words = (text: string) => text.split(" ");
+const idsOf = (text: string) => text.split(" ");
 
-type Word = typeof randomWord extends fc.Arbitrary<infer Value> ? Value : never;
+type RandomReport = typeof randomReport extends fc.Arbitrary<infer Value> ? Value : never;
 
-function newFleet(): Scene {
+function createScene(): Scene {
   const clock = createVirtualClock();
   const kernel = createKernel();
   kernel.provide(clockName, clock);
@@ -55,8 +55,8 @@
 }
 
 Given("a fleet with targets {string} of one service", function (this: object, ids: string) {
-  const scene = newFleet();
-  scene.fleet.applyList(words(ids).map((id) => listed(id)));
+  const scene = createScene();
+  scene.fleet.applyList(idsOf(ids).map((id) => listed(id)));
   scenes.set(this, scene);
 });
 
@@ -68,11 +68,11 @@
   sceneOf(this).fleet.applyEntry(listed(id));
 });
 
-When("the entry of {string} goes", function (this: object, id: string) {
+When("the entry of {string} disappears", function (this: object, id: string) {
   sceneOf(this).fleet.removeEntry(id);
 });
 
-async function pass(world: object, ms: number, storeDisturbed: boolean): Promise<void> {
+async function passTime(world: object, ms: number, storeDisturbed: boolean): Promise<void> {
   const { clock, fleet } = sceneOf(world);
   const end = clock.now() + ms;
   while (clock.now() < end) {
@@ -82,21 +82,18 @@
 }
 
 When("{int} ms pass", function (this: object, ms: number) {
-  return pass(this, ms, false);
+  return passTime(this, ms, false);
 });
 
-When("{int} ms pass without the store", function (this: object, ms: number) {
-  return pass(this, ms, true);
+When("{int} ms pass with the store unavailable", function (this: object, ms: number) {
+  return passTime(this, ms, true);
 });
 
-When(
-  "{string} asks to be left alone for {int} ms",
-  function (this: object, id: string, ms: number) {
-    sceneOf(this).fleet.backOff(id, ms);
-  },
-);
+When("{string} asks for a back-off of {int} ms", function (this: object, id: string, ms: number) {
+  sceneOf(this).fleet.backOff(id, ms);
+});
 
-When("each target asks to be left alone for {int} ms", function (this: object, ms: number) {
+When("each target asks for a back-off of {int} ms", function (this: object, ms: number) {
   const { fleet } = sceneOf(this);
   for (const { listed } of fleet.all()) fleet.backOff(listed.id, ms);
 });
@@ -105,12 +102,12 @@
   for (let index = 0; index < times; index++) sceneOf(this).fleet.recordFailure(id, "test");
 });
 
-When("nobody listens at {string}", function (this: object, id: string) {
+When("a connection to {string} is refused", function (this: object, id: string) {
   sceneOf(this).fleet.recordUnreachable(id, "test");
 });
 
 When(
-  "{string} says after {int} orders that it holds {string}",
+  "{string} reports after {int} orders that it has loaded {string}",
   function (this: object, id: string, sequence: number, model: string) {
     const models = [{ name: model, version: 1, adapters: [] }];
     sceneOf(this).fleet.applyRelayedHoldings(id, { sequence, models });
@@ -118,132 +115,138 @@
 );
 
 When(
-  "{string} is about to be dropped at {string}",
+  "{string} is about to be unloaded at {string}",
   function (this: object, model: string, id: string) {
     sceneOf(this).fleet.setWithheldModels(new Map([[id, [model]]]));
   },
 );
 
 When(
-  "{string} refuses {string} for {int} ms",
+  "{string} refuses to serve {string} for {int} ms",
   function (this: object, id: string, model: string, ms: number) {
     sceneOf(this).fleet.recordModelRefusal(id, model, ms);
   },
 );
 
-When("{string} denies {string}", function (this: object, id: string, model: string) {
+When("{string} refuses to serve {string}", function (this: object, id: string, model: string) {
   sceneOf(this).fleet.recordModelRefusal(id, model);
 });
 
 Then("{string} may get requests", function (this: object, ids: string) {
   const usable = sceneOf(this).fleet.usableTargets(service);
   assert.deepEqual(
-    usable.map((belief) => belief.listed.id),
-    words(ids),
+    usable.map((target) => target.listed.id),
+    idsOf(ids),
   );
 });
 
-function believed(world: object, id: string, model: string): boolean {
+function isLoaded(world: object, id: string, model: string): boolean {
   const { fleet, clock } = sceneOf(world);
-  const belief = fleet.find(id);
-  assert.ok(belief);
-  return hasModelLoaded(belief, model, undefined, clock.now());
+  const target = fleet.find(id);
+  assert.ok(target);
+  return hasModelLoaded(target, model, undefined, clock.now());
 }
 
 Then(
-  "{string} is believed to hold {string} and not {string}",
-  function (this: object, id: string, held: string, other: string) {
-    assert.ok(believed(this, id, held));
-    assert.ok(!believed(this, id, other));
+  "{string} is known to have {string} and not {string}",
+  function (this: object, id: string, model: string, other: string) {
+    assert.ok(isLoaded(this, id, model));
+    assert.ok(!isLoaded(this, id, other));
   },
 );
 
-Then("{string} is believed to hold {string}", function (this: object, id: string, model: string) {
-  assert.ok(believed(this, id, model));
+Then("{string} is known to have {string}", function (this: object, id: string, model: string) {
+  assert.ok(isLoaded(this, id, model));
 });
 
-Then(
-  "{string} is believed not to hold {string}",
-  function (this: object, id: string, model: string) {
-    assert.ok(!believed(this, id, model));
-  },
-);
+Then("{string} is known not to have {string}", function (this: object, id: string, model: string) {
+  assert.ok(!isLoaded(this, id, model));
+});
 
 Given(
-  "{string} of life {int} says after {int} orders that it holds {string}",
+  "another box reports that {string} of incarnation {int} has, after {int} orders, loaded {string}",
   function (this: object, id: string, born: number, sequence: number, model: string) {
-    sceneOf(this).fleet.applyRelayedHoldings(id, holding(born, sequence, model));
+    sceneOf(this).fleet.applyRelayedHoldings(id, holdingsOf(born, sequence, model));
   },
 );
 
 When(
-  "{string} answers with life {int} and {int} orders that it holds {string}",
+  "{string} reports itself as incarnation {int} and after {int} orders that it has loaded {string}",
   function (this: object, id: string, born: number, sequence: number, model: string) {
-    sceneOf(this).fleet.applyState(id, stateOf(holding(born, sequence, model)), 0);
+    sceneOf(this).fleet.applyState(id, stateOf(holdingsOf(born, sequence, model)), 0);
   },
 );
 
-When("{string} is listed with life {int}", function (this: object, id: string, born: number) {
-  sceneOf(this).fleet.applyEntry(listed(id, false, born));
-});
+When(
+  "{string} is listed with incarnation {int}",
+  function (this: object, id: string, born: number) {
+    sceneOf(this).fleet.applyEntry(listed(id, false, born));
+  },
+);
 
 When(
-  "{string} is listed as leaving with life {int}",
+  "{string} is listed as leaving with incarnation {int}",
   function (this: object, id: string, born: number) {
     sceneOf(this).fleet.applyEntry(listed(id, true, born));
   },
 );
 
 When("the entries of {string} can't be read", function (this: object, ids: string) {
-  for (const id of words(ids)) sceneOf(this).fleet.excludeUnreadable(id);
+  for (const id of idsOf(ids)) sceneOf(this).fleet.excludeUnreadable(id);
 });
 
-/** One word about the target of a random history. */
-const randomWord = fc.record({
+/** One report in a random history of a target. */
+const randomReport = fc.record({
   kind: fc.constantFrom("list", "own_word", "told"),
-  /** For a word that another box tells: how many lives and orders old it is at most. */
-  livesAgo: fc.nat(3),
+  /** For a relayed report: how many incarnations and orders it is outdated by, at most. */
+  incarnationsAgo: fc.nat(3),
   ordersAgo: fc.nat(3),
-  /** What happens at the target before. */
+  /** What happens at the target before the report. */
   before: fc.constantFrom("nothing", "order", "restart"),
 });
 
-/** Plays a history, later births counting as later lives; returns what is believed in the end and what is true. */
-async function playHistory(words: readonly Word[]): Promise<readonly [Holdings, Holdings]> {
-  const { fleet, clock } = newFleet();
-  const lives: Holdings[][] = [[holding(1_000, 0, "m0")]];
-  const last = () => lives[lives.length - 1][lives[lives.length - 1].length - 1];
+/** Plays a history with growing start times; returns the fleet's final holdings and the actual ones. */
+async function playHistory(
+  reports: readonly RandomReport[],
+): Promise<readonly [Holdings, Holdings]> {
+  const { fleet, clock } = createScene();
+  const incarnations: Holdings[][] = [[holdingsOf(1_000, 0, "m0")]];
+  const last = () =>
+    incarnations[incarnations.length - 1][incarnations[incarnations.length - 1].length - 1];
   fleet.applyList([listed("t", false, 1_000)]);
-  const say = ({ kind, livesAgo, ordersAgo }: Word) => {
+  const report = ({ kind, incarnationsAgo, ordersAgo }: RandomReport) => {
     if (kind === "list") return fleet.applyEntry(listed("t", false, last().born));
     if (kind === "own_word") return fleet.applyState("t", stateOf(last()), 0);
-    const life = lives[Math.max(0, lives.length - 1 - livesAgo)];
-    fleet.applyRelayedHoldings("t", life[Math.max(0, life.length - 1 - ordersAgo)]);
+    const incarnation = incarnations[Math.max(0, incarnations.length - 1 - incarnationsAgo)];
+    fleet.applyRelayedHoldings("t", incarnation[Math.max(0, incarnation.length - 1 - ordersAgo)]);
   };
-  for (const word of words) {
+  for (const event of reports) {
     const { born = 0, sequence } = last();
-    if (word.before === "order") {
-      lives[lives.length - 1].push(holding(born, sequence + 1, `m${lives.length}-${sequence + 1}`));
+    if (event.before === "order") {
+      incarnations[incarnations.length - 1].push(
+        holdingsOf(born, sequence + 1, `m${incarnations.length}-${sequence + 1}`),
+      );
     }
-    if (word.before === "restart") lives.push([holding(born + 1_000, 0, `m${lives.length}`)]);
+    if (event.before === "restart")
+      incarnations.push([holdingsOf(born + 1_000, 0, `m${incarnations.length}`)]);
     await clock.runUntil(clock.now() + 1);
     const known = fleet.find("t")?.born ?? 0;
-    say(word);
-    assert.ok((fleet.find("t")?.born ?? 0) >= known, "an earlier life came back");
+    report(event);
+    assert.ok((fleet.find("t")?.born ?? 0) >= known, "went back to an earlier incarnation");
   }
   await clock.runUntil(clock.now() + 1);
   fleet.applyState("t", stateOf(last()), 0);
-  const belief = fleet.find("t");
-  assert.ok(belief);
-  return [belief.holdings, last()];
+  const target = fleet.find("t");
+  assert.ok(target);
+  return [target.holdings, last()];
 }
 
 Then(
-  "of {int} random histories each ends with what the last life of the target says",
+  "of {int} random histories each ends with the holdings of the last incarnation",
   async (numRuns: number) => {
-    const history = fc.asyncProperty(fc.array(randomWord, { maxLength: 12 }), async (words) => {
-      const [believedHoldings, truth] = await playHistory(words);
-      assert.deepEqual(believedHoldings, truth);
+    const history = fc.asyncProperty(fc.array(randomReport, { maxLength: 12 }), async (reports) => {
+      const [actual, expected] = await playHistory(reports);
+      assert.deepEqual(actual, expected);
     });
     await fc.assert(history, { seed: 32, numRuns });
   },
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -1,4 +1,4 @@
-/** The targets as one box believes them to be: listed, lapsed or gone, what they hold, their load. */
+/** One box's view of the targets: which are listed, what they have loaded, their load and health. */
 import { clockName, type Kernel, serviceName } from "@linkfall/kernel";
 import { loggerName } from "@linkfall/logger";
 import type {
@@ -18,131 +18,155 @@
 import { keepPendingHoldings, viewForDirectReport, viewForRelayedReport } from "./incarnations.js";
 import { afterFailure, afterRefusedConnection, afterSuccess, isEjected } from "./health.js";
 import {
-  dropEntry,
-  expireLapsed,
-  leaveAlone,
-  takeEntry,
-  takeList,
-  wentInLapse,
+  removeEntry,
+  expireMissing,
+  excludeUnreadable,
+  applyEntry,
+  applyList,
+  disappearedInLapse,
 } from "./target-list.js";
 
+/** Tracks the targets of all services from the target list, direct and relayed reports, and request outcomes. */
 export interface Fleet {
-  /** Takes the whole list; targets that it lacks have lapsed or are gone. */
+  /** Applies the complete list; targets that it lacks become missing. */
   applyList(list: readonly ListedTarget[]): void;
+  /** Applies one new or changed entry. */
   applyEntry(target: ListedTarget): void;
-  /** Takes that an entry has gone from the list. */
+  /** Handles an entry that was deleted from the list. */
   removeEntry(id: string): void;
-  /** Takes that an entry can't be read: its target is left alone, and what runs there ends well. */
+  /** Handles an entry that can't be reported: its target gets no new requests; those in flight continue. */
   excludeUnreadable(id: string): void;
+  /** Applies a state that the target itself reported `ageMs` ago. */
   applyState(id: string, state: EngineState, ageMs: Milliseconds): void;
-  /** Takes what the holder of the order lease tells, also of a target that is not listed here yet. */
+  /** Applies holdings relayed by the lease holder, also of a target that is not listed here yet. */
   applyRelayedHoldings(id: string, holdings: Holdings): void;
-  /** Requests of the other boxes, by target. */
+  /** Replaces the load caused by other boxes, by target id. */
   setOtherBoxesLoads(loads: ReadonlyMap<string, TargetLoad>): void;
+  /** Replaces the models about to be unloaded, by target id; they get no new requests. */
   setWithheldModels(models: ReadonlyMap<string, readonly string[]>): void;
-  /** Notes that a target refused to serve weights; for `forMs`, or until it has taken an order. */
+  /** Records that a target refused to serve a model (`model` or `model/adapter`), for `forMs` or until newer holdings. */
   recordModelRefusal(id: string, key: string, forMs?: Milliseconds): void;
-  /** Notes that a target has asked for no requests for a time. */
+  /** Sends the target no new requests for `forMs`, as it asked; the time is capped. */
   backOff(id: string, forMs: Milliseconds): void;
+  /** Records a successful response. */
   recordSuccess(id: string): void;
+  /** Records a failure caused by the target, and ejects it after too many in a row. */
   recordFailure(id: string, reason: string): void;
-  /** Notes that nobody, or somebody else, listens at the target's address. */
+  /** Records that the target is not listening at its address, and ejects it. */
   recordUnreachable(id: string, reason: string): void;
+  /** Returns the target, also while it is missing from the list. */
   find(id: string): TargetView | undefined;
+  /** Returns all targets, listed or missing. */
   all(): readonly TargetView[];
-  /** Targets of a service that may get new requests. */
+  /** Returns the targets of a service that may get new requests. */
   usableTargets(service: string): readonly TargetView[];
-  /** Calls the listener with the id of a target whose life has ended here: it is gone, or has started again. */
+  /** Calls the listener with the id of a target that is gone or has restarted. */
   onIncarnationEnded(listener: (id: string) => void): void;
-  /** Calls the listener after each change that may let a waiting request go on. */
+  /** Calls the listener after each change that may allow a waiting request to proceed. */
   onChange(listener: () => void): void;
+  /** Sets the engine shapes by service; undefined for a service without engines. */
   setEngineShapes(shapes: ReadonlyMap<string, EngineShape | undefined>): void;
-  /** Tells when the list is to be believed about models: never while engines' own word is fresh. */
+  /** Ignores the models of the list while `fresh` returns true, in favour of the engines' own reports. */
   preferDirectReportsWhile(fresh: () => boolean): void;
-  /** Removes targets whose lapse has lasted longer than the grace. */
+  /** Removes targets missing for longer than the grace period, which does not run while the store is disturbed. */
   expireMissing(storeDisturbed: boolean): void;
 }
 
+/** Name of the fleet in the kernel. */
 export const fleetName = serviceName<Fleet>("fleet");
 
-/** Notes a failure, and leaves the target out where that makes too many. */
-function worsen(state: FleetState, id: string, reason: string, after: typeof afterFailure): void {
-  const { clock, logger, policies: rules } = state;
-  const belief = state.targets.get(id);
-  if (!belief) return;
-  const before = belief.health;
-  belief.health = after(before, rules.ejection, clock.now());
-  if (belief.health.ejections === before.ejections) return;
-  const forMs = Math.round(belief.health.ejectedUntil - clock.now());
+/** Updates the target's health after a failure, and logs an ejection. */
+function updateHealth(
+  state: FleetState,
+  id: string,
+  reason: string,
+  nextHealth: typeof afterFailure,
+): void {
+  const { clock, logger, policies } = state;
+  const target = state.targets.get(id);
+  if (!target) return;
+  const before = target.health;
+  target.health = nextHealth(before, policies.ejection, clock.now());
+  if (target.health.ejections === before.ejections) return;
+  const forMs = Math.round(target.health.ejectedUntil - clock.now());
   logger.event("targetEjected", { target: id, reason, forMs });
   clock.after(forMs, () => notifyChange(state));
 }
 
-function takeState(state: FleetState, id: string, read: EngineState, ageMs: Milliseconds): void {
+function applyState(
+  state: FleetState,
+  id: string,
+  reported: EngineState,
+  ageMs: Milliseconds,
+): void {
   const known = state.targets.get(id);
   const now = state.clock.now();
   const at = now - ageMs;
   if (!known || at <= known.stateReadAt) return;
-  const belief = viewForDirectReport(state, known, read);
-  belief.state = read;
-  belief.stateReadAt = at;
-  if (applyHoldings(belief, read, now)) notifyChange(state);
+  const target = viewForDirectReport(state, known, reported);
+  target.state = reported;
+  target.stateReadAt = at;
+  if (applyHoldings(target, reported, now)) notifyChange(state);
 }
 
-function takeTold(state: FleetState, id: string, holdings: Holdings): void {
+function applyRelayedHoldings(state: FleetState, id: string, holdings: Holdings): void {
   const known = state.targets.get(id);
   if (!known) return keepPendingHoldings(state, id, holdings);
-  const belief = viewForRelayedReport(state, known, holdings);
-  if (belief && applyHoldings(belief, holdings, state.clock.now())) notifyChange(state);
+  const target = viewForRelayedReport(state, known, holdings);
+  if (target && applyHoldings(target, holdings, state.clock.now())) notifyChange(state);
 }
 
-function withhold(state: FleetState, models: ReadonlyMap<string, readonly string[]>): void {
-  let freed = false;
-  for (const belief of state.targets.values()) {
-    const withheld = new Set(models.get(belief.listed.id) ?? []);
-    if (withheld.size < belief.withheldModels.size) freed = true;
-    belief.withheldModels = withheld;
+function setWithheldModels(
+  state: FleetState,
+  models: ReadonlyMap<string, readonly string[]>,
+): void {
+  let anyReleased = false;
+  for (const target of state.targets.values()) {
+    const withheld = new Set(models.get(target.listed.id) ?? []);
+    if (withheld.size < target.withheldModels.size) anyReleased = true;
+    target.withheldModels = withheld;
   }
-  if (freed) notifyChange(state);
+  if (anyReleased) notifyChange(state);
 }
 
-function deny(state: FleetState, id: string, key: string, forMs: Milliseconds): void {
-  const belief = state.targets.get(id);
-  if (!belief) return;
-  const { sequence } = belief.holdings;
-  belief.modelRefusals.set(key, { sequence, until: state.clock.now() + forMs });
+function recordModelRefusal(state: FleetState, id: string, key: string, forMs: Milliseconds): void {
+  const target = state.targets.get(id);
+  if (!target) return;
+  const { sequence } = target.holdings;
+  target.modelRefusals.set(key, { sequence, until: state.clock.now() + forMs });
   if (Number.isFinite(forMs)) state.clock.after(forMs, () => notifyChange(state));
 }
 
-/** Longest back-off, whatever a target asks for: nobody learns that it has recovered while it gets no requests. */
-const longestBackOffMs: Milliseconds = 10_000;
+/** Upper bound of a back-off: the target's recovery is only observed through requests. */
+const maxBackOffMs: Milliseconds = 10_000;
 
-function backOff(state: FleetState, id: string, askedMs: Milliseconds): void {
-  const belief = state.targets.get(id);
-  if (!belief) return;
-  const forMs = Math.min(askedMs, longestBackOffMs);
-  belief.backOffUntil = Math.max(belief.backOffUntil, state.clock.now() + forMs);
+function backOff(state: FleetState, id: string, requestedMs: Milliseconds): void {
+  const target = state.targets.get(id);
+  if (!target) return;
+  const forMs = Math.min(requestedMs, maxBackOffMs);
+  target.backOffUntil = Math.max(target.backOffUntil, state.clock.now() + forMs);
   state.clock.after(forMs, () => notifyChange(state));
 }
 
-function usable(state: FleetState, service: string): readonly TargetView[] {
+function usableTargets(state: FleetState, service: string): readonly TargetView[] {
   const now = state.clock.now();
   const targets = targetsOfService(state, service);
-  const staying = targets.filter((belief) => !belief.listed.leaving);
-  const isListed = (belief: TargetView) =>
-    belief.unlistedAt === undefined || wentInLapse(state, belief, targets);
-  const sound = staying.filter(
-    (belief) => isListed(belief) && !isEjected(belief.health, now) && now >= belief.backOffUntil,
+  const staying = targets.filter((target) => !target.listed.leaving);
+  const isListed = (target: TargetView) =>
+    target.unlistedAt === undefined || disappearedInLapse(state, target, targets);
+  const available = staying.filter(
+    (target) => isListed(target) && !isEjected(target.health, now) && now >= target.backOffUntil,
   );
-  // With nothing else left, a target that was left out is better than none.
-  return sound.length > 0 ? sound : staying;
+  // If no target is available, an ejected or missing one is better than none.
+  return available.length > 0 ? available : staying;
 }
 
-export function createFleet(kernel: Kernel, rules: FleetPolicies): Fleet {
+/** Creates a fleet without targets. */
+export function createFleet(kernel: Kernel, policies: FleetPolicies): Fleet {
   const state: FleetState = {
     clock: kernel.find(clockName),
     logger: kernel.find(loggerName),
-    policies: rules,
+    policies,
     targets: new Map(),
     pendingHoldings: new Map(),
     changeListeners: [],
@@ -150,38 +174,38 @@
     engineShapes: new Map(),
     hasDirectReports: () => false,
   };
-  const { targets: beliefs, changeListeners: listeners } = state;
+  const { targets, changeListeners } = state;
   return {
-    applyList: (list) => takeList(state, list),
-    applyEntry: (target) => takeEntry(state, target),
-    removeEntry: (id) => dropEntry(state, id),
-    excludeUnreadable: (id) => leaveAlone(state, id),
-    applyState: (id, read, ageMs) => takeState(state, id, read, ageMs),
-    applyRelayedHoldings: (id, holdings) => takeTold(state, id, holdings),
+    applyList: (list) => applyList(state, list),
+    applyEntry: (target) => applyEntry(state, target),
+    removeEntry: (id) => removeEntry(state, id),
+    excludeUnreadable: (id) => excludeUnreadable(state, id),
+    applyState: (id, reported, ageMs) => applyState(state, id, reported, ageMs),
+    applyRelayedHoldings: (id, holdings) => applyRelayedHoldings(state, id, holdings),
     setOtherBoxesLoads(loads) {
-      for (const belief of beliefs.values())
-        belief.otherBoxesLoad = loads.get(belief.listed.id) ?? noLoad;
+      for (const target of targets.values())
+        target.otherBoxesLoad = loads.get(target.listed.id) ?? noLoad;
     },
-    setWithheldModels: (models) => withhold(state, models),
-    recordModelRefusal: (id, key, forMs = Infinity) => deny(state, id, key, forMs),
+    setWithheldModels: (models) => setWithheldModels(state, models),
+    recordModelRefusal: (id, key, forMs = Infinity) => recordModelRefusal(state, id, key, forMs),
     backOff: (id, forMs) => backOff(state, id, forMs),
     recordSuccess(id) {
-      const belief = beliefs.get(id);
-      if (belief) belief.health = afterSuccess(belief.health);
+      const target = targets.get(id);
+      if (target) target.health = afterSuccess(target.health);
     },
-    recordFailure: (id, reason) => worsen(state, id, reason, afterFailure),
-    recordUnreachable: (id, reason) => worsen(state, id, reason, afterRefusedConnection),
-    find: (id) => beliefs.get(id),
-    all: () => [...beliefs.values()],
-    usableTargets: (service) => usable(state, service),
+    recordFailure: (id, reason) => updateHealth(state, id, reason, afterFailure),
+    recordUnreachable: (id, reason) => updateHealth(state, id, reason, afterRefusedConnection),
+    find: (id) => targets.get(id),
+    all: () => [...targets.values()],
+    usableTargets: (service) => usableTargets(state, service),
     onIncarnationEnded: (listener) => void state.incarnationListeners.push(listener),
-    onChange: (listener) => void listeners.push(listener),
+    onChange: (listener) => void changeListeners.push(listener),
     setEngineShapes(shapes) {
       state.engineShapes = shapes;
     },
     preferDirectReportsWhile(fresh) {
       state.hasDirectReports = fresh;
     },
-    expireMissing: (storeDisturbed) => expireLapsed(state, storeDisturbed),
+    expireMissing: (storeDisturbed) => expireMissing(state, storeDisturbed),
   };
 }
--- a/packages/fleet/src/health.ts
+++ b/packages/fleet/src/health.ts
@@ -1,14 +1,14 @@
-/** Leaves a target out for a while after failures in a row; each further time for longer. */
+/** Ejects a target after consecutive failures, with exponentially growing ejection times. */
 import type { Milliseconds } from "@linkfall/types";
 
-/** When a target is left out, and for how long. */
+/** When a target is ejected, and for how long. */
 export interface EjectionPolicy {
   readonly consecutiveFailures: number;
   readonly initialMs: Milliseconds;
   readonly maxMs: Milliseconds;
 }
 
-/** What one box has seen of a target's answers. */
+/** A target's recent successes and failures, as observed by one box. */
 export interface Health {
   readonly consecutiveFailures: number;
   readonly ejections: number;
@@ -17,30 +17,38 @@
 
 export const initialHealth: Health = { consecutiveFailures: 0, ejections: 0, ejectedUntil: 0 };
 
-/** Health after an answer that the target made as it should. */
+/** Returns the health after a successful response. */
 export function afterSuccess(health: Health): Health {
   if (health.consecutiveFailures === 0 && health.ejections === 0) return health;
   return { consecutiveFailures: 0, ejections: Math.max(0, health.ejections - 1), ejectedUntil: 0 };
 }
 
-/** Health after a failure that the target is to blame for. */
-export function afterFailure(health: Health, rule: EjectionPolicy, now: Milliseconds): Health {
+/** Returns the health after a failure caused by the target. */
+export function afterFailure(health: Health, policy: EjectionPolicy, now: Milliseconds): Health {
   const failures = health.consecutiveFailures + 1;
-  if (failures < rule.consecutiveFailures) return { ...health, consecutiveFailures: failures };
-  const lasting = Math.min(rule.maxMs, rule.initialMs * 2 ** health.ejections);
-  return { consecutiveFailures: 0, ejections: health.ejections + 1, ejectedUntil: now + lasting };
+  if (failures < policy.consecutiveFailures) return { ...health, consecutiveFailures: failures };
+  const durationMs = Math.min(policy.maxMs, policy.initialMs * 2 ** health.ejections);
+  return {
+    consecutiveFailures: 0,
+    ejections: health.ejections + 1,
+    ejectedUntil: now + durationMs,
+  };
 }
 
-/** Whether the target is left out now. */
+/** Whether the target is ejected at `now`. */
 export function isEjected(health: Health, now: Milliseconds): boolean {
   return now < health.ejectedUntil;
 }
 
-/** Health after the target was found not to listen: it is left out at once. */
+/** Returns the health after a refused connection, which ejects the target at once. */
 export function afterRefusedConnection(
   health: Health,
-  rule: EjectionPolicy,
+  policy: EjectionPolicy,
   now: Milliseconds,
 ): Health {
-  return afterFailure({ ...health, consecutiveFailures: rule.consecutiveFailures - 1 }, rule, now);
+  return afterFailure(
+    { ...health, consecutiveFailures: policy.consecutiveFailures - 1 },
+    policy,
+    now,
+  );
 }
--- a/packages/fleet/src/incarnations.ts
+++ b/packages/fleet/src/incarnations.ts
@@ -1,20 +1,18 @@
 /**
- * The lives of a target: it may start again under its id, and then holds and knows nothing of before. Its birth tells its
- * lives apart. Weighed: the birth as a part of the key in everything that is kept by id, against one place that begins a
- * new belief; the second, since whoever holds on to the old belief (a send under way, an order that is not answered) then
- * changes nothing of the new one.
+ * Detects restarts of targets. A restarted target keeps its id and has a new start time (`born`). Each incarnation gets a
+ * new view, so that callers still holding the old one (a request or an order in flight) can't affect it.
  */
 import type { Holdings, ListedTarget, Milliseconds } from "@linkfall/types";
 import { createTargetView, applyHoldings, type TargetView } from "./target-view.js";
 import { type FleetState, notifyChange } from "./fleet-state.js";
 
-/** Where a birth was told; `told` is another box, whose word may be older than what is known here. */
+/** Source of a start time: the target list, the target's own state, or another box, whose report may be outdated. */
 export type RestartSource = "list" | "own_word" | "told";
 
-/** Targets that were told of before this box knew of them, or of their life; the oldest are let go of first. */
+/** Limit of pending holdings; the oldest are evicted first. */
 const maxPendingHoldings = 5_000;
 
-/** Whether two births name one life; a birth that was not told says nothing against it. */
+/** Whether two start times may belong to the same incarnation; an unknown one matches any. */
 export function isSameIncarnation(
   left: Milliseconds | undefined,
   right: Milliseconds | undefined,
@@ -22,100 +20,98 @@
   return left === undefined || right === undefined || left === right;
 }
 
-/** Keeps what was told of a target until the list brings it, or its life. */
+/** Keeps relayed holdings until the target, or its incarnation, is listed. */
 export function keepPendingHoldings(
-  { pendingHoldings: early }: FleetState,
+  { pendingHoldings }: FleetState,
   id: string,
   holdings: Holdings,
 ): void {
-  early.delete(id);
-  early.set(id, holdings);
-  if (early.size > maxPendingHoldings) early.delete(early.keys().next().value ?? "");
+  pendingHoldings.delete(id);
+  pendingHoldings.set(id, holdings);
+  if (pendingHoldings.size > maxPendingHoldings)
+    pendingHoldings.delete(pendingHoldings.keys().next().value ?? "");
 }
 
-/** Takes what was told of a belief's life before this box knew of it. */
+/** Applies pending holdings of the target's current incarnation. */
 export function applyPendingHoldings(
-  { pendingHoldings: early, clock }: FleetState,
-  belief: TargetView,
+  { pendingHoldings, clock }: FleetState,
+  target: TargetView,
 ): void {
-  const { id } = belief.listed;
-  const told = early.get(id);
-  if (!told || !isSameIncarnation(told.born, belief.born)) return;
-  early.delete(id);
-  applyHoldings(belief, told, clock.now());
+  const { id } = target.listed;
+  const pending = pendingHoldings.get(id);
+  if (!pending || !isSameIncarnation(pending.born, target.born)) return;
+  pendingHoldings.delete(id);
+  applyHoldings(target, pending, clock.now());
 }
 
-/** Tells that nothing that is kept of a target counts any more. */
-export function notifyIncarnationEnded(
-  { incarnationListeners: lifeListeners }: FleetState,
-  id: string,
-): void {
-  for (const listener of lifeListeners) listener(id);
+/** Notifies listeners that state kept for the target is void. */
+export function notifyIncarnationEnded({ incarnationListeners }: FleetState, id: string): void {
+  for (const listener of incarnationListeners) listener(id);
 }
 
-/** Begins to believe in a new life: nothing of the one before counts. */
+/** Replaces the target's view by an empty one for a new incarnation. */
 function beginIncarnation(
   state: FleetState,
   listed: ListedTarget,
   born: Milliseconds | undefined,
   source: RestartSource,
 ): TargetView {
-  const { targets: beliefs, clock, engineShapes: engines, logger } = state;
-  const belief = createTargetView(listed, born, engines.get(listed.service), clock.now());
-  beliefs.set(listed.id, belief);
+  const { targets, clock, engineShapes, logger } = state;
+  const target = createTargetView(listed, born, engineShapes.get(listed.service), clock.now());
+  targets.set(listed.id, target);
   logger.event("targetStartedAgain", { target: listed.id, born, source });
-  applyPendingHoldings(state, belief);
+  applyPendingHoldings(state, target);
   notifyIncarnationEnded(state, listed.id);
   notifyChange(state);
-  return belief;
+  return target;
 }
 
 /**
- * The belief that an entry of the list is about. The list tells its entries in order, so that a birth which it did not tell
- * before is news whatever it is: a target's clock may have been set back. Only of the first birth that it tells is it not
- * known whether it is older than what the target itself has said; there the later one counts.
+ * Returns the view that a list entry applies to. Entries arrive in order, so a changed start time means a new incarnation,
+ * even if it is earlier: the target's clock may have been set back. The first listed start time may be older than the
+ * target's own report; there the later one wins.
  */
 export function viewForEntry(
   state: FleetState,
-  belief: TargetView,
+  target: TargetView,
   listed: ListedTarget,
 ): TargetView {
   const { born } = listed;
-  if (born === undefined || isSameIncarnation(born, belief.born)) return belief;
-  const before = belief.listed.born;
-  const isNews = before === undefined ? born > (belief.born ?? 0) : born !== before;
-  return isNews ? beginIncarnation(state, listed, born, "list") : belief;
+  if (born === undefined || isSameIncarnation(born, target.born)) return target;
+  const previousBorn = target.listed.born;
+  const isNew = previousBorn === undefined ? born > (target.born ?? 0) : born !== previousBorn;
+  return isNew ? beginIncarnation(state, listed, born, "list") : target;
 }
 
-/** The belief that a target's own answer is about; it is the newest word of all. */
+/** Returns the view that the target's own report applies to; such a report is always the newest. */
 export function viewForDirectReport(
   state: FleetState,
-  belief: TargetView,
+  target: TargetView,
   { born }: Holdings,
 ): TargetView {
-  if (isSameIncarnation(born, belief.born)) return belief;
-  return beginIncarnation(state, entryAfterRestart(belief.listed), born, "own_word");
+  if (isSameIncarnation(born, target.born)) return target;
+  return beginIncarnation(state, entryAfterRestart(target.listed), born, "own_word");
 }
 
 /**
- * The belief that another box's word is about, or undefined where that word is of another life than the newest one known
- * here. A later birth is news; an earlier one is most likely late, and is kept in case the list brings that life.
+ * Returns the view that a relayed report applies to, or undefined if it is of an earlier incarnation. Such a report is
+ * probably outdated, and is kept in case the list confirms that incarnation.
  */
 export function viewForRelayedReport(
   state: FleetState,
-  belief: TargetView,
+  target: TargetView,
   holdings: Holdings,
 ): TargetView | undefined {
   const { born } = holdings;
-  if (isSameIncarnation(born, belief.born)) return belief;
-  if ((born ?? 0) > (belief.born ?? 0)) {
-    return beginIncarnation(state, entryAfterRestart(belief.listed), born, "told");
+  if (isSameIncarnation(born, target.born)) return target;
+  if ((born ?? 0) > (target.born ?? 0)) {
+    return beginIncarnation(state, entryAfterRestart(target.listed), born, "told");
   }
-  keepPendingHoldings(state, belief.listed.id, holdings);
+  keepPendingHoldings(state, target.listed.id, holdings);
   return undefined;
 }
 
-/** What is left of an entry of the life before: where the target was, but not what it held or that it was leaving. */
+/** Returns the entry without what ended with the previous incarnation: its models and whether it was leaving. */
 function entryAfterRestart(listed: ListedTarget): ListedTarget {
   return { ...listed, leaving: false, models: listed.models && [] };
 }
--- a/packages/fleet/src/target-list.ts
+++ b/packages/fleet/src/target-list.ts
@@ -1,4 +1,4 @@
-/** Takes the list of targets: who is there, who leaves, and who is missing from it. */
+/** Applies the target list: adds, updates, marks as missing and removes targets. */
 import type { ListedTarget } from "@linkfall/types";
 import { createTargetView, applyListedModels, type TargetView } from "./target-view.js";
 import { type FleetState, notifyChange } from "./fleet-state.js";
@@ -9,15 +9,15 @@
   applyPendingHoldings,
 } from "./incarnations.js";
 
-/** One entry that goes alone is no lapse, however few there are. */
-const fewestInLapse = 2;
+/** A single entry that disappears is no lapse, even of a service with few targets. */
+const minLapsedEntries = 2;
 
-function add(state: FleetState, listed: ListedTarget): void {
-  const { targets: beliefs, engineShapes: engines, clock, logger } = state;
-  const shape = engines.get(listed.service);
-  const belief = createTargetView(listed, listed.born, shape, clock.now());
-  beliefs.set(listed.id, belief);
-  applyPendingHoldings(state, belief);
+function addTarget(state: FleetState, listed: ListedTarget): void {
+  const { targets, engineShapes, clock, logger } = state;
+  const shape = engineShapes.get(listed.service);
+  const target = createTargetView(listed, listed.born, shape, clock.now());
+  targets.set(listed.id, target);
+  applyPendingHoldings(state, target);
   logger.event("targetSeen", {
     target: listed.id,
     service: listed.service,
@@ -25,93 +25,97 @@
   });
 }
 
-function update(state: FleetState, listed: ListedTarget): void {
+function updateTarget(state: FleetState, listed: ListedTarget): void {
   const known = state.targets.get(listed.id);
-  if (!known) return add(state, listed);
-  const belief = viewForEntry(state, known, listed);
-  belief.unlistedAt = undefined;
-  belief.missingSince = undefined;
-  // The entry of a life that is over, read again, says nothing of the one that is known by now.
-  if (!isSameIncarnation(listed.born, belief.born)) return;
-  if (listed.leaving && !belief.listed.leaving) {
+  if (!known) return addTarget(state, listed);
+  const target = viewForEntry(state, known, listed);
+  target.unlistedAt = undefined;
+  target.missingSince = undefined;
+  // An entry of an earlier incarnation does not apply to the current one.
+  if (!isSameIncarnation(listed.born, target.born)) return;
+  if (listed.leaving && !target.listed.leaving) {
     state.logger.event("targetLeaving", { target: listed.id, service: listed.service });
   }
-  // A target that once said that it leaves does not come back in the same life.
-  const left = belief.listed.leaving && isSameIncarnation(listed.born, belief.listed.born);
-  belief.listed = { ...listed, leaving: listed.leaving || left };
-  belief.born ??= listed.born;
-  if (!state.hasDirectReports()) applyListedModels(belief, state.clock.now());
+  // A leaving target stays so for the rest of its incarnation.
+  const wasLeaving = target.listed.leaving && isSameIncarnation(listed.born, target.listed.born);
+  target.listed = { ...listed, leaving: listed.leaving || wasLeaving };
+  target.born ??= listed.born;
+  if (!state.hasDirectReports()) applyListedModels(target, state.clock.now());
 }
 
-function remove(state: FleetState, belief: TargetView, why: string): void {
-  const { id } = belief.listed;
+function removeTarget(state: FleetState, target: TargetView, why: string): void {
+  const { id } = target.listed;
   state.targets.delete(id);
   state.logger.event("targetGone", { target: id, why });
   notifyIncarnationEnded(state, id);
 }
 
-/** Takes that an entry can't be read: its target gets nothing new until its entry is good again. */
-export function leaveAlone(state: FleetState, id: string): void {
-  const belief = state.targets.get(id);
-  if (belief) remove(state, belief, "entry can't be read");
+/** Removes a target whose entry can't be read; it is added again with its next valid entry. */
+export function excludeUnreadable(state: FleetState, id: string): void {
+  const target = state.targets.get(id);
+  if (target) removeTarget(state, target, "entry can't be read");
 }
 
-function miss({ clock, logger }: FleetState, belief: TargetView): void {
-  if (belief.missingSince !== undefined) return;
-  belief.unlistedAt = clock.now();
-  belief.missingSince = belief.unlistedAt;
-  logger.event("targetMissing", { target: belief.listed.id, service: belief.listed.service });
+function markMissing({ clock, logger }: FleetState, target: TargetView): void {
+  if (target.missingSince !== undefined) return;
+  target.unlistedAt = clock.now();
+  target.missingSince = target.unlistedAt;
+  logger.event("targetMissing", { target: target.listed.id, service: target.listed.service });
 }
 
-/** Takes the whole list; targets that it lacks have lapsed or are gone. */
-export function takeList(state: FleetState, list: readonly ListedTarget[]): void {
-  const names = new Set(list.map((target) => target.id));
-  for (const target of list) update(state, target);
-  for (const belief of state.targets.values()) {
-    if (!names.has(belief.listed.id)) miss(state, belief);
+/** Applies the complete list; targets that it lacks become missing. */
+export function applyList(state: FleetState, list: readonly ListedTarget[]): void {
+  const ids = new Set(list.map((target) => target.id));
+  for (const target of list) updateTarget(state, target);
+  for (const target of state.targets.values()) {
+    if (!ids.has(target.listed.id)) markMissing(state, target);
   }
   notifyChange(state);
 }
 
-export function takeEntry(state: FleetState, target: ListedTarget): void {
-  update(state, target);
+/** Applies one new or changed entry. */
+export function applyEntry(state: FleetState, target: ListedTarget): void {
+  updateTarget(state, target);
   notifyChange(state);
 }
 
-/** Takes that an entry has gone from the list. */
-export function dropEntry(state: FleetState, id: string): void {
-  const belief = state.targets.get(id);
-  if (!belief) return;
-  if (belief.listed.leaving) remove(state, belief, "left");
-  else miss(state, belief);
+/** Handles a deleted entry: a leaving target is removed, any other becomes missing. */
+export function removeEntry(state: FleetState, id: string): void {
+  const target = state.targets.get(id);
+  if (!target) return;
+  if (target.listed.leaving) removeTarget(state, target, "left");
+  else markMissing(state, target);
 }
 
 /**
- * Whether an entry went with so many others of its service that the list is to blame. Those that went at other times say
- * nothing of it: targets that leave one after the other would be used again, long after their entries went.
+ * Whether the entry disappeared disappearedTogether with so many others of its service that the list itself is at fault. Only
+ * entries that disappeared within the grace period of each other count.
  */
-export function wentInLapse(
-  { policies: rules }: FleetState,
-  { unlistedAt: wentAt }: TargetView,
+export function disappearedInLapse(
+  { policies }: FleetState,
+  { unlistedAt }: TargetView,
   targets: readonly TargetView[],
 ): boolean {
-  if (wentAt === undefined) return false;
-  const { graceMs, minShare: share } = rules.lapse;
-  const together = targets.filter(
-    (other) => other.unlistedAt !== undefined && Math.abs(other.unlistedAt - wentAt) <= graceMs,
+  if (unlistedAt === undefined) return false;
+  const { graceMs, minShare } = policies.lapse;
+  const disappearedTogether = targets.filter(
+    (other) => other.unlistedAt !== undefined && Math.abs(other.unlistedAt - unlistedAt) <= graceMs,
+  );
+  return (
+    disappearedTogether.length >= minLapsedEntries &&
+    disappearedTogether.length >= targets.length * minShare
   );
-  return together.length >= fewestInLapse && together.length >= targets.length * share;
 }
 
-/** Removes targets whose lapse has lasted longer than the grace. */
-export function expireLapsed(state: FleetState, storeDisturbed: boolean): void {
+/** Removes targets that have been missing for longer than the grace period. */
+export function expireMissing(state: FleetState, storeDisturbed: boolean): void {
   const now = state.clock.now();
-  for (const belief of [...state.targets.values()]) {
-    if (belief.missingSince === undefined) continue;
-    // Nobody can renew an entry while the store is away: the grace begins with its return.
-    if (storeDisturbed) belief.missingSince = now;
-    else if (now - belief.missingSince > state.policies.lapse.graceMs) {
-      remove(state, belief, "not listed again");
+  for (const target of [...state.targets.values()]) {
+    if (target.missingSince === undefined) continue;
+    // Entries can't be renewed while the store is unavailable: the grace period starts when it is back.
+    if (storeDisturbed) target.missingSince = now;
+    else if (now - target.missingSince > state.policies.lapse.graceMs) {
+      removeTarget(state, target, "not listed again");
     }
   }
 }
--- a/packages/fleet/src/target-view.ts
+++ b/packages/fleet/src/target-view.ts
@@ -1,4 +1,4 @@
-/** What one box believes of one target. */
+/** One box's view of one target. */
 import { createPrefixIndex, type PrefixIndex } from "@linkfall/prefix-index";
 import type {
   EngineShape,
@@ -9,57 +9,63 @@
 } from "@linkfall/types";
 import { type Health, initialHealth } from "./health.js";
 
-/** Work at a target. */
+/** Outstanding work at a target. */
 export interface TargetLoad {
   readonly inFlight: number;
-  /** Prompt tokens of requests that have not shown their first event. */
+  /** Prompt tokens of requests that have not sent their first event. */
   readonly promptTokens: number;
 }
 
 export const noLoad: TargetLoad = { inFlight: 0, promptTokens: 0 };
 
-/** Share of an engine's cache that the index takes for kept prefixes. */
-const cacheShare = 0.7;
+/** Share of an engine's cache that the index assumes to hold prefixes. */
+const prefixCacheShare = 0.7;
 const defaultCacheTokens = 100_000;
 
-/** Weights that a target refused to serve, against what it was believed to hold. */
+/** A target's refusal to serve a model that it was expected to have loaded. */
 export interface ModelRefusal {
-  /** The number of orders at which it was believed to hold them. */
+  /** Sequence of the holdings that listed the model; newer holdings void the refusal. */
   readonly sequence: number;
-  /** Until when the refusal counts; Infinity until the target has taken another order. */
+  /** Expiry time; Infinity where only newer holdings void the refusal. */
   readonly until: Milliseconds;
 }
 
-/** One target; changed in place by the fleet that owns it. */
+/** State of one target; mutated by the fleet that owns it. */
 export interface TargetView {
+  /** Newest entry of the target list. */
   listed: ListedTarget;
-  /** Start of the life that is believed in, as far as it is known. */
+  /** Start time of the current incarnation, if known. */
   born?: Milliseconds;
-  /** When its entry went; absent while it is listed. */
+  /** When its entry disappeared; absent while it is listed. */
   unlistedAt?: Milliseconds;
-  /** From when on its absence counts: while the store is disturbed nobody can renew an entry. */
+  /** Start of its grace period, which is moved on while the store is unavailable. */
   missingSince?: Milliseconds;
-  /** Newest word of what it holds, by the number of orders that it has taken. */
+  /** Newest known holdings; the sequence counts the orders that the target has accepted. */
   holdings: Holdings;
-  /** When that word was last confirmed. */
+  /** When the holdings were last confirmed. */
   holdingsConfirmedAt: Milliseconds;
+  /** Newest state that the target itself reported. */
   state?: EngineState;
+  /** When that state was read. */
   stateReadAt: Milliseconds;
+  /** Load caused by this box. */
   ownLoad: TargetLoad;
+  /** Load caused by the other boxes. */
   otherBoxesLoad: TargetLoad;
   health: Health;
-  /** Until then it has asked for no requests. */
+  /** End of the back-off that the target asked for. */
   backOffUntil: Milliseconds;
-  /** Models that are about to be dropped: nothing new is sent for them. */
+  /** Models about to be unloaded; they get no new requests. */
   withheldModels: ReadonlySet<string>;
-  /** Weights that the target has just refused to serve. */
+  /** Recent refusals, by model or `model/adapter`. */
   modelRefusals: Map<string, ModelRefusal>;
   readonly prefixIndex: PrefixIndex;
 }
 
-/** Sequence of a target that has not been asked for its state. */
+/** Sequence of holdings taken from the list, before the target's own state is known. */
 const unknownSequence = -1;
 
+/** Creates the view of a newly listed target, or of a new incarnation. */
 export function createTargetView(
   listed: ListedTarget,
   born: Milliseconds | undefined,
@@ -79,52 +85,52 @@
     backOffUntil: -Infinity,
     withheldModels: new Set(),
     modelRefusals: new Map(),
-    prefixIndex: createPrefixIndex(cacheTokens * cacheShare),
+    prefixIndex: createPrefixIndex(cacheTokens * prefixCacheShare),
   };
 }
 
-/** Whether the target is believed to hold the model, and the adapter where one is named. */
+/** Whether the target has the model loaded, and the adapter if one is given, and serves it. */
 export function hasModelLoaded(
-  belief: TargetView,
+  target: TargetView,
   model: string,
   adapter: string | undefined,
   now: Milliseconds,
 ): boolean {
-  if (belief.withheldModels.has(model)) return false;
+  if (target.withheldModels.has(model)) return false;
   const key = adapter === undefined ? model : `${model}/${adapter}`;
-  const denial = belief.modelRefusals.get(key);
-  if (denial?.sequence === belief.holdings.sequence && now < denial.until) return false;
-  const resident = belief.holdings.models.find((held) => held.name === model);
+  const refusal = target.modelRefusals.get(key);
+  if (refusal?.sequence === target.holdings.sequence && now < refusal.until) return false;
+  const resident = target.holdings.models.find((held) => held.name === model);
   if (!resident) return false;
   return adapter === undefined || resident.adapters.includes(adapter);
 }
 
-/** Takes newer holdings of the life that is believed in; returns whether anything changed. */
-export function applyHoldings(belief: TargetView, holdings: Holdings, now: Milliseconds): boolean {
-  const known = belief.holdings;
+/** Applies holdings of the current incarnation unless they are older; returns whether anything changed. */
+export function applyHoldings(target: TargetView, holdings: Holdings, now: Milliseconds): boolean {
+  const known = target.holdings;
   if (holdings.sequence < known.sequence) return false;
-  belief.holdingsConfirmedAt = now;
-  belief.born ??= holdings.born;
+  target.holdingsConfirmedAt = now;
+  target.born ??= holdings.born;
   const changed =
     holdings.sequence !== known.sequence ||
     JSON.stringify(holdings.models) !== JSON.stringify(known.models);
   if (!changed) return false;
-  belief.holdings = { born: belief.born, sequence: holdings.sequence, models: holdings.models };
-  dropGone(belief, known, holdings);
+  target.holdings = { born: target.born, sequence: holdings.sequence, models: holdings.models };
+  dropUnloadedPrefixes(target, known, holdings);
   return true;
 }
 
-/** Takes what the list says of a target's models; its own word of the same sequence counts more. */
-export function applyListedModels(belief: TargetView, now: Milliseconds): boolean {
-  const { models, born } = belief.listed;
-  if (!models || (born !== undefined && born !== belief.born)) return false;
-  return applyHoldings(belief, { sequence: belief.holdings.sequence, models }, now);
+/** Applies the models of the target's list entry, keeping the sequence; returns whether anything changed. */
+export function applyListedModels(target: TargetView, now: Milliseconds): boolean {
+  const { models, born } = target.listed;
+  if (!models || (born !== undefined && born !== target.born)) return false;
+  return applyHoldings(target, { sequence: target.holdings.sequence, models }, now);
 }
 
-function dropGone(belief: TargetView, before: Holdings, after: Holdings): void {
+function dropUnloadedPrefixes(target: TargetView, before: Holdings, after: Holdings): void {
   const names = new Set(after.models.map((model) => model.name));
   for (const model of before.models) {
-    if (!names.has(model.name)) belief.prefixIndex.drop(model.name);
+    if (!names.has(model.name)) target.prefixIndex.drop(model.name);
   }
-  belief.modelRefusals.clear();
+  target.modelRefusals.clear();
 }
