--- a/packages/entry-box/src/forward-context.ts
+++ b/packages/entry-box/src/forward-context.ts
@@ -37,7 +37,7 @@
     announcing = false;
     const lease = kernel.find(orderLeaseName);
     if (lease.epoch() !== undefined) return kernel.find(orderGiverName).hurry();
-    const holder = lease.known()?.holder;
+    const holder = lease.observedLease()?.holder;
     kernel.find(peersName).send((member) => member.status?.incarnation === holder);
   };
   return () => {
--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -39,7 +39,7 @@
 function trustsHolder({ kernel, settings }: BoxParts): boolean {
   const lease = kernel.find(orderLeaseName);
   if (lease.epoch() !== undefined) return true;
-  const holder = lease.known()?.holder;
+  const holder = lease.observedLease()?.holder;
   const heardMs = holder === undefined ? undefined : kernel.find(peersName).heardMs(holder);
   return heardMs !== undefined && heardMs < settings.peers.suspect_ms;
 }
@@ -49,10 +49,10 @@
   let asking = false;
   return async ({ configurationVersion, peerAddress }) => {
     const feed = kernel.find(desiredFeedName);
-    const version = feed.inForce()?.configuration.version ?? -1;
+    const version = feed.activeConfiguration()?.configuration.version ?? -1;
     if (asking || configurationVersion <= version) return;
     asking = true;
-    (await peerClient.configuration(peerAddress)).ifRight(feed.takeConfiguration);
+    (await peerClient.configuration(peerAddress)).ifRight(feed.applyConfigurationCopy);
     asking = false;
   };
 }
@@ -72,7 +72,7 @@
 /** Takes targets that another box has read, unless this one reads them itself. */
 function takeTargets({ kernel }: BoxParts, { targets }: Heartbeat): void {
   const feed = kernel.find(desiredFeedName);
-  if (targets && !(feed.reading() && feed.reachesStore())) feed.takeTargets(targets);
+  if (targets && !(feed.readsStore() && feed.reachesStore())) feed.applyTargetChanges(targets);
 }
 
 function takeReport({ kernel, ports }: BoxParts, knowledge: HolderKnowledge, report: HolderReport) {
@@ -105,14 +105,14 @@
 
   peers.onHeartbeat((heartbeat) => {
     const { status, report } = heartbeat;
-    if (status.lease) lease.hear(status.lease);
+    if (status.lease) lease.observe(status.lease);
     const givesOrders = lease.epoch() !== undefined;
     if (peers.mesh() || givesOrders) sumHeardLoads();
     takeTargets(parts, heartbeat);
     if (heartbeat.blame) blame.take(status.incarnation, heartbeat.blame);
     if (heartbeat.limits) targetLimits.take(status.incarnation, heartbeat.limits);
     void catchUp(status);
-    if (report && lease.known()?.holder === status.incarnation) {
+    if (report && lease.observedLease()?.holder === status.incarnation) {
       takeReport(parts, knowledge, report);
       waiter.wake();
     }
--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -22,16 +22,17 @@
   const { kernel, settings, incarnation } = parts;
   const feed = kernel.find(desiredFeedName);
   return {
-    heardMs: peers.heardMs,
-    ownEarlierLife: (holder) => holder !== incarnation && boxOf(holder) === settings.box.name,
-    ordersForMs: (holder) => peers.find(holder)?.ordersForMs ?? 0,
-    claimed: () => peers.send(() => true),
-    leaving: (holder) => peers.find(holder)?.leaving ?? false,
+    sinceLastMessageMs: peers.heardMs,
+    isOwnEarlierIncarnation: (holder) =>
+      holder !== incarnation && boxOf(holder) === settings.box.name,
+    remainingLeaseMs: (holder) => peers.find(holder)?.ordersForMs ?? 0,
+    announceClaim: () => peers.send(() => true),
+    isLeaving: (holder) => peers.find(holder)?.leaving ?? false,
     rank() {
       const serving = peers.alive().filter((box) => box.ready);
       return rankBoxes([ownProfile(parts), ...serving]).indexOf(settings.box.name);
     },
-    allWithoutStore() {
+    isStoreDownForAll() {
       const heard = peers.statuses();
       if (feed.reachesStore() || heard.length * 2 < peers.most()) return false;
       return heard.every((status) => !status.reachesStore);
@@ -45,7 +46,7 @@
   const lease = createOrderLease(kernel, incarnation, ports.leaseStream, peers, {
     enginesFence: settings.lease.engines_fence,
     leaseMs: settings.lease.lease_ms,
-    silentMs: settings.lease.silent_ms,
+    holderTimeoutMs: settings.lease.silent_ms,
     rankStepMs: settings.lease.rank_step_ms,
     checkMs: settings.lease.check_ms,
   });
@@ -63,7 +64,7 @@
     fleet,
     engines: ports.engines,
     lease: kernel.find(orderLeaseName),
-    configuration: () => feed.inForce()?.configuration,
+    configuration: () => feed.activeConfiguration()?.configuration,
     demand: () => sumDemand([demand.read(), ...peers.statuses().map((status) => status.demand)]),
     takesPerSecond: targetLimits.limitOf,
     noteLimit: (target, notice) =>
--- a/packages/entry-box/src/provide-state.ts
+++ b/packages/entry-box/src/provide-state.ts
@@ -38,17 +38,17 @@
     fleet,
     peers: createStoreReaders(parts),
     times: {
-      waitMs: store.wait_ms,
-      gatherMs: 0,
-      firstPauseMs: store.first_pause_ms,
-      longestPauseMs: store.longest_pause_ms,
+      maxWaitMs: store.wait_ms,
+      coalesceMs: 0,
+      initialRetryPauseMs: store.first_pause_ms,
+      maxRetryPauseMs: store.longest_pause_ms,
     },
-    gatherTargetsMs: store.gather_targets_ms ?? targets.leaving_ms * gatherShare,
+    coalesceTargetsMs: store.gather_targets_ms ?? targets.leaving_ms * gatherShare,
     configurationKey: ports.configurationKey,
     settleMs: store.settle_ms,
   });
   const lapses = repeatEvery(ports.clock, ports.random, lapseCheckMs, () =>
-    fleet.expireMissing(feed.storeDisturbed()),
+    fleet.expireMissing(feed.storeUnsettled()),
   );
   kernel.provide({ name: "lapses" }, undefined, lapses);
   return kernel.provide(desiredFeedName, feed, feed);
--- a/packages/weight-orders/src/give-order.ts
+++ b/packages/weight-orders/src/give-order.ts
@@ -187,7 +187,7 @@
   const answer = await engines.order(belief.listed, order);
   state.ordering.delete(id);
   logAnswer(context, id, order, answer);
-  if (answer === "fenced") context.lease.refused(order.epoch);
+  if (answer === "fenced") context.lease.recordRefusal(order.epoch);
   if (context.fleet.find(id) !== belief) return;
   const work = state.work.get(id);
   const wasAhead = expectedSequence > belief.holdings.sequence;
--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -199,13 +199,13 @@
 function leaseOf(scene: Scene): OrderLease {
   return {
     epoch: () => scene.epoch,
-    known: () => undefined,
-    hear: () => undefined,
-    refused(epoch) {
+    observedLease: () => undefined,
+    observe: () => undefined,
+    recordRefusal(epoch) {
       scene.refused.push(epoch);
       scene.epoch = undefined;
     },
-    ordersForMs: () => 1_000,
+    remainingLeaseMs: () => 1_000,
     release: async () => undefined,
     start: async () => undefined,
     stop: async () => undefined,
