--- a/packages/box/src/create-box.ts
+++ b/packages/box/src/create-box.ts
@@ -132,7 +132,7 @@
     heartbeat: membership.receive,
     fetchState: membership.stateForPeer,
     reportUsage: kernel.find(usageReportsName).receive,
-    readReports: kernel.find(reportRelayName).receive,
+    readReports: kernel.find(reportRelayName).answerRequest,
     forward: (request) => callers.handle(request, true),
   };
 }
--- a/packages/crash-blame/src/index.ts
+++ b/packages/crash-blame/src/index.ts
@@ -2,7 +2,7 @@
  * Finds requests that end the targets that run them, by what all boxes have lost, and holds them back: such a
  * request returns at any box, and without a memory that all share it takes target after target with all their work.
  */
-import { createFollowedNews } from "@linkfall/followed-news";
+import { createReceivedUpdates } from "@linkfall/followed-news";
 import { type Clock, serviceName } from "@linkfall/kernel";
 import type { BlameWord, Fingerprint, HeldRequest, Incarnation } from "@linkfall/types";
 import {
@@ -63,7 +63,7 @@
 /** Creates a book in which nothing is known. */
 export function createCrashBlame(clock: Clock): CrashBlame {
   const state = createBlameState();
-  const followed = createFollowedNews();
+  const followed = createReceivedUpdates();
   const newsListeners: (() => void)[] = [];
   const decidedListeners: ((word: HeldRequest) => void)[] = [];
 
@@ -128,9 +128,9 @@
     take(from, word) {
       const now = clock.now();
       for (const record of word.records) takeRecord(state, record, now);
-      followed.note(from, word.number);
+      followed.record(from, word.number);
     },
-    followed: followed.of,
+    followed: followed.latestFrom,
     onNews: (listener) => void newsListeners.push(listener),
     onDecided: (listener) => void decidedListeners.push(listener),
   };
--- a/packages/pool-control/src/pool-context.ts
+++ b/packages/pool-control/src/pool-context.ts
@@ -31,7 +31,7 @@
   const watch = kernel.find(targetWatchName);
   const takenAt = kernel.find(clockName).now();
   const book = createOrderBook();
-  const isCurrent = () => leases.held(lease.pool)?.epoch === lease.epoch;
+  const isCurrent = () => leases.heldLease(lease.pool)?.epoch === lease.epoch;
   return {
     lease,
     takenAt,
@@ -47,7 +47,7 @@
       return watched && watched.requestedAt >= takenAt ? watched : undefined;
     },
     isCurrent,
-    isValid: () => isCurrent() && leases.held(lease.pool)?.valid === true,
+    isValid: () => isCurrent() && leases.heldLease(lease.pool)?.valid === true,
     openOrdersOf(engine) {
       const intents = [...store.state().intents.values()]
         .map((intent) => intent.order)
--- a/packages/pool-control/src/pool-control.ts
+++ b/packages/pool-control/src/pool-control.ts
@@ -33,7 +33,7 @@
 
   /** Ends the sessions of leases that are gone, and starts one for each new lease. */
   const alignSessions = () => {
-    const held = leases.heldPools();
+    const held = leases.heldLeases();
     const epochs = new Map(held.map((lease) => [lease.pool, lease.epoch]));
     for (const [pool, session] of sessions) {
       if (epochs.get(pool) !== session.epoch) sessions.delete(pool);
--- a/packages/report-relay/src/outgoing.ts
+++ b/packages/report-relay/src/outgoing.ts
@@ -4,7 +4,7 @@
 import type { Milliseconds, ReportLoad, ReportPlacement } from "@linkfall/types";
 
 /** A placement that was seen, and how many there were before it. */
-interface NumberedPlacement {
+interface VersionedPlacement {
   readonly text: string;
   readonly version: number;
 }
@@ -12,7 +12,7 @@
 /** Reports of one box for the others. */
 export interface OutgoingReports {
   /** The answer to a box that holds some placements of this one's numbering. */
-  answer(
+  reportsFor(
     reports: readonly WatchedReport[],
     held: ReportsRequest["held"],
     now: Milliseconds,
@@ -26,7 +26,7 @@
 
 /** Creates the outgoing reports of one process start; its numbering ends with it. */
 export function createOutgoingReports(): OutgoingReports {
-  const numbered = new Map<string, NumberedPlacement>();
+  const numbered = new Map<string, VersionedPlacement>();
 
   const versionOf = (engine: string, placement: ReportPlacement): number => {
     const text = JSON.stringify(placement);
@@ -38,7 +38,7 @@
   };
 
   return {
-    answer(reports, held, now) {
+    reportsFor(reports, held, now) {
       const heldVersions = new Map(held.map((entry) => [entry.engine, entry.placementVersion]));
       return reports.map((watched) => {
         const { load, placement } = split(watched);
--- a/packages/report-relay/src/report-relay.steps.ts
+++ b/packages/report-relay/src/report-relay.steps.ts
@@ -44,9 +44,9 @@
   lost = false,
 ): readonly EngineReport[] {
   const held = to.heldFrom() === start ? to.held() : [];
-  const reports = from.answer([report], held, report.requestedAt);
+  const reports = from.reportsFor([report], held, report.requestedAt);
   if (lost) return [];
-  return to.take({ from: start, reports }, 0).map((received) => received.report);
+  return to.applyReply({ from: start, reports }, 0).map((received) => received.report);
 }
 
 Then(
@@ -83,8 +83,8 @@
   function (this: object, age: number, askedAt: number, took: number) {
     const answeredAt = askedAt + took / 2;
     const read = watched(reportOf(1, 1, 1), answeredAt - age);
-    const reports = createOutgoingReports().answer([read], [], answeredAt);
-    const [received] = createIncomingReports().take({ from: "b@1", reports }, askedAt);
+    const reports = createOutgoingReports().reportsFor([read], [], answeredAt);
+    const [received] = createIncomingReports().applyReply({ from: "b@1", reports }, askedAt);
     notes(this).set("requestedAt", received.requestedAt);
   },
 );
@@ -97,7 +97,10 @@
   const outgoing = createOutgoingReports();
   const incoming = createIncomingReports();
   exchange(outgoing, "b@1", incoming, watched(reportOf(1, 1, 2), 0));
-  notes(this).set("second", outgoing.answer([watched(reportOf(2, 5, 2), 9)], incoming.held(), 9));
+  notes(this).set(
+    "second",
+    outgoing.reportsFor([watched(reportOf(2, 5, 2), 9)], incoming.held(), 9),
+  );
 });
 
 Then("the second answer carries no placement", function (this: object) {
--- a/packages/target-limits/src/limit-book.ts
+++ b/packages/target-limits/src/limit-book.ts
@@ -1,5 +1,5 @@
 /** What one box knows of the limits that targets have named: from its own answers, and from other boxes. */
-import { createFollowedNews } from "@linkfall/followed-news";
+import { createReceivedUpdates } from "@linkfall/followed-news";
 import type { Clock } from "@linkfall/kernel";
 import type {
   Incarnation,
@@ -71,7 +71,7 @@
 /** Creates a book in which no target has a limit. */
 export function createLimitBook(clock: Clock, bornOf: BornOf): LimitBook {
   const entries = new Map<string, Entry>();
-  const followed = createFollowedNews();
+  const followed = createReceivedUpdates();
   const listeners: ((change: LimitChange) => void)[] = [];
   let newest = 0;
 
@@ -142,9 +142,9 @@
     },
     take(from, word) {
       for (const record of word.records) takeRecord(record);
-      followed.note(from, word.number);
+      followed.record(from, word.number);
     },
-    followed: followed.of,
+    followed: followed.latestFrom,
     onChange: (listener) => void listeners.push(listener),
   };
 }
