--- a/packages/fleet/src/fleet.steps.ts
+++ b/packages/fleet/src/fleet.steps.ts
@@ -72,12 +72,12 @@
   sceneOf(this).fleet.removeEntry(id);
 });
 
-async function passTime(world: object, ms: number, storeDisturbed: boolean): Promise<void> {
+async function passTime(world: object, ms: number, storeUnsettled: boolean): Promise<void> {
   const { clock, fleet } = sceneOf(world);
   const end = clock.now() + ms;
   while (clock.now() < end) {
     await clock.runUntil(Math.min(end, clock.now() + stepMs));
-    fleet.expireMissing(storeDisturbed);
+    fleet.expireMissing(storeUnsettled);
   }
 }
 
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -68,8 +68,8 @@
   setEngineShapes(shapes: ReadonlyMap<string, EngineShape | undefined>): void;
   /** Ignores the models of the list while `fresh` returns true, in favour of the engines' own reports. */
   preferDirectReportsWhile(fresh: () => boolean): void;
-  /** Removes targets missing for longer than the grace period, which does not run while the store is disturbed. */
-  expireMissing(storeDisturbed: boolean): void;
+  /** Removes targets missing for longer than the grace period, which does not run while the store is unavailable or has only just returned. */
+  expireMissing(storeUnsettled: boolean): void;
 }
 
 /** Name of the fleet in the kernel. */
@@ -206,6 +206,6 @@
     preferDirectReportsWhile(fresh) {
       state.hasDirectReports = fresh;
     },
-    expireMissing: (storeDisturbed) => expireMissing(state, storeDisturbed),
+    expireMissing: (storeUnsettled) => expireMissing(state, storeUnsettled),
   };
 }
--- a/packages/fleet/src/target-list.ts
+++ b/packages/fleet/src/target-list.ts
@@ -108,12 +108,12 @@
 }
 
 /** Removes targets that have been missing for longer than the grace period. */
-export function expireMissing(state: FleetState, storeDisturbed: boolean): void {
+export function expireMissing(state: FleetState, storeUnsettled: boolean): void {
   const now = state.clock.now();
   for (const target of [...state.targets.values()]) {
     if (target.missingSince === undefined) continue;
     // Entries can't be renewed while the store is unavailable: the grace period starts when it is back.
-    if (storeDisturbed) target.missingSince = now;
+    if (storeUnsettled) target.missingSince = now;
     else if (now - target.missingSince > state.policies.lapse.graceMs) {
       removeTarget(state, target, "not listed again");
     }
--- a/packages/state-fold/src/agreement.steps.ts
+++ b/packages/state-fold/src/agreement.steps.ts
@@ -7,7 +7,7 @@
 import { createSnapshotCollector, parseState, serialiseState, splitSnapshot } from "./snapshot.js";
 import { emptyState, type FoldedState } from "./state.js";
 
-/** A log and the state folded from it. */
+/** A log with the state folded from it. */
 class FoldedLog {
   readonly entries: LogEntry[] = [];
   readonly state = emptyState();
@@ -53,22 +53,25 @@
   notes(this).set("second", log.write("c@1#1", [change("a", 2, "3")]));
 });
 
-Then("the first write is accepted and the second names both revisions", function (this: object) {
-  const [first] = notes(this).get<FoldEvent[]>("first");
-  const [second] = notes(this).get<FoldEvent[]>("second");
-  assert.equal(first.type, "write_accepted");
-  assert.ok(second.type === "write_rejected" && second.why.kind === "revision_conflict");
-  assert.deepEqual([second.why.base, second.why.current], [2, 3]);
-  assert.equal(second.why.who, "writer of b@1#3");
-  assert.equal(versionOfA(logOf(this).state), "2");
-});
+Then(
+  "the first write is accepted and the second is rejected with both revisions",
+  function (this: object) {
+    const [first] = notes(this).get<FoldEvent[]>("first");
+    const [second] = notes(this).get<FoldEvent[]>("second");
+    assert.equal(first.type, "write_accepted");
+    assert.ok(second.type === "write_rejected" && second.why.kind === "revision_conflict");
+    assert.deepEqual([second.why.base, second.why.current], [2, 3]);
+    assert.equal(second.why.who, "writer of b@1#3");
+    assert.equal(versionOfA(logOf(this).state), "2");
+  },
+);
 
 When("the last record is appended again", function (this: object) {
   const log = logOf(this);
   notes(this).set("events", log.append(log.entries[log.entries.length - 1].data));
 });
 
-When("a record with an earlier number of the same writer arrives late", function (this: object) {
+When("an earlier record of the same writer arrives late", function (this: object) {
   notes(this).set("events", logOf(this).write("b@1#1", [change("late", 0, "1")]));
 });
 
@@ -78,7 +81,7 @@
 });
 
 When(
-  "records are appended that are no JSON, no object, or of no known type",
+  "records are appended that are not JSON, not an object, or of an unknown type",
   function (this: object) {
     const bad = ["", "{", "[]", "null", '{"type":"write"}', '{"type":"other","id":"x@1#1"}'];
     notes(this).set(
@@ -88,7 +91,7 @@
   },
 );
 
-Then("each is counted as bad and the state is as before", function (this: object) {
+Then("each is reported as a bad record and the state is unchanged", function (this: object) {
   const events = notes(this).get<FoldEvent[]>("events");
   assert.deepEqual(
     events.map((event) => event.type),
@@ -99,16 +102,16 @@
 });
 
 When(
-  "one write changes {string} and names a pool that does not exist",
+  "a write changes {string} and names a pool that does not exist",
   function (this: object, _key: string) {
-    const stray = model("b", { pool: "nowhere" });
-    const changes: Change[] = [change("a", 2, "9"), { action: "put", resource: stray, base: 0 }];
+    const invalid = model("b", { pool: "nowhere" });
+    const changes: Change[] = [change("a", 2, "9"), { action: "put", resource: invalid, base: 0 }];
     notes(this).set("events", logOf(this).write("b@1#3", changes));
   },
 );
 
 Then(
-  "the write is refused with the field and the reason, and {string} is as before",
+  "the write is rejected with the field and the reason, and {string} is unchanged",
   function (this: object, _key: string) {
     const [event] = notes(this).get<FoldEvent[]>("events");
     assert.ok(event.type === "write_rejected" && event.why.kind === "invalid_input");
@@ -119,7 +122,7 @@
   },
 );
 
-/** Histories of writes, claims and renewals by a few writers, some of them repeated. */
+/** Histories of writes, claims, renewals and bad records by a few writers, some of them duplicated. */
 const histories = fc.array(
   fc.record({
     writer: fc.constantFrom("b@1", "c@1", "d@1"),
@@ -145,10 +148,10 @@
 }
 
 Then(
-  "for any history of records, a box that starts from a snapshot or sees repeats holds the same state",
+  "for any history of records, a box that starts from a snapshot or reads duplicates reaches the same state",
   () => {
     fc.assert(
-      fc.property(histories, fc.nat(), (steps, cut) => {
+      fc.property(histories, fc.nat(), (steps, cutSeed) => {
         const log = new FoldedLog();
         log.write("a@1#1", [
           { action: "put", resource: account("one"), base: 0 },
@@ -160,10 +163,10 @@
           if (step.repeated)
             assert.ok(typeof record === "string" || log.append(record).length === 0);
         });
-        const half = emptyState();
-        const at = cut % log.entries.length;
-        for (const entry of log.entries.slice(0, at)) applyEntry(half, entry);
-        const restored = parseState(serialiseState(half)).unsafeCoerce();
+        const partial = emptyState();
+        const at = cutSeed % log.entries.length;
+        for (const entry of log.entries.slice(0, at)) applyEntry(partial, entry);
+        const restored = parseState(serialiseState(partial)).unsafeCoerce();
         for (const entry of log.entries.slice(at)) applyEntry(restored, entry);
         assert.equal(serialiseState(restored), serialiseState(log.state));
       }),
@@ -172,35 +175,32 @@
   },
 );
 
-When(
-  "a snapshot of it is read with a part missing, and then one that is whole",
-  function (this: object) {
-    const { state } = logOf(this);
-    const parts = (name: string) =>
-      splitSnapshot(state, name, 100).map((part, index) => ({
-        offset: 10 + index,
-        data: JSON.stringify({ type: "snapshot", id: `b@1#${index + 5}`, ...part }),
-      }));
-    const collector = createSnapshotCollector();
-    const torn = parts("torn")
-      .slice(0, -1)
-      .map((entry) => collector.add(entry, 0));
-    const whole = parts("whole").map((entry) => collector.add(entry, 0));
-    notes(this).set(
-      "torn",
-      torn.filter((taken) => taken !== undefined),
-    );
-    notes(this).set(
-      "whole",
-      whole.filter((taken) => taken !== undefined),
-    );
-  },
-);
+When("an incomplete snapshot of it is read, and then a complete one", function (this: object) {
+  const { state } = logOf(this);
+  const parts = (name: string) =>
+    splitSnapshot(state, name, 100).map((part, index) => ({
+      offset: 10 + index,
+      data: JSON.stringify({ type: "snapshot", id: `b@1#${index + 5}`, ...part }),
+    }));
+  const collector = createSnapshotCollector();
+  const incomplete = parts("incomplete")
+    .slice(0, -1)
+    .map((entry) => collector.add(entry, 0));
+  const complete = parts("complete").map((entry) => collector.add(entry, 0));
+  notes(this).set(
+    "incomplete",
+    incomplete.filter((state) => state !== undefined),
+  );
+  notes(this).set(
+    "complete",
+    complete.filter((state) => state !== undefined),
+  );
+});
 
-Then("only the whole one is taken", function (this: object) {
-  assert.equal(notes(this).get<unknown[]>("torn").length, 0);
-  const [taken] = notes(this).get<FoldedState[]>("whole");
-  assert.equal(serialiseState(taken), serialiseState(logOf(this).state));
+Then("only the complete one is used", function (this: object) {
+  assert.equal(notes(this).get<unknown[]>("incomplete").length, 0);
+  const [state] = notes(this).get<FoldedState[]>("complete");
+  assert.equal(serialiseState(state), serialiseState(logOf(this).state));
 });
 
 const claim = (holder: string, number: number, supersedes: number): StateRecord => ({
@@ -212,14 +212,14 @@
   leaseMs: 10,
 });
 
-Given("a lease that was renewed after a rival read it", function (this: object) {
+Given("a lease that was renewed after a competing box read it", function (this: object) {
   const log = new FoldedLog();
   log.append(claim("b@1", 1, 0));
   log.append({ type: "renew", id: "b@1#2", holder: "b@1", epochs: [1] });
   notes(this).set("log", log);
 });
 
-When("the rival claims it by what it had read", function (this: object) {
+When("the competing box claims it based on what it had read", function (this: object) {
   notes(this).set("events", logOf(this).append(claim("c@1", 1, 1)));
 });
 
@@ -253,16 +253,16 @@
 });
 
 When(
-  "two boxes hold the request {string} back, one of them releases it, and an older word arrives late",
+  "two boxes hold the request {string} back, one of them releases it, and an older decision arrives late",
   function (this: object, request: string) {
     const log = logOf(this);
-    const facts = { request, service: "s", route: "r", targets: ["e1", "e2"], since: "" };
-    const word = (id: string, revision: number, held: boolean) =>
-      log.append({ type: "held", id, word: { ...facts, revision, held } });
-    word("b@1#3", 1, true);
-    word("c@1#1", 1, true);
-    word("c@1#2", 2, false);
-    word("d@1#1", 1, true);
+    const common = { request, service: "s", route: "r", targets: ["e1", "e2"], since: "" };
+    const decide = (id: string, revision: number, held: boolean) =>
+      log.append({ type: "held", id, word: { ...common, revision, held } });
+    decide("b@1#3", 1, true);
+    decide("c@1#1", 1, true);
+    decide("c@1#2", 2, false);
+    decide("d@1#1", 1, true);
   },
 );
 
--- a/packages/state-fold/src/apply.ts
+++ b/packages/state-fold/src/apply.ts
@@ -1,4 +1,4 @@
-/** Applies records to the folded state and says what each one did. */
+/** Applies records to the folded state and returns the effects of each as events. */
 import { type InvalidInput, invariant, type RevisionConflict } from "@linkfall/errors";
 import {
   type Change,
@@ -24,15 +24,16 @@
 import { parseRecord } from "./schemas.js";
 import type { FoldedState, Lease } from "./state.js";
 
-/** Records after which a silent process start is forgotten; none of its appends can still come. */
+/** Records after which an inactive writer is dropped; none of its appends can still arrive by then. */
 const writerRetentionRecords = 20_000;
+/** Records between two sweeps of inactive writers. */
 const writerSweepIntervalRecords = 1_000;
-/** Accepted writes that the state remembers for the audit trail. */
+/** Accepted writes kept for the audit trail. */
 const maxHistoryWrites = 500;
-/** Requests that the state remembers as held back or released. */
+/** Limit of requests kept as held back or released; the least recently updated are dropped. */
 const maxHeldRequests = 1_000;
 
-/** What one record did to the state. */
+/** One effect of a record on the state. */
 export type FoldEvent =
   | {
       readonly type: "write_accepted";
@@ -61,23 +62,23 @@
 }
 
 function identityOf(id: string): RecordIdentity {
-  const mark = id.lastIndexOf("#");
-  return { writer: id.slice(0, mark), sequence: Number(id.slice(mark + 1)) };
+  const separator = id.lastIndexOf("#");
+  return { writer: id.slice(0, separator), sequence: Number(id.slice(separator + 1)) };
 }
 
-/** Whether the record is a repeat, or one that its writer had given up before a later one. */
+/** Whether the record is a repeat, or was abandoned by its writer before a later record. */
 function isDuplicate(state: FoldedState, identity: RecordIdentity): boolean {
   return identity.sequence <= (state.writers.get(identity.writer)?.highest ?? 0);
 }
 
-function forgetSilentWriters(state: FoldedState): void {
+function dropInactiveWriters(state: FoldedState): void {
   if (state.offset % writerSweepIntervalRecords !== 0) return;
-  for (const [writer, mark] of state.writers) {
-    if (state.offset - mark.offset > writerRetentionRecords) state.writers.delete(writer);
+  for (const [writer, position] of state.writers) {
+    if (state.offset - position.offset > writerRetentionRecords) state.writers.delete(writer);
   }
 }
 
-/** Applies the entry that follows the state's offset. A bad record changes nothing but the offset. */
+/** Applies the entry directly after the state's offset. An invalid record only advances the offset. */
 export function applyEntry(state: FoldedState, entry: LogEntry): readonly FoldEvent[] {
   invariant(
     entry.offset === state.offset + 1,
@@ -85,7 +86,7 @@
     () => `record ${entry.offset} after ${state.offset}`,
   );
   state.offset = entry.offset;
-  forgetSilentWriters(state);
+  dropInactiveWriters(state);
   return parseRecord(entry.data).caseOf<readonly FoldEvent[]>({
     Left: (reason) => [{ type: "bad_record", offset: entry.offset, reason }],
     Right: (record) => applyRecord(state, record),
@@ -121,7 +122,7 @@
   return { kind: "revision_conflict", subject, base: change.base, current, who: stored?.who ?? "" };
 }
 
-/** Says whether a write would be accepted by the state as it stands. */
+/** Checks a write against the current state; returns why it would be rejected, or undefined. */
 export function checkWrite(
   state: FoldedState,
   changes: readonly Change[],
@@ -158,7 +159,7 @@
   return [{ type: "write_accepted", id: record.id, record, revision }];
 }
 
-/** Names of the fields in which two resources differ. */
+/** Returns the names of the fields that differ between two resources. */
 function changedFields(before: Resource | undefined, after: Resource): readonly string[] {
   const old: Partial<Record<string, unknown>> = { ...before };
   return Object.entries(after)
@@ -166,7 +167,7 @@
     .map(([name]) => name);
 }
 
-/** Adds the write to the history. */
+/** Adds the write to the history and drops the oldest one above the limit. */
 function addToHistory(state: FoldedState, record: WriteRecord): void {
   const changes = record.changes.map((change) => {
     const subject = subjectOf(change);
@@ -198,7 +199,7 @@
   return [{ type: "lease_claimed", id: claim.id, lease }];
 }
 
-/** The leases that the holder names and still has. */
+/** Returns the leases named by the record that its holder still holds. */
 function heldLeases(state: FoldedState, record: RenewRecord | ReleaseRecord): readonly Lease[] {
   return [...state.leases.values()].filter(
     (lease) =>
@@ -226,7 +227,7 @@
   return [...events, { type: "folded", id: record.id }];
 }
 
-/** An intent of a superseded holder is void: it must not send the orders. */
+/** Rejects the intent of a superseded holder, which then must not send the orders. */
 function applyIntent(state: FoldedState, record: IntentRecord): readonly FoldEvent[] {
   const accepted = state.leases.get(record.pool)?.epoch === record.epoch;
   if (accepted) {
@@ -241,10 +242,10 @@
   for (const settlement of record.settlements) {
     state.intents.delete(settlement.orderId);
     const known = state.settledThrough.get(settlement.engine);
-    const newer =
+    const isNewer =
       known?.engineIncarnation !== settlement.engineIncarnation ||
       known.sequence < settlement.sequence;
-    if (newer) {
+    if (isNewer) {
       state.settledThrough.set(settlement.engine, {
         engineIncarnation: settlement.engineIncarnation,
         sequence: settlement.sequence,
@@ -254,8 +255,7 @@
   return [{ type: "folded", id: record.id }];
 }
 
-/** The last part completes a snapshot, since a writer appends the parts in their order. */
-/** An older word changes nothing: two boxes may decide on one request at a time. */
+/** Ignores a decision with an older revision, as two boxes may decide on the same request concurrently. */
 function applyHeld(state: FoldedState, { id, word }: HeldRecord): readonly FoldEvent[] {
   const known = state.heldRequests.get(word.request);
   if (known && known.revision >= word.revision) return [{ type: "folded", id }];
@@ -266,6 +266,7 @@
   return [{ type: "request_held", id, word }];
 }
 
+/** The last part completes a snapshot, as writers append the parts in order. */
 function applySnapshotPart(state: FoldedState, part: SnapshotPartRecord): readonly FoldEvent[] {
   if (part.index === part.count - 1) {
     state.newestSnapshot = Math.max(state.newestSnapshot, part.asOf);
--- a/packages/state-fold/src/references.ts
+++ b/packages/state-fold/src/references.ts
@@ -1,4 +1,4 @@
-/** Rules between resources. They are checked in the fold, so that every box decides alike. */
+/** Consistency rules between resources. They are checked in the fold, which makes every box decide the same. */
 import type { FieldProblem } from "@linkfall/errors";
 import {
   type Adapter,
@@ -9,52 +9,52 @@
   resourceKey,
 } from "@linkfall/types";
 
-/** Resources by key, as they would stand after a write. */
+/** Resources by key, as they would be after a write. */
 export type ResourcesByKey = ReadonlyMap<string, Resource>;
 
 function missingReference(
-  lookup: ResourcesByKey,
-  from: Resource,
+  byKey: ResourcesByKey,
+  referrer: Resource,
   field: string,
   kind: ResourceKind,
   name: string,
 ): readonly FieldProblem[] {
-  if (lookup.has(resourceKey({ kind, name }))) return [];
-  return [{ field: `${resourceKey(from)}.${field}`, reason: `there is no ${kind} "${name}"` }];
+  if (byKey.has(resourceKey({ kind, name }))) return [];
+  return [{ field: `${resourceKey(referrer)}.${field}`, reason: `there is no ${kind} "${name}"` }];
 }
 
-function accountProblems(lookup: ResourcesByKey, from: Resource, accounts: readonly string[]) {
+function accountProblems(byKey: ResourcesByKey, referrer: Resource, accounts: readonly string[]) {
   return accounts.flatMap((account, index) =>
-    missingReference(lookup, from, `accounts.${index}`, "account", account),
+    missingReference(byKey, referrer, `accounts.${index}`, "account", account),
   );
 }
 
-function resourceProblems(lookup: ResourcesByKey, resource: Resource): readonly FieldProblem[] {
+function resourceProblems(byKey: ResourcesByKey, resource: Resource): readonly FieldProblem[] {
   switch (resource.kind) {
     case "model":
       return [
-        ...missingReference(lookup, resource, "pool", "pool", resource.pool),
-        ...accountProblems(lookup, resource, resource.accounts),
+        ...missingReference(byKey, resource, "pool", "pool", resource.pool),
+        ...accountProblems(byKey, resource, resource.accounts),
       ];
     case "adapter":
       return [
-        ...missingReference(lookup, resource, "model", "model", resource.model),
-        ...accountProblems(lookup, resource, resource.accounts),
-        ...adapterNameProblems(lookup, resource),
+        ...missingReference(byKey, resource, "model", "model", resource.model),
+        ...accountProblems(byKey, resource, resource.accounts),
+        ...adapterNameProblems(byKey, resource),
       ];
     case "engine":
-      return missingReference(lookup, resource, "pool", "pool", resource.pool);
+      return missingReference(byKey, resource, "pool", "pool", resource.pool);
     case "service":
-      return accountProblems(lookup, resource, resource.accounts);
+      return accountProblems(byKey, resource, resource.accounts);
     default:
       return [];
   }
 }
 
-/** Callers name models and adapters in one field, so the names must differ. */
-function adapterNameProblems(lookup: ResourcesByKey, adapter: Adapter): readonly FieldProblem[] {
-  if (!lookup.has(resourceKey({ kind: "model", name: adapter.name }))) return [];
-  return [{ field: `${resourceKey(adapter)}.name`, reason: "a model has this name" }];
+/** Callers select models and adapters by the same field, which requires distinct names. */
+function adapterNameProblems(byKey: ResourcesByKey, adapter: Adapter): readonly FieldProblem[] {
+  if (!byKey.has(resourceKey({ kind: "model", name: adapter.name }))) return [];
+  return [{ field: `${resourceKey(adapter)}.name`, reason: "the name is already used by a model" }];
 }
 
 function tokenProblems(resources: readonly Resource[]): readonly FieldProblem[] {
@@ -67,7 +67,7 @@
     else
       problems.push({
         field: `${resourceKey(resource)}.tokenHash`,
-        reason: `also of account "${owner}"`,
+        reason: `the token is already used by account "${owner}"`,
       });
   }
   return problems;
@@ -83,19 +83,19 @@
   if (atOnce > deployment.weightStoreLoadsAtOnce) {
     problems.push({
       field: "pool.loadsAtOnce",
-      reason: `pools together ask for ${atOnce}, the weight store allows ${deployment.weightStoreLoadsAtOnce}`,
+      reason: `the pools request ${atOnce} in total, the weight store allows ${deployment.weightStoreLoadsAtOnce}`,
     });
   }
   if (perSecond > deployment.weightStoreLoadsPerSecond) {
     problems.push({
       field: "pool.loadsPerSecond",
-      reason: `pools together ask for ${perSecond}, the weight store allows ${deployment.weightStoreLoadsPerSecond}`,
+      reason: `the pools request ${perSecond} in total, the weight store allows ${deployment.weightStoreLoadsPerSecond}`,
     });
   }
   return problems;
 }
 
-/** A model that fits on no accelerator of its pool could never be reachable. */
+/** Rejects models that fit on no accelerator of their pool, as they could never be loaded. */
 function sizeProblems(resources: readonly Resource[]): readonly FieldProblem[] {
   const largest = new Map<string, number>();
   for (const resource of resources) {
@@ -109,15 +109,15 @@
     resource.sizeMb > (largest.get(resource.pool) ?? 0);
   return resources.filter(tooLarge).map((model) => ({
     field: `${resourceKey(model)}.sizeMb`,
-    reason: `no accelerator of pool "${model.pool}" is as large`,
+    reason: `no accelerator of pool "${model.pool}" has enough memory`,
   }));
 }
 
-/** All that is wrong between the resources; empty when the state may stand. */
-export function referenceProblems(lookup: ResourcesByKey): readonly FieldProblem[] {
-  const resources = [...lookup.values()];
+/** Returns all violations of the rules between resources; empty if there are none. */
+export function referenceProblems(byKey: ResourcesByKey): readonly FieldProblem[] {
+  const resources = [...byKey.values()];
   return [
-    ...resources.flatMap((resource) => resourceProblems(lookup, resource)),
+    ...resources.flatMap((resource) => resourceProblems(byKey, resource)),
     ...tokenProblems(resources),
     ...weightStoreProblems(resources),
     ...sizeProblems(resources),
--- a/packages/state-fold/src/schemas.ts
+++ b/packages/state-fold/src/schemas.ts
@@ -1,4 +1,4 @@
-/** Checks of records and resources. A box trusts nothing that it reads from the log. */
+/** Schemas of records and resources. Everything read from the log is validated. */
 import { heldRequestSchema } from "@linkfall/crash-blame";
 import type { FieldProblem } from "@linkfall/errors";
 import { engineRoles, type Resource, resourceKinds, type StateRecord } from "@linkfall/types";
@@ -16,13 +16,13 @@
 const version = z.string().regex(/^[A-Za-z0-9._-]{1,64}$/, "letters, digits, '.', '_' or '-'");
 const address = z
   .string()
-  .regex(/^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/, "an IP number and a port");
+  .regex(/^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/, "an IP address and a port");
 const memory = z.number().int().min(1).max(maxMemoryMb);
 const names = z.array(name).max(maxCount);
 const priority = z.number().int().min(0).max(maxPriorityValue);
 const rate = z.number().positive().max(maxRate);
 
-/** A resource, with the defaults of the fields that may be left out. */
+/** Schema of a resource, with defaults of optional fields. */
 export const resourceSchema = z.discriminatedUnion("kind", [
   z.strictObject({
     kind: z.literal("deployment"),
@@ -93,7 +93,7 @@
 const resourceName = z.strictObject({ kind: z.enum(resourceKinds), name });
 const id = z.string().regex(/^[^#]{1,160}#\d{1,15}$/);
 
-/** One change as an operator sends it. */
+/** Schema of one change sent by an operator. */
 export const changeSchema = z.discriminatedUnion("action", [
   z.strictObject({ action: z.literal("put"), resource: resourceSchema, base: offset }),
   z.strictObject({ action: z.literal("delete"), name: resourceName, base: offset }),
@@ -180,7 +180,7 @@
   }));
 }
 
-/** Checks one resource; `label` is put before the names of wrong fields. */
+/** Validates one resource; Left lists the invalid fields, their names prefixed with `label`. */
 export function checkResource(
   input: unknown,
   label = "",
@@ -189,7 +189,7 @@
   return checked.success ? Right(checked.data) : Left(toProblems(checked.error, label));
 }
 
-/** Reads a record from its text; Left says why it could not be understood. */
+/** Parses and validates a record; Left is the reason why it is invalid. */
 export function parseRecord(data: string): Either<string, StateRecord> {
   return parseJson(data).chain((value) => {
     const checked = recordSchema.safeParse(value);
--- a/packages/state-fold/src/snapshot.ts
+++ b/packages/state-fold/src/snapshot.ts
@@ -1,17 +1,17 @@
-/** Folded state as text, cut into records of bounded size and put together again. */
+/** Serialises the folded state, splits it into records of bounded size, and reassembles it. */
 import type { FieldProblem } from "@linkfall/errors";
 import type { LogEntry, Offset, SnapshotPartRecord } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
 import { parseRecord } from "./schemas.js";
 import { emptyState, type FoldedState, type SnapshotParts } from "./state.js";
 
-/** Format of the text; a box refuses one that it does not know. */
+/** Version of the snapshot format; other versions are rejected. */
 const snapshotFormat = 1;
 
-/** A snapshot without the fields that the log adds to a record. */
+/** A snapshot part without the fields common to all records. */
 export type SnapshotPart = Omit<SnapshotPartRecord, "id" | "type">;
 
-/** The whole state as text. */
+/** Serialises the complete state. */
 export function serialiseState(state: FoldedState): string {
   return JSON.stringify({
     format: snapshotFormat,
@@ -27,12 +27,12 @@
   });
 }
 
-/** Reads the text of a snapshot. */
+/** Parses a serialised state. */
 export function parseState(text: string): Either<FieldProblem, FoldedState> {
   try {
     const value = JSON.parse(text);
     if (value.format !== snapshotFormat) {
-      return Left({ field: "format", reason: `unknown format ${value.format}` });
+      return Left({ field: "format", reason: `unsupported snapshot format ${value.format}` });
     }
     return Right({
       ...emptyState(),
@@ -46,12 +46,12 @@
       history: value.history,
       newestSnapshot: value.newestSnapshot,
     });
-  } catch (problem) {
-    return Left({ field: "snapshot", reason: String(problem) });
+  } catch (error) {
+    return Left({ field: "snapshot", reason: String(error) });
   }
 }
 
-/** Cuts the state into parts of at most `partLength` characters. */
+/** Splits the serialised state into parts of at most `partLength` characters. */
 export function splitSnapshot(
   state: FoldedState,
   snapshot: string,
@@ -68,28 +68,30 @@
   }));
 }
 
-/** Collects the parts of snapshots from records in the order of offset. */
+/** Reassembles snapshots from log records, which are added in offset order. */
 export interface SnapshotCollector {
-  /** Takes a record; answers with the state once a snapshot that reaches `atLeast` is whole. */
-  add(entry: LogEntry, atLeast: Offset): FoldedState | undefined;
+  /** Adds a record; returns the state if this completes a snapshot taken at offset `minOffset` or later. */
+  add(entry: LogEntry, minOffset: Offset): FoldedState | undefined;
 }
 
-/** Creates a collector that has seen no record. */
+/** Creates a collector without records. */
 export function createSnapshotCollector(): SnapshotCollector {
-  const collected = new Map<string, SnapshotParts>();
+  const partsBySnapshot = new Map<string, SnapshotParts>();
   return {
-    add(entry, atLeast) {
+    add(entry, minOffset) {
       const record = parseRecord(entry.data).toMaybe().extract();
-      if (record?.type !== "snapshot" || record.asOf < atLeast) return undefined;
-      const held = collected.get(record.snapshot) ?? {
+      if (record?.type !== "snapshot" || record.asOf < minOffset) return undefined;
+      const snapshot = partsBySnapshot.get(record.snapshot) ?? {
         asOf: record.asOf,
         count: record.count,
         parts: new Map<number, string>(),
       };
-      collected.set(record.snapshot, held);
-      held.parts.set(record.index, record.data);
-      if (held.parts.size < held.count) return undefined;
-      const text = Array.from({ length: held.count }, (_, index) => held.parts.get(index)).join("");
+      partsBySnapshot.set(record.snapshot, snapshot);
+      snapshot.parts.set(record.index, record.data);
+      if (snapshot.parts.size < snapshot.count) return undefined;
+      const text = Array.from({ length: snapshot.count }, (_, index) =>
+        snapshot.parts.get(index),
+      ).join("");
       return parseState(text).toMaybe().extract();
     },
   };
--- a/packages/state-fold/src/state.ts
+++ b/packages/state-fold/src/state.ts
@@ -1,4 +1,4 @@
-/** The folded state. It is the same on every box that has read as far. */
+/** The folded state. It is identical on every box that has read up to the same offset. */
 import type {
   Epoch,
   Fingerprint,
@@ -17,34 +17,34 @@
   readonly pool: string;
   readonly epoch: Epoch;
   readonly holder: Incarnation;
-  /** Where other boxes reach the holder. */
+  /** Peer address of the holder. */
   readonly holderAddress?: string;
   readonly leaseMs: Milliseconds;
-  /** Offset of the newest claim or renewal; a rival's claim must name it. */
+  /** Offset of the newest claim or renewal; a competing claim must refer to it. */
   readonly touched: Offset;
-  /** Whether the holder gave it up. */
+  /** Whether the holder has released it. */
   readonly released: boolean;
 }
 
-/** An order to an unfenced engine that may still arrive there. */
+/** An order to an engine without fencing, recorded before it is sent and not settled yet. */
 export interface Intent {
   readonly pool: string;
   readonly order: Order;
   readonly offset: Offset;
 }
 
-/** The newest report of an engine on which a settlement rests. Older ones must not be used. */
+/** The newest engine report that a settlement is based on; older reports must be ignored. */
 export interface SettledThrough {
   readonly engineIncarnation: string;
   readonly sequence: number;
 }
 
-/** One accepted change, as the audit trail shows it. */
+/** One accepted change, as listed in the audit trail. */
 export interface AcceptedChange {
   readonly action: "put" | "delete";
   readonly subject: ResourceName;
   readonly oldRevision: Revision;
-  /** Fields that differ from the revision before; all where it is new. */
+  /** Fields that differ from the previous revision; all fields of a new resource. */
   readonly fields: readonly string[];
 }
 
@@ -52,25 +52,27 @@
 export interface AcceptedWrite {
   readonly revision: Revision;
   readonly who: string;
-  /** Wall-clock time of the box that took the write, ISO 8601; for people only. */
+  /** Wall-clock time at the box that accepted the write, ISO 8601; informational only. */
   readonly at: string;
   readonly changes: readonly AcceptedChange[];
 }
 
-/** How far the records of one process start have been folded. */
+/** Progress of the fold through the records of one writer incarnation. */
 export interface WriterPosition {
+  /** Highest sequence number folded. */
   readonly highest: number;
+  /** Offset of its last record. */
   readonly offset: Offset;
 }
 
-/** A snapshot that is being read from the log. */
+/** A partially read snapshot. */
 export interface SnapshotParts {
   readonly asOf: Offset;
   readonly count: number;
   readonly parts: Map<number, string>;
 }
 
-/** Mutable on purpose: a fold over thousands of resources must not copy them for each record. */
+/** State of the fold. Mutable, to avoid copying thousands of resources for each record. */
 export interface FoldedState {
   offset: Offset;
   readonly resources: Map<string, StoredResource>;
@@ -78,15 +80,15 @@
   readonly intents: Map<string, Intent>;
   readonly settledThrough: Map<string, SettledThrough>;
   readonly writers: Map<string, WriterPosition>;
-  /** Requests that are held back or were released, oldest word first, bounded. */
+  /** Requests that are or were held back, least recently updated first, bounded. */
   readonly heldRequests: Map<Fingerprint, HeldRequest>;
   /** The newest accepted writes, oldest first, bounded. */
   readonly history: AcceptedWrite[];
-  /** The state's own offset of the newest complete snapshot in the log; 0 for none. */
+  /** Offset of the state in the newest complete snapshot in the log; 0 if there is none. */
   newestSnapshot: Offset;
 }
 
-/** The state before the first record. */
+/** Returns the state before the first record. */
 export function emptyState(): FoldedState {
   return {
     offset: 0,
--- a/packages/state-fold/src/views.ts
+++ b/packages/state-fold/src/views.ts
@@ -1,4 +1,4 @@
-/** Typed views of the desired state. */
+/** Typed view of the desired state. */
 import type {
   Account,
   Adapter,
@@ -12,7 +12,7 @@
 } from "@linkfall/types";
 import type { FoldedState } from "./state.js";
 
-/** The desired state, sorted by kind for quick look-up. Built once for each accepted change. */
+/** The desired state, indexed by kind and name. Rebuilt after each accepted write. */
 export interface DesiredState {
   readonly deployment: Deployment;
   readonly accounts: ReadonlyMap<string, Account>;
@@ -22,12 +22,12 @@
   readonly models: ReadonlyMap<string, Model>;
   readonly adapters: ReadonlyMap<string, Adapter>;
   readonly engines: ReadonlyMap<string, Engine>;
-  /** Engines by pool: each request looks at those of one pool only. */
+  /** Engines by pool, as each request only involves those of one pool. */
   readonly enginesByPool: ReadonlyMap<string, readonly Engine[]>;
   readonly services: ReadonlyMap<string, PlainService>;
 }
 
-/** Weights where operators have declared none. */
+/** Used if operators have declared no deployment. */
 const defaultDeployment: Deployment = {
   kind: "deployment",
   name: "default",
@@ -50,14 +50,14 @@
 function byPool(engines: Iterable<Engine>): ReadonlyMap<string, readonly Engine[]> {
   const pools = new Map<string, Engine[]>();
   for (const engine of engines) {
-    const ofPool = pools.get(engine.pool) ?? [];
-    ofPool.push(engine);
-    pools.set(engine.pool, ofPool);
+    const poolEngines = pools.get(engine.pool) ?? [];
+    poolEngines.push(engine);
+    pools.set(engine.pool, poolEngines);
   }
   return pools;
 }
 
-/** Sorts the resources of the folded state. */
+/** Builds the typed view of the resources in the folded state. */
 export function desiredStateOf(state: FoldedState): DesiredState {
   const resources = [...state.resources.values()].map((stored) => stored.resource);
   const accounts = byName(resources, "account");
--- a/packages/state-store/src/index.ts
+++ b/packages/state-store/src/index.ts
@@ -1,4 +1,4 @@
-/** Holds the folded state of one box, and keeps the newest records to relay them to peers. */
+/** Holds the folded state of one box, and keeps the newest records for peers. */
 import { invariant } from "@linkfall/errors";
 import { serviceName } from "@linkfall/kernel";
 import {
@@ -11,31 +11,35 @@
 } from "@linkfall/state-fold";
 import type { LogEntry, Offset } from "@linkfall/types";
 
-/** Newest records kept for peers; one that lacks more takes the whole state. */
+/** Minimum number of records kept for peers; one that is further behind fetches the complete state. */
 const minRecentRecords = 512;
 
-/** Called for each thing that a record did. */
+/** Called with each effect of a record. */
 export type FoldListener = (event: FoldEvent, entry: LogEntry) => void;
 
+/** The folded state of one box. */
 export interface StateStore {
+  /** Returns the current state, which is updated in place until it is replaced. */
   state(): FoldedState;
-  /** The desired state, rebuilt only after a change. */
+  /** Returns the desired state, rebuilt only after a change. */
   desired(): DesiredState;
-  /** Whether there is a state to serve from: an empty start is not one. */
+  /** Whether the state can be served from: the log was read to its end, or a complete state was received. */
   ready(): boolean;
-  /** Says that the log has been read to its end, so that even an empty state is the true one. */
+  /** Marks the state as ready after the log has been read to its end, even if it is empty. */
   markReady(): void;
-  /** Folds those of the entries that come next; others are passed over. */
+  /** Folds the entries that directly follow the current offset; others are ignored. */
   ingest(entries: readonly LogEntry[]): void;
-  /** Takes over a state that is further on; an older one is refused. */
+  /** Replaces the state by a newer one; returns false if it is not newer. */
   replace(state: FoldedState): boolean;
-  /** Records after `offset`, oldest first; empty where they are no longer kept. */
+  /** Returns up to `limit` records after `offset`, oldest first; empty if they are no longer kept. */
   recentAfter(offset: Offset, limit: number): readonly LogEntry[];
+  /** Calls the listener with each effect of a folded record. */
   onFold(listener: FoldListener): void;
-  /** Called after the state was taken over as a whole. */
+  /** Calls the listener after the state was replaced. */
   onReplace(listener: () => void): void;
 }
 
+/** Name of the store in the kernel. */
 export const stateStoreName = serviceName<StateStore>("state-store");
 
 /** Creates a store with the state before the first record. */
@@ -48,10 +52,10 @@
   const replaceListeners: (() => void)[] = [];
 
   const fold = (entry: LogEntry) => {
-    const foldEvents = applyEntry(state, entry);
+    const effects = applyEntry(state, entry);
     recent.push(entry);
     if (recent.length > 2 * minRecentRecords) recent = recent.slice(-minRecentRecords);
-    for (const event of foldEvents) {
+    for (const event of effects) {
       if (event.type === "write_accepted") desired = undefined;
       for (const listener of foldListeners) listener(event, entry);
     }
@@ -69,14 +73,14 @@
         if (entry.offset === state.offset + 1) fold(entry);
       }
     },
-    replace(newer) {
-      if (newer.offset <= state.offset) return false;
-      const before = state.offset;
-      state = newer;
+    replace(newState) {
+      if (newState.offset <= state.offset) return false;
+      const previousOffset = state.offset;
+      state = newState;
       desired = undefined;
       recent = [];
       isReady = true;
-      invariant(state.offset > before, "state-moves-forward");
+      invariant(state.offset > previousOffset, "state-moves-forward");
       for (const listener of replaceListeners) listener();
       return true;
     },
