--- a/packages/desired-diff/src/index.ts
+++ b/packages/desired-diff/src/index.ts
@@ -16,16 +16,16 @@
   readonly after: unknown;
 }
 
-/** What would become of one resource. */
+/** The difference of one resource. */
 export interface ResourceDiff {
   readonly subject: ResourceName;
   readonly action: "create" | "update" | "unchanged" | "delete";
-  /** Revision that the comparison is based on. */
+  /** Revision of the stored resource; 0 if there is none. */
   readonly base: Revision;
   readonly fields: readonly FieldChange[];
 }
 
-/** The differences, and the changes that make them. */
+/** The differences of all declared resources, and the changes that apply them. */
 export interface DesiredDiff {
   readonly diffs: readonly ResourceDiff[];
   readonly changes: readonly Change[];
@@ -46,7 +46,7 @@
   return { subject, action: fields.length === 0 ? "unchanged" : "update", base, fields };
 }
 
-/** Compares declared resources with stored ones; stored ones that are not declared stay. */
+/** Compares declared resources with stored ones; stored resources that are not declared are kept. */
 export function diffResources(
   declared: readonly Resource[],
   stored: readonly StoredResource[],
--- a/packages/desired-feed/src/configuration-tracker.ts
+++ b/packages/desired-feed/src/configuration-tracker.ts
@@ -1,4 +1,4 @@
-/** Holds the newest configuration. A version never goes back, and a broken record changes nothing. */
+/** Tracks the active configuration. Older versions and invalid records are ignored. */
 import { createKeyTable, type KeyTable } from "@linkfall/account-keys";
 import type { ConfigurationCopy } from "@linkfall/box-peers";
 import { describeProblems } from "@linkfall/errors";
@@ -9,24 +9,28 @@
 import { createRouteTable, type RouteTable } from "@linkfall/route-table";
 import type { Milliseconds, RoutedConfiguration } from "@linkfall/types";
 
-/** One configuration with the table that is built of it. */
+/** A configuration with the tables built from it. */
 export interface ActiveConfiguration {
   readonly configuration: RoutedConfiguration;
   readonly routes: RouteTable;
-  /** Absent where callers need no keys. */
+  /** Absent if callers need no keys. */
   readonly keys?: KeyTable;
+  /** When this box activated the configuration. */
   readonly activeSince: Milliseconds;
 }
 
+/** Holds the newest valid configuration. */
 export interface ConfigurationTracker {
   active(): ActiveConfiguration | undefined;
-  /** -1 before the first. */
+  /** Version of the active configuration; -1 if there is none. */
   version(): number;
+  /** Returns the active configuration as it is stored, for other boxes. */
   copy(): ConfigurationCopy;
-  /** Takes a record as the store gave it, read here or by another box. */
+  /** Activates a stored record, read by this box or received from another one, if it is valid and newer. */
   apply(text: string, from: "store" | "box"): void;
 }
 
+/** Dependencies of the tracker. */
 export interface ConfigurationTrackerInput {
   readonly codec: RecordCodec;
   readonly fleet: Fleet;
@@ -35,24 +39,25 @@
 
 const noVersion = -1;
 
+/** Creates a tracker without an active configuration. */
 export function createConfigurationTracker(
   clock: Clock,
   logger: Logger,
   { codec, fleet, configurationKey }: ConfigurationTrackerInput,
 ): ConfigurationTracker {
-  let inForce: ActiveConfiguration | undefined;
-  let inForceText: string | undefined;
-  const version = () => inForce?.configuration.version ?? noVersion;
+  let active: ActiveConfiguration | undefined;
+  let activeText: string | undefined;
+  const version = () => active?.configuration.version ?? noVersion;
 
-  const putInForce = (configuration: RoutedConfiguration, text: string, from: string) => {
+  const activate = (configuration: RoutedConfiguration, text: string, from: string) => {
     if (configuration.version <= version()) return;
-    inForce = {
+    active = {
       configuration,
       routes: createRouteTable(configuration),
       keys: configuration.accounts && createKeyTable(configuration.accounts),
       activeSince: clock.now(),
     };
-    inForceText = text;
+    activeText = text;
     const shapes = [...configuration.services.values()].map(
       (service) => [service.name, service.engine] as const,
     );
@@ -66,16 +71,16 @@
   };
 
   return {
-    active: () => inForce,
+    active: () => active,
     version,
-    copy: () => ({ version: version(), text: inForceText }),
+    copy: () => ({ version: version(), text: activeText }),
     apply(text, from) {
       codec.configuration(text).caseOf({
         Left: (invalid) => {
           const problem = describeProblems(invalid);
           logger.event("badRecord", { key: configurationKey, problem });
         },
-        Right: (configuration) => putInForce(configuration, text, from),
+        Right: (configuration) => activate(configuration, text, from),
       });
     },
   };
--- a/packages/desired-feed/src/desired-feed.feature
+++ b/packages/desired-feed/src/desired-feed.feature
@@ -1,103 +1,103 @@
-Feature: The newest configuration and the list of targets are in force, whatever the store does
+Feature: The feed provides the newest configuration and target list, also during outages of the store
 
   Background:
     Given a store with configuration 3 and targets "t1 t2"
     And a feed that has read them
 
-  Scenario: A newer configuration comes into force, an older or broken one never
+  Scenario: A newer configuration is activated, an older or invalid one is not
     When configuration 5 is written
     And configuration 4 is written
-    And a broken configuration is written
-    And 1000 ms go by in the feed
-    Then configuration 5 is in force
+    And an invalid configuration is written
+    And 1000 ms pass in the feed
+    Then configuration 5 is active
     And 1 bad record has been logged
 
-  Scenario: Changes are read through an outage
+  Scenario: Changes made during an outage are read after it
     When the store refuses the feed
     And configuration 6 is written
     And the target "t3" is written
-    And 3000 ms go by in the feed
-    Then the feed knows that the store is away
-    And configuration 3 is in force
+    And 3000 ms pass in the feed
+    Then the feed reports the store as unreachable
+    And configuration 3 is active
     When the store serves the feed
-    And 2000 ms go by in the feed
-    Then configuration 6 is in force
+    And 2000 ms pass in the feed
+    Then configuration 6 is active
     And the targets "t1 t2 t3" are known
 
-  Scenario: History that is gone is read anew, with targets that went meanwhile
+  Scenario: After truncation of the history the feed reads a full snapshot, including removals
     When the store refuses the feed
-    And the target "t1" is dropped
+    And the target "t1" is deleted
     And the target "t3" is written
-    And the history is dropped
+    And the history is truncated
     And the store serves the feed
-    And 6000 ms go by in the feed
+    And 6000 ms pass in the feed
     Then the targets "t2 t3" are known
 
-  Scenario: Another box's copy counts where it is ahead, and never where it is behind
+  Scenario: A copy from another box is applied only if it is newer
     When the store refuses the feed
     And a copy with configuration 7 and targets "t2 t4" of a later read comes from another box
-    Then configuration 7 is in force
+    Then configuration 7 is active
     When a copy with configuration 2 and targets "t9" of an earlier read comes from another box
-    Then configuration 7 is in force
+    Then configuration 7 is active
     And the target "t9" is not known
 
-  Scenario: A box that leaves reading to others makes no calls, and takes what they tell
-    When the feed leaves reading to other boxes
-    And 500 ms go by in the feed
+  Scenario: A box that is not a reader does not call the store, and applies changes from readers
+    When the feed is not a reader of the store
+    And 500 ms pass in the feed
     Then the store is not read
-    When another box tells of "t3" changed and "t1" gone
-    And 2000 ms go by in the feed
+    When another box sends "t3" as changed and "t1" as removed
+    And 2000 ms pass in the feed
     Then the targets "t2 t3" are known
 
-  Scenario: A box that reads again takes the whole list from the store
-    When the feed leaves reading to other boxes
-    And 500 ms go by in the feed
-    And another box tells of "t8" changed and "t1" gone
+  Scenario: A box that becomes a reader again reads the full list from the store
+    When the feed is not a reader of the store
+    And 500 ms pass in the feed
+    And another box sends "t8" as changed and "t1" as removed
     And the target "t3" is written
     And the target "t4" is written
     And the target "t5" is written
-    And the feed reads itself again
-    And 4000 ms go by in the feed
+    And the feed is a reader of the store again
+    And 4000 ms pass in the feed
     Then the targets "t1 t2 t3 t4 t5" are known
 
-  Scenario: Another box is told just what has changed since
-    Given another box has been told of all
+  Scenario: Another box receives only the changes since its offset
+    Given another box has received everything
     When the target "t3" is written
-    And the target "t1" is dropped
-    And 500 ms go by in the feed
-    Then a box that was told of all before is told of "t3" changed and "t1" gone
-    And a box that has read up to the start is told of "t2 t3", the whole list
+    And the target "t1" is deleted
+    And 500 ms pass in the feed
+    Then a box that has received everything before receives "t3" as changed and "t1" as removed
+    And a box at the first offset receives the full list "t2 t3"
 
-  Scenario: What a box was told, it tells on
-    Given another box has been told of all
+  Scenario: Received changes are relayed
+    Given another box has received everything
     When the store refuses the feed
-    And another box tells of "t3" changed and "t1" gone
-    Then a box that was told of all before is told of "t3" changed and "t1" gone
-    When another box tells of "t4" changed and "t2" gone
-    Then a box that was told of all before is told of "t3 t4" changed and "t1 t2" gone
+    And another box sends "t3" as changed and "t1" as removed
+    Then a box that has received everything before receives "t3" as changed and "t1" as removed
+    When another box sends "t4" as changed and "t2" as removed
+    Then a box that has received everything before receives "t3 t4" as changed and "t1 t2" as removed
 
-  Scenario: An entry that cannot be read takes no other with it, and is used again when it is good
+  Scenario: An invalid entry affects no other target, and is used again once it is valid
     When "{" is written as the entry of "t1"
     And the target "t3" is written
-    And 500 ms go by in the feed
+    And 500 ms pass in the feed
     Then the targets "t2 t3" are known
-    And a box that has read up to the start is told of "t2 t3", the whole list, and that "t1" can't be read
+    And a box at the first offset receives the full list "t2 t3", with "t1" as unreadable
     When the target "t1" is written
-    And 500 ms go by in the feed
+    And 500 ms pass in the feed
     Then the targets "t1 t2 t3" are known
 
-  Scenario: What another box could not read is left alone here as well
-    Given another box has been told of all
-    When the feed leaves reading to other boxes
-    And 500 ms go by in the feed
-    And another box tells that "t1" can't be read
+  Scenario: An entry that another box can't read is excluded here as well
+    Given another box has received everything
+    When the feed is not a reader of the store
+    And 500 ms pass in the feed
+    And another box sends "t1" as unreadable
     Then the targets "t2" are known
-    And a box that was told of all before is told that "t1" can't be read
+    And a box that has received everything before receives "t1" as unreadable
 
-  Scenario: A change that is read while another box tells of others takes no target away
-    When another box tells of "t3" changed and "t9" gone
+  Scenario: A read in progress while changes are received from another box removes no target
+    When another box sends "t3" as changed and "t9" as removed
     And the target "t3" is written
     And the target "t4" is written
     And the target "t5" is written
-    And 4000 ms go by in the feed
+    And 4000 ms pass in the feed
     Then the targets "t1 t2 t3 t4 t5" are known
--- a/packages/desired-feed/src/desired-feed.steps.ts
+++ b/packages/desired-feed/src/desired-feed.steps.ts
@@ -17,10 +17,10 @@
   readonly feed: DesiredFeed;
   readonly fleet: Fleet;
   readonly events: string[];
-  /** Whether this box is to read the store itself. */
+  /** Whether this box is a reader of the store. */
   reads: boolean;
-  /** How far another box was told of the list. */
-  toldEnd: number;
+  /** Offset up to which another box has received the target list. */
+  receivedEnd: number;
 }
 
 const scenes = new WeakMap<object, Scene>();
@@ -38,28 +38,28 @@
   return { version, routes: [], services: new Map(), limits };
 }
 
-/** Records are a version, or the name of a target's service. */
+/** A configuration record is its version, a target record the name of its service. */
 const codec: RecordCodec = {
   configuration: (text) =>
     Number.isFinite(Number(text))
       ? Right(configuration(Number(text)))
-      : Left({ kind: "invalid_input", problems: [{ field: "version", reason: "no number" }] }),
+      : Left({ kind: "invalid_input", problems: [{ field: "version", reason: "not a number" }] }),
   target: (id, text) =>
     text === "{"
-      ? Left({ kind: "invalid_input", problems: [{ field: "", reason: "no JSON" }] })
+      ? Left({ kind: "invalid_input", problems: [{ field: "", reason: "not JSON" }] })
       : Right({ id, service: text, address: "10.0.0.1:1", domain: "d", slots: 1, leaving: false }),
 };
 
-const words = (text: string) => text.split(" ");
+const idsOf = (text: string) => text.split(" ");
 
-function listedAs(id: string): ListedTarget {
+function targetOf(id: string): ListedTarget {
   return { id, service: "s", address: "10.0.0.1:1", domain: "d", slots: 1, leaving: false };
 }
 
 Given(
   "a store with configuration {int} and targets {string}",
   function (this: object, version: number, ids: string) {
-    const own: { scene?: Scene } = {};
+    const created: { scene?: Scene } = {};
     const clock = createVirtualClock();
     const events: string[] = [];
     const kernel = createKernel();
@@ -76,25 +76,25 @@
     const configurations = createKeyedStore(clock);
     const targets = createKeyedStore(clock);
     configurations.write(key, String(version));
-    for (const id of words(ids)) targets.write(id, "s");
+    for (const id of idsOf(ids)) targets.write(id, "s");
     const feed = createDesiredFeed(kernel, {
       configurationStream: configurations.portFor(box),
       targetStream: targets.portFor(box),
       codec,
       fleet,
-      peers: { readsStore: () => own.scene?.reads ?? true, anyReaderReachesStore: () => true },
+      peers: { readsStore: () => created.scene?.reads ?? true, anyReaderReachesStore: () => true },
       times: { maxWaitMs: 200, coalesceMs: 0, initialRetryPauseMs: 50, maxRetryPauseMs: 300 },
       coalesceTargetsMs: 0,
       configurationKey: key,
       settleMs: 1_000,
     });
-    const rest = { events, reads: true, toldEnd: 0 };
-    own.scene = { clock, configurations, targets, feed, fleet, ...rest };
-    scenes.set(this, own.scene);
+    const rest = { events, reads: true, receivedEnd: 0 };
+    created.scene = { clock, configurations, targets, feed, fleet, ...rest };
+    scenes.set(this, created.scene);
   },
 );
 
-async function pass(world: object, ms: number): Promise<void> {
+async function passTime(world: object, ms: number): Promise<void> {
   const { clock, fleet, feed } = sceneOf(world);
   const end = clock.now() + ms;
   while (clock.now() < end) {
@@ -105,7 +105,7 @@
 
 Given("a feed that has read them", async function (this: object) {
   await sceneOf(this).feed.start();
-  await pass(this, 100);
+  await passTime(this, 100);
   assert.ok(sceneOf(this).feed.ready());
 });
 
@@ -117,7 +117,7 @@
   sceneOf(this).configurations.write(key, String(version));
 });
 
-When("a broken configuration is written", function (this: object) {
+When("an invalid configuration is written", function (this: object) {
   sceneOf(this).configurations.write(key, "broken");
 });
 
@@ -125,11 +125,11 @@
   sceneOf(this).targets.write(id, "s");
 });
 
-When("the target {string} is dropped", function (this: object, id: string) {
+When("the target {string} is deleted", function (this: object, id: string) {
   sceneOf(this).targets.write(id, undefined);
 });
 
-When("the history is dropped", function (this: object) {
+When("the history is truncated", function (this: object) {
   sceneOf(this).targets.compact();
   sceneOf(this).configurations.compact();
 });
@@ -142,8 +142,8 @@
   },
 );
 
-When("{int} ms go by in the feed", function (this: object, ms: number) {
-  return pass(this, ms);
+When("{int} ms pass in the feed", function (this: object, ms: number) {
+  return passTime(this, ms);
 });
 
 When(
@@ -154,65 +154,65 @@
     feed.applyTargetChanges({
       end: feed.targetsEnd() + (when === "a later" ? 5 : -1),
       whole: true,
-      changed: words(ids).map(listedAs),
+      changed: idsOf(ids).map(targetOf),
       gone: [],
     });
   },
 );
 
-When("the feed leaves reading to other boxes", function (this: object) {
+When("the feed is not a reader of the store", function (this: object) {
   sceneOf(this).reads = false;
 });
 
-When("the feed reads itself again", function (this: object) {
+When("the feed is a reader of the store again", function (this: object) {
   sceneOf(this).reads = true;
 });
 
 When(
-  "another box tells of {string} changed and {string} gone",
+  "another box sends {string} as changed and {string} as removed",
   function (this: object, changed: string, gone: string) {
     const { feed } = sceneOf(this);
     feed.applyTargetChanges({
       end: feed.targetsEnd() + 2,
       whole: false,
-      changed: words(changed).map(listedAs),
-      gone: words(gone),
+      changed: idsOf(changed).map(targetOf),
+      gone: idsOf(gone),
     });
   },
 );
 
 Then(
-  "a box that has read up to the start is told of {string}, the whole list",
+  "a box at the first offset receives the full list {string}",
   function (this: object, ids: string) {
     const changes = sceneOf(this).feed.targetChangesSince(0);
     assert.ok(changes.whole);
-    assert.deepEqual(changes.changed.map(({ id }) => id).sort(), words(ids));
+    assert.deepEqual(changes.changed.map(({ id }) => id).sort(), idsOf(ids));
   },
 );
 
 Then(
-  "a box that was told of all before is told of {string} changed and {string} gone",
+  "a box that has received everything before receives {string} as changed and {string} as removed",
   function (this: object, changed: string, gone: string) {
-    const changes = sceneOf(this).feed.targetChangesSince(sceneOf(this).toldEnd);
+    const changes = sceneOf(this).feed.targetChangesSince(sceneOf(this).receivedEnd);
     assert.ok(!changes.whole);
-    assert.deepEqual(changes.changed.map(({ id }) => id).sort(), words(changed));
-    assert.deepEqual([...changes.gone].sort(), words(gone));
+    assert.deepEqual(changes.changed.map(({ id }) => id).sort(), idsOf(changed));
+    assert.deepEqual([...changes.gone].sort(), idsOf(gone));
   },
 );
 
-Given("another box has been told of all", function (this: object) {
+Given("another box has received everything", function (this: object) {
   const scene = sceneOf(this);
-  scene.toldEnd = scene.feed.targetsEnd();
+  scene.receivedEnd = scene.feed.targetsEnd();
 });
 
 Then("the store is not read", async function (this: object) {
   const { targets } = sceneOf(this);
   const before = targets.reads();
-  await pass(this, 2_000);
+  await passTime(this, 2_000);
   assert.equal(targets.reads(), before);
 });
 
-Then("configuration {int} is in force", function (this: object, version: number) {
+Then("configuration {int} is active", function (this: object, version: number) {
   assert.equal(sceneOf(this).feed.activeConfiguration()?.configuration.version, version);
 });
 
@@ -221,15 +221,15 @@
   assert.equal(bad.length, count);
 });
 
-Then("the feed knows that the store is away", function (this: object) {
+Then("the feed reports the store as unreachable", function (this: object) {
   assert.ok(!sceneOf(this).feed.reachesStore());
 });
 
 Then("the targets {string} are known", function (this: object, ids: string) {
   const known = sceneOf(this)
     .fleet.all()
-    .map((belief) => belief.listed.id);
-  assert.deepEqual([...known].sort(), words(ids));
+    .map((target) => target.listed.id);
+  assert.deepEqual([...known].sort(), idsOf(ids));
 });
 
 Then("the target {string} is not known", function (this: object, id: string) {
@@ -243,26 +243,26 @@
   },
 );
 
-When("another box tells that {string} can't be read", function (this: object, id: string) {
+When("another box sends {string} as unreadable", function (this: object, id: string) {
   const { feed } = sceneOf(this);
   const end = feed.targetsEnd() + 1;
   feed.applyTargetChanges({ end, whole: false, changed: [], gone: [], unreadable: [id] });
 });
 
 Then(
-  "a box that has read up to the start is told of {string}, the whole list, and that {string} can't be read",
+  "a box at the first offset receives the full list {string}, with {string} as unreadable",
   function (this: object, ids: string, bad: string) {
     const changes = sceneOf(this).feed.targetChangesSince(0);
     assert.ok(changes.whole);
-    assert.deepEqual(changes.changed.map(({ id }) => id).sort(), words(ids));
+    assert.deepEqual(changes.changed.map(({ id }) => id).sort(), idsOf(ids));
     assert.deepEqual(changes.unreadable, [bad]);
   },
 );
 
 Then(
-  "a box that was told of all before is told that {string} can't be read",
+  "a box that has received everything before receives {string} as unreadable",
   function (this: object, bad: string) {
-    const changes = sceneOf(this).feed.targetChangesSince(sceneOf(this).toldEnd);
+    const changes = sceneOf(this).feed.targetChangesSince(sceneOf(this).receivedEnd);
     assert.deepEqual([changes.changed, changes.gone, changes.unreadable], [[], [], [bad]]);
   },
 );
--- a/packages/desired-feed/src/desired-feed.ts
+++ b/packages/desired-feed/src/desired-feed.ts
@@ -1,4 +1,4 @@
-/** The configuration in force and the list of targets, from the store or from other boxes. */
+/** Follows the active configuration and the target list, read from the store or received from other boxes. */
 import type { ConfigurationCopy, TargetChanges } from "@linkfall/box-peers";
 import type { LogFailure } from "@linkfall/errors";
 import type { Fleet } from "@linkfall/fleet";
@@ -20,14 +20,15 @@
 import { createStoreReachability, type StoreReachability } from "./store-reachability.js";
 import { createTargetChangeLog, type TargetChangeLog } from "./target-change-log.js";
 
-/** What the feed has to know of the other boxes. */
+/** State of the other boxes that the feed depends on. */
 export interface FeedPeers {
-  /** Whether this box is to read the store itself. */
+  /** Whether this box is one of those that read the store. */
   readsStore(): boolean;
-  /** Whether a box that reads the store, and was heard lately, reaches it. */
+  /** Whether any reader of the store that recently sent a heartbeat reaches it. */
   anyReaderReachesStore(): boolean;
 }
 
+/** Dependencies and settings of the feed. */
 export interface DesiredFeedInput {
   readonly configurationStream: KeyedStreamPort;
   readonly targetStream: KeyedStreamPort;
@@ -35,67 +36,72 @@
   readonly fleet: Fleet;
   readonly peers: FeedPeers;
   readonly times: StreamFollowerTimes;
-  /** Pause after each change of targets, which come in crowds when models move. */
+  /** Pause after each read with target changes, which arrive in bursts when models move. */
   readonly coalesceTargetsMs: Milliseconds;
   /** Key of the record that holds the whole configuration. */
   readonly configurationKey: string;
-  /** How long after the store's return its list may still lack targets that live. */
+  /** Time after a store outage in which running targets may still be missing from the list. */
   readonly settleMs: Milliseconds;
 }
 
+/** Configuration and target list as known to one box. */
 export interface DesiredFeed extends Service {
+  /** Returns the active configuration, or undefined before the first. */
   activeConfiguration(): ActiveConfiguration | undefined;
-  /** Whether configuration and targets are known. */
+  /** Whether both configuration and targets are known. */
   ready(): boolean;
-  /** Whether this box reads the store itself now. */
+  /** Whether this box currently reads the store itself. */
   readsStore(): boolean;
+  /** Whether this box, or else any other reader, reaches the store. */
   reachesStore(): boolean;
-  /** Whether the store is away, or came back only just now. */
+  /** Whether the store is unreachable, or became reachable less than `settleMs` ago. */
   storeUnsettled(): boolean;
-  /** How far the list of targets is known. */
+  /** Offset up to which the target list is known. */
   targetsEnd(): Offset;
+  /** Returns the active configuration for other boxes. */
   configurationCopy(): ConfigurationCopy;
-  /** Takes what another box has read, where it is newer. */
+  /** Applies a configuration received from another box, if it is newer. */
   applyConfigurationCopy(copy: ConfigurationCopy): void;
-  /** Changes of the list from an offset on. */
+  /** Returns the changes of the target list from offset `since` on. */
   targetChangesSince(since: Offset): TargetChanges;
-  /** Takes changes of the list that another box has read, where they are newer. */
+  /** Applies target changes received from another box, if they are newer. */
   applyTargetChanges(changes: TargetChanges): void;
 }
 
+/** Name of the feed in the kernel. */
 export const desiredFeedName = serviceName<DesiredFeed>("desired-feed");
 
-/** Other writers may leave entries under any key; log lines show no more of it. */
-const longestId = 64;
+/** Limit of a target id in log lines, as keys written by others may have any length. */
+const maxLoggedIdLength = 64;
 
-/** What the steps of the feed share. */
+/** State shared by the functions of the feed. */
 interface FeedContext {
   readonly input: DesiredFeedInput;
   readonly logger: Logger;
   readonly metrics: Metrics;
   readonly configuration: ConfigurationTracker;
-  readonly reach: StoreReachability;
-  readonly log: TargetChangeLog;
+  readonly reachability: StoreReachability;
+  readonly changeLog: TargetChangeLog;
   targetsKnown: boolean;
   targetsEnd: Offset;
 }
 
-/** Entries of targets as they were read; those of other writers may be anything. */
-interface ReadEntries {
+/** Parsed target entries. Entries may be invalid, as other programs write to the list. */
+interface ParsedEntries {
   readonly targets: readonly ListedTarget[];
-  /** Ids of the targets whose entries name none to use. */
+  /** Ids of the targets whose entries are invalid. */
   readonly unreadable: readonly string[];
 }
 
-/** Reads the entry of one target; what can't be read is logged and counted, and never used. */
-function readTarget({ input, logger, metrics }: FeedContext, id: string, text: string) {
+/** Parses one target entry; an invalid one is logged and counted, and yields undefined. */
+function parseTarget({ input, logger, metrics }: FeedContext, id: string, text: string) {
   return input.codec
     .target(id, text)
     .ifLeft(({ problems }) => {
       const [problem] = problems;
       metrics.count("linkfall_bad_entries_total", "Entries of targets that could not be read.");
       logger.event("badTargetEntry", {
-        target: id.slice(0, longestId),
+        target: id.slice(0, maxLoggedIdLength),
         field: problem?.field,
         problem: problem?.reason,
       });
@@ -104,91 +110,94 @@
     .extract();
 }
 
-function readEntries(context: FeedContext, records: readonly KeyedRecord[]): ReadEntries {
+function parseEntries(context: FeedContext, records: readonly KeyedRecord[]): ParsedEntries {
   const targets: ListedTarget[] = [];
   const unreadable: string[] = [];
   for (const { key, value } of records) {
     if (value === undefined) continue;
-    const target = readTarget(context, key, value);
+    const target = parseTarget(context, key, value);
     if (target) targets.push(target);
     else unreadable.push(key);
   }
   return { targets, unreadable };
 }
 
-function takeWholeList(context: FeedContext, entries: ReadEntries, end: Offset): void {
+function applyFullList(context: FeedContext, entries: ParsedEntries, end: Offset): void {
   const { targets, unreadable } = entries;
   const { fleet } = context.input;
   context.targetsKnown = true;
   context.targetsEnd = end;
-  context.log.replace(targets, unreadable, end);
+  context.changeLog.replace(targets, unreadable, end);
   for (const id of unreadable) fleet.excludeUnreadable(id);
   fleet.applyList(targets);
 }
 
-function takeUnreadable(context: FeedContext, id: string, offset: Offset): void {
-  context.log.recordUnreadable(id, offset);
+function applyUnreadable(context: FeedContext, id: string, offset: Offset): void {
+  context.changeLog.recordUnreadable(id, offset);
   context.input.fleet.excludeUnreadable(id);
 }
 
-function takeTargetRecord(context: FeedContext, { key, value, offset }: KeyedRecord): void {
-  // Another box may have told of it already.
+function applyTargetRecord(context: FeedContext, { key, value, offset }: KeyedRecord): void {
+  // Already received from another box.
   if (offset < context.targetsEnd) return;
   if (value === undefined) {
-    context.log.recordRemoved(key, offset);
+    context.changeLog.recordRemoved(key, offset);
     context.input.fleet.removeEntry(key);
     return;
   }
-  const target = readTarget(context, key, value);
-  if (!target) return takeUnreadable(context, key, offset);
-  context.log.recordChanged(target, offset);
+  const target = parseTarget(context, key, value);
+  if (!target) return applyUnreadable(context, key, offset);
+  context.changeLog.recordChanged(target, offset);
   context.input.fleet.applyEntry(target);
 }
 
-function takeNewestTargets(context: FeedContext, batch: KeyedBatch): void {
+function applyTargetSnapshot(context: FeedContext, batch: KeyedBatch): void {
   if (batch.end < context.targetsEnd) return;
-  takeWholeList(context, readEntries(context, batch.records), batch.end);
+  applyFullList(context, parseEntries(context, batch.records), batch.end);
 }
 
-function takeTargetBatch(context: FeedContext, batch: KeyedBatch): void {
-  for (const record of batch.records) takeTargetRecord(context, record);
+function applyTargetBatch(context: FeedContext, batch: KeyedBatch): void {
+  for (const record of batch.records) applyTargetRecord(context, record);
   context.targetsEnd = Math.max(context.targetsEnd, batch.end);
 }
 
-function takeConfigurationBatch({ input, configuration }: FeedContext, batch: KeyedBatch): void {
+function applyConfigurationBatch({ input, configuration }: FeedContext, batch: KeyedBatch): void {
   for (const { key, value } of batch.records) {
     if (key === input.configurationKey && value !== undefined) configuration.apply(value, "store");
   }
 }
 
 /**
- * Takes single changes that another box has told of, and keeps them to be told on: the holder of the order lease
- * tells all boxes, also while the store refuses it. Without them in its log the others took its end for theirs, and
- * missed targets that leave.
+ * Applies incremental changes received from another box, and records them for relaying. The lease holder relays changes
+ * even while it can't read the store itself; without the records, boxes would advance past changes they never received.
  */
-function takeToldChanges(context: FeedContext, changes: TargetChanges): void {
+function applyReceivedChanges(context: FeedContext, changes: TargetChanges): void {
   const { changed, gone, unreadable = [], end } = changes;
   const { fleet } = context.input;
   const lastOffset = end - 1;
-  for (const id of unreadable) takeUnreadable(context, id, lastOffset);
+  for (const id of unreadable) applyUnreadable(context, id, lastOffset);
   for (const target of changed) {
-    context.log.recordChanged(target, lastOffset);
+    context.changeLog.recordChanged(target, lastOffset);
     fleet.applyEntry(target);
   }
   for (const id of gone) {
-    context.log.recordRemoved(id, lastOffset);
+    context.changeLog.recordRemoved(id, lastOffset);
     fleet.removeEntry(id);
   }
   context.targetsEnd = end;
 }
 
-/** Takes changes that another box has told of. */
-function takeTold(context: FeedContext, changes: TargetChanges, follower: StreamFollower): void {
+/** Applies a full list or incremental changes received from another box. */
+function applyReceived(
+  context: FeedContext,
+  changes: TargetChanges,
+  follower: StreamFollower,
+): void {
   if (changes.end <= context.targetsEnd) return;
   const { changed: targets, unreadable = [] } = changes;
-  if (changes.whole) takeWholeList(context, { targets, unreadable }, changes.end);
-  else takeToldChanges(context, changes);
-  // What was told lacks the models; the next read of this box's own takes everything anew.
+  if (changes.whole) applyFullList(context, { targets, unreadable }, changes.end);
+  else applyReceivedChanges(context, changes);
+  // Received entries lack the models, so the next read by this box starts from a full snapshot.
   follower.restart();
 }
 
@@ -200,44 +209,46 @@
     logger,
     metrics: kernel.find(metricsName),
     configuration: createConfigurationTracker(clock, logger, input),
-    reach: createStoreReachability(clock, logger, input.peers, input.settleMs),
-    log: createTargetChangeLog(),
+    reachability: createStoreReachability(clock, logger, input.peers, input.settleMs),
+    changeLog: createTargetChangeLog(),
     targetsKnown: false,
     targetsEnd: 0,
   };
 }
 
+/** Creates the feed of one box; it follows the streams while it is started. */
 export function createDesiredFeed(kernel: Kernel, input: DesiredFeedInput): DesiredFeed {
   const clock = kernel.find(clockName);
   const context = createContext(kernel, input);
-  const { configuration, reach, log } = context;
-  const noteRead = (stream: string) => (failure?: LogFailure) => reach.recordRead(stream, failure);
-  const takeConfigurations = (batch: KeyedBatch) => takeConfigurationBatch(context, batch);
+  const { configuration, reachability, changeLog } = context;
+  const recordReadOf = (stream: string) => (failure?: LogFailure) =>
+    reachability.recordRead(stream, failure);
+  const applyConfigurations = (batch: KeyedBatch) => applyConfigurationBatch(context, batch);
   const configurationFollower = createStreamFollower({
     clock,
     port: input.configurationStream,
     times: input.times,
     isReader: input.peers.readsStore,
-    onSnapshot: takeConfigurations,
-    onChanges: takeConfigurations,
-    onRead: noteRead("configuration"),
+    onSnapshot: applyConfigurations,
+    onChanges: applyConfigurations,
+    onRead: recordReadOf("configuration"),
   });
   const targetFollower = createStreamFollower({
     clock,
     port: input.targetStream,
     times: { ...input.times, coalesceMs: input.coalesceTargetsMs },
     isReader: input.peers.readsStore,
-    onSnapshot: (batch) => takeNewestTargets(context, batch),
-    onChanges: (batch) => takeTargetBatch(context, batch),
-    onRead: noteRead("targets"),
+    onSnapshot: (batch) => applyTargetSnapshot(context, batch),
+    onChanges: (batch) => applyTargetBatch(context, batch),
+    onRead: recordReadOf("targets"),
   });
 
   return {
     activeConfiguration: configuration.active,
     ready: () => configuration.active() !== undefined && context.targetsKnown,
     readsStore: input.peers.readsStore,
-    reachesStore: reach.isReachable,
-    storeUnsettled: reach.isUnsettled,
+    reachesStore: reachability.isReachable,
+    storeUnsettled: reachability.isUnsettled,
     targetsEnd: () => context.targetsEnd,
     configurationCopy: configuration.copy,
     applyConfigurationCopy: (copy) => {
@@ -245,8 +256,8 @@
         configuration.apply(copy.text, "box");
       }
     },
-    targetChangesSince: (since) => log.changesSince(since, context.targetsEnd),
-    applyTargetChanges: (changes) => takeTold(context, changes, targetFollower),
+    targetChangesSince: (since) => changeLog.changesSince(since, context.targetsEnd),
+    applyTargetChanges: (changes) => applyReceived(context, changes, targetFollower),
     async start() {
       configurationFollower.start();
       targetFollower.start();
--- a/packages/desired-feed/src/store-reachability.ts
+++ b/packages/desired-feed/src/store-reachability.ts
@@ -1,17 +1,20 @@
-/** Whether the store can be reached: by this box's own reads, or else by those of other boxes. */
+/** Determines whether the store is reachable: by this box's own reads if it is a reader, else by those of other boxes. */
 import type { LogFailure } from "@linkfall/errors";
 import type { Clock } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
 import type { Milliseconds } from "@linkfall/types";
 
+/** Reachability of the store. */
 export interface StoreReachability {
+  /** Whether the store is currently reachable. */
   isReachable(): boolean;
-  /** Whether the store is away, or came back only just now. */
+  /** Whether the store is unreachable, or became reachable less than `settleMs` ago. */
   isUnsettled(): boolean;
-  /** Notes a read of a stream, or its failure. */
+  /** Records a read of a stream, or its failure. */
   recordRead(stream: string, failure?: LogFailure): void;
 }
 
+/** State of the other boxes that determines whether the store is reachable. */
 export interface StoreReaderPeers {
   readsStore(): boolean;
   anyReaderReachesStore(): boolean;
@@ -21,39 +24,40 @@
   return failure.kind === "log_unavailable" ? failure.reason : failure.kind;
 }
 
+/** Creates the state of a store that is assumed to be reachable. */
 export function createStoreReachability(
   clock: Clock,
   logger: Logger,
   peers: StoreReaderPeers,
   settleMs: Milliseconds,
 ): StoreReachability {
-  const failing = new Set<string>();
-  let wasReached = true;
-  let returnedAt = -Infinity;
+  const failedStreams = new Set<string>();
+  let wasReachable = true;
+  let reachableSince = -Infinity;
 
-  const reached = (): boolean => {
-    if (peers.readsStore()) return failing.size === 0;
-    failing.clear();
+  const isReachable = (): boolean => {
+    if (peers.readsStore()) return failedStreams.size === 0;
+    failedStreams.clear();
     return peers.anyReaderReachesStore();
   };
-  const look = (stream?: string, reason?: string): boolean => {
-    const now = reached();
-    if (wasReached && !now) logger.event("logUnreachable", { stream, reason });
-    if (!wasReached && now) {
-      returnedAt = clock.now();
+  const update = (stream?: string, reason?: string): boolean => {
+    const now = isReachable();
+    if (wasReachable && !now) logger.event("logUnreachable", { stream, reason });
+    if (!wasReachable && now) {
+      reachableSince = clock.now();
       logger.event("logReachable", { stream });
     }
-    wasReached = now;
+    wasReachable = now;
     return now;
   };
 
   return {
-    isReachable: reached,
-    isUnsettled: () => !look() || clock.now() - returnedAt < settleMs,
+    isReachable,
+    isUnsettled: () => !update() || clock.now() - reachableSince < settleMs,
     recordRead(stream, failure) {
-      if (failure) failing.add(stream);
-      else failing.delete(stream);
-      look(stream, failure && reasonOf(failure));
+      if (failure) failedStreams.add(stream);
+      else failedStreams.delete(stream);
+      update(stream, failure && reasonOf(failure));
     },
   };
 }
--- a/packages/desired-feed/src/stream-follower.ts
+++ b/packages/desired-feed/src/stream-follower.ts
@@ -1,24 +1,25 @@
-/** Follows one keyed stream: its newest records first, then each change as it comes. */
+/** Follows one keyed stream: reads a snapshot of its newest records first, then each change. */
 import type { LogFailure } from "@linkfall/errors";
 import { type Clock, sleep } from "@linkfall/kernel";
 import type { KeyedBatch, KeyedStreamPort } from "@linkfall/ports";
 import type { Milliseconds, Offset } from "@linkfall/types";
 
-/** Times of the following. */
+/** Timing of a stream follower. */
 export interface StreamFollowerTimes {
-  /** How long one read waits for a change. */
+  /** Maximum time that one read waits for a change. */
   readonly maxWaitMs: Milliseconds;
-  /** Pause after a read that brought changes, so that changes that follow come together. */
+  /** Pause after a read with changes, which combines later changes into one read. */
   readonly coalesceMs: Milliseconds;
-  /** First pause after a failed read; doubles up to `longestPauseMs`. */
+  /** Pause after a failed read; doubles with each further failure up to `maxRetryPauseMs`. */
   readonly initialRetryPauseMs: Milliseconds;
   readonly maxRetryPauseMs: Milliseconds;
 }
 
+/** Reads one keyed stream in a loop. */
 export interface StreamFollower {
   start(): void;
   stop(): void;
-  /** Begins again with the newest records: another box has told of later ones. */
+  /** Continues with a snapshot, after another box has sent later records. */
   restart(): void;
 }
 
@@ -26,20 +27,20 @@
   readonly clock: Clock;
   readonly port: KeyedStreamPort;
   readonly times: StreamFollowerTimes;
-  /** Whether this box is to read the stream itself now. */
+  /** Whether this box currently reads the stream itself. */
   isReader(): boolean;
-  /** Takes the newest record of every key; what it lacks is gone. */
+  /** Handles the newest record of every key; absent keys are deleted. */
   onSnapshot(batch: KeyedBatch): void;
-  /** Takes changes in the order of offset. */
+  /** Handles changes in offset order. */
   onChanges(batch: KeyedBatch): void;
-  /** Takes the failure of a read, or `undefined` after one that succeeded. */
+  /** Handles the failure of a read, or `undefined` after a successful one. */
   onRead(failure?: LogFailure): void;
 }
 
-/** How often a box that does not read looks whether it has to. */
-const idleMs: Milliseconds = 150;
+/** Interval at which a box that does not read the stream checks whether it has become a reader. */
+const readerCheckMs: Milliseconds = 150;
 
-/** Creates a follower that does nothing before it is started. */
+/** Creates a stopped follower. */
 export function createStreamFollower(input: StreamFollowerInput): StreamFollower {
   const { clock, port, times } = input;
   let end: Offset | undefined;
@@ -48,10 +49,10 @@
   let pauseMs = times.initialRetryPauseMs;
 
   /**
-   * Takes what a read that began at `from` has brought. It may have begun before a restart: its changes are no whole list, and
-   * the next read is of the newest records all the same. Taken for a whole list, they took away all targets that had not changed.
+   * Handles the result of a read that started at `from`, undefined for a snapshot. A read that started before a restart still
+   * returns changes; treating them as a snapshot would delete all keys that had not changed.
    */
-  const take = (batch: KeyedBatch, from: Offset | undefined, restarted: boolean) => {
+  const handleBatch = (batch: KeyedBatch, from: Offset | undefined, restarted: boolean) => {
     end = restarted ? undefined : batch.end;
     pauseMs = times.initialRetryPauseMs;
     if (from === undefined) input.onSnapshot(batch);
@@ -59,8 +60,8 @@
     input.onRead();
   };
 
-  const fail = async (failure: LogFailure) => {
-    // History that is gone is read anew from the newest records; that is no outage.
+  const handleFailure = async (failure: LogFailure) => {
+    // Truncated history is no outage: continue with a snapshot.
     if (failure.kind === "log_truncated") {
       end = undefined;
       return;
@@ -74,16 +75,16 @@
     while (!stopped) {
       if (!input.isReader()) {
         end = undefined;
-        await sleep(clock, idleMs);
+        await sleep(clock, readerCheckMs);
         continue;
       }
       const from = end;
-      const before = restarts;
+      const restartsBefore = restarts;
       const read = await (from === undefined ? port.newest() : port.changes(from, times.maxWaitMs));
       if (stopped) return;
       await read.caseOf<Promise<void> | void>({
-        Left: fail,
-        Right: (batch) => take(batch, from, restarts !== before),
+        Left: handleFailure,
+        Right: (batch) => handleBatch(batch, from, restarts !== restartsBefore),
       });
       const changed = read.map((batch) => batch.records.length > 0).orDefault(false);
       if (changed && times.coalesceMs > 0) await sleep(clock, times.coalesceMs);
--- a/packages/desired-feed/src/target-change-log.ts
+++ b/packages/desired-feed/src/target-change-log.ts
@@ -1,29 +1,33 @@
-/** Which targets of the list changed when, so that a box that does not read the list is told only what it lacks. */
+/** Records the latest change of each target, to send boxes that don't read the store only the changes they lack. */
 import type { TargetChanges } from "@linkfall/box-peers";
 import type { ListedTarget, Offset } from "@linkfall/types";
 
+/** The latest change of each target of the list. */
 export interface TargetChangeLog {
-  /** Takes the whole list as of `end`. */
+  /** Replaces all records by the full list as of offset `end`. */
   replace(targets: readonly ListedTarget[], unreadableIds: readonly string[], end: Offset): void;
+  /** Records a new or changed entry; one that only differs in models is ignored. */
   recordChanged(target: ListedTarget, offset: Offset): void;
+  /** Records that an entry was deleted. */
   recordRemoved(id: string, offset: Offset): void;
+  /** Records that an entry can't be read. */
   recordUnreadable(id: string, offset: Offset): void;
-  /** What changed from `since` on, up to `end`. */
+  /** Returns the changes from offset `since` up to `end`, or the full list if removals since then are unknown. */
   changesSince(since: Offset, end: Offset): TargetChanges;
 }
 
-interface Entry {
-  /** The record that brought the last change. */
+interface ChangeEntry {
+  /** Offset of the latest change. */
   readonly offset: Offset;
-  /** Absent where the target has gone, or its entry can't be read. */
+  /** Absent if the target was removed, or its entry can't be read. */
   readonly target?: ListedTarget;
   readonly unreadable?: boolean;
 }
 
-/** Targets that are gone and still remembered. */
-const mostGone = 2_000;
+/** Limit of recorded removals; the oldest are dropped. */
+const maxRemovedEntries = 2_000;
 
-/** What other boxes need of a target: engines' holdings come from the holder of the order lease. */
+/** Omits the models, as other boxes receive the engines' holdings from the lease holder. */
 function withoutModels({ models: _, ...target }: ListedTarget): ListedTarget {
   return target;
 }
@@ -31,54 +35,57 @@
 const isSame = (left: ListedTarget | undefined, right: ListedTarget): boolean =>
   left !== undefined && JSON.stringify(left) === JSON.stringify(right);
 
-const isGone = ({ target, unreadable }: Entry): boolean => !target && !unreadable;
+const isRemoved = ({ target, unreadable }: ChangeEntry): boolean => !target && !unreadable;
 
-/** Creates a log that knows of nothing. */
+/** Creates an empty log. */
 export function createTargetChangeLog(): TargetChangeLog {
-  const entries = new Map<string, Entry>();
-  /** Before this offset it is not known what has gone. */
-  let first: Offset = 0;
+  const entries = new Map<string, ChangeEntry>();
+  /** Removals before this offset are unknown. */
+  let firstCompleteOffset: Offset = 0;
 
-  const forgetOldest = () => {
-    const gone = [...entries].filter(([, entry]) => isGone(entry));
-    for (const [id, { offset }] of gone.slice(0, Math.max(0, gone.length - mostGone))) {
+  const dropOldestRemovals = () => {
+    const removed = [...entries].filter(([, entry]) => isRemoved(entry));
+    for (const [id, { offset }] of removed.slice(
+      0,
+      Math.max(0, removed.length - maxRemovedEntries),
+    )) {
       entries.delete(id);
-      first = Math.max(first, offset + 1);
+      firstCompleteOffset = Math.max(firstCompleteOffset, offset + 1);
     }
   };
 
   return {
     replace(targets, unreadable, end) {
       entries.clear();
-      first = end;
+      firstCompleteOffset = end;
       for (const target of targets) {
         entries.set(target.id, { offset: end - 1, target: withoutModels(target) });
       }
       for (const id of unreadable) entries.set(id, { offset: end - 1, unreadable: true });
     },
     recordChanged(target, offset) {
-      const told = withoutModels(target);
-      if (isSame(entries.get(target.id)?.target, told)) return;
-      entries.set(target.id, { offset, target: told });
+      const entry = withoutModels(target);
+      if (isSame(entries.get(target.id)?.target, entry)) return;
+      entries.set(target.id, { offset, target: entry });
     },
     recordRemoved(id, offset) {
       entries.delete(id);
       entries.set(id, { offset });
-      forgetOldest();
+      dropOldestRemovals();
     },
     recordUnreadable(id, offset) {
       if (entries.get(id)?.unreadable) return;
       entries.set(id, { offset, unreadable: true });
     },
     changesSince(since, end) {
-      const whole = since < first;
-      const told = [...entries].filter(([, entry]) => whole || entry.offset >= since);
+      const whole = since < firstCompleteOffset;
+      const changes = [...entries].filter(([, entry]) => whole || entry.offset >= since);
       return {
         end,
         whole,
-        changed: told.flatMap(([, entry]) => entry.target ?? []),
-        gone: whole ? [] : told.flatMap(([id, entry]) => (isGone(entry) ? [id] : [])),
-        unreadable: told.flatMap(([id, entry]) => (entry.unreadable ? [id] : [])),
+        changed: changes.flatMap(([, entry]) => entry.target ?? []),
+        gone: whole ? [] : changes.flatMap(([id, entry]) => (isRemoved(entry) ? [id] : [])),
+        unreadable: changes.flatMap(([id, entry]) => (entry.unreadable ? [id] : [])),
       };
     },
   };
