--- a/packages/order-lease/src/contract.ts
+++ b/packages/order-lease/src/contract.ts
@@ -1,56 +1,63 @@
-/** What the lease promises to the rest of a box, and what it asks of it. */
+/** Interface of the order lease, and what it depends on. */
 import { type Service, serviceName } from "@linkfall/kernel";
 import type { Epoch, Incarnation, Milliseconds } from "@linkfall/types";
 
-/** Who holds the right, as far as a box knows. */
+/** The newest lease known to a box. */
 export interface ObservedLease {
   readonly epoch: Epoch;
   readonly holder: Incarnation;
 }
 
+/** Timing of the lease. */
 export interface LeaseOptions {
-  /** Whether all engines refuse orders of an epoch below one that they have seen. */
+  /** Whether all engines reject orders with an epoch lower than the highest they have received. */
   readonly enginesFence: boolean;
-  /** Time for which a holder that has not been superseded may go on without the store. */
+  /** Time for which a holder may send orders after its last proof that it has not been superseded. */
   readonly leaseMs: Milliseconds;
-  /** A holder that has not been heard for this long is taken for gone. */
+  /** Time without a message after which a holder is presumed gone. */
   readonly holderTimeoutMs: Milliseconds;
-  /** Each later rank among the boxes waits this much longer before it claims. */
+  /** Additional delay per rank before a box claims the lease. */
   readonly rankStepMs: Milliseconds;
+  /** Interval of the periodic check. */
   readonly checkMs: Milliseconds;
 }
 
-/** What the lease has to know of the other boxes. */
+/** State of the other boxes that the lease depends on. */
 export interface LeasePeers {
-  /** Time since the box was heard, undefined when it is not known; 0 for this box. */
+  /** Time since the last message from the box; undefined if it is not known, 0 for this box. */
   sinceLastMessageMs(incarnation: Incarnation): Milliseconds | undefined;
-  /** Whether that is an earlier life of this very box. The platform starts a process of a box only after the one before has
-   * ended, so that such a life gives no orders any more. */
+  /**
+   * Whether it is an earlier incarnation of this box. The platform starts a box only after its previous process has ended, so
+   * an earlier incarnation sends no more orders.
+   */
   isOwnEarlierIncarnation(incarnation: Incarnation): boolean;
-  /** Whether that box has said that it leaves. */
+  /** Whether the box has announced that it is leaving. */
   isLeaving(incarnation: Incarnation): boolean;
-  /** Time for which that box may go on giving orders, as it said last; 0 when it may not. */
+  /** Time for which the box may continue to send orders, as it last reported; 0 if it may not. */
   remainingLeaseMs(incarnation: Incarnation): Milliseconds;
-  /** This box's place in the order in which boxes claim. */
+  /** Position of this box in the order in which boxes claim, from 0. */
   rank(): number;
-  /** Tells all boxes of a claim that this one has made. */
+  /** Notifies all boxes of a claim made by this box. */
   announceClaim(): void;
-  /** Whether most boxes are heard and none of them reaches the store. */
+  /** Whether this box is in contact with most boxes, and none of them reaches the store. */
   isStoreDownForAll(): boolean;
 }
 
+/** The lease as held or observed by one box. */
 export interface OrderLease extends Service {
-  /** The epoch under which this box may give orders now. */
+  /** Returns the epoch under which this box may currently send orders, or undefined if it may not. */
   epoch(): Epoch | undefined;
-  /** The newest word of the holder. */
+  /** Returns the newest observed lease. */
   observedLease(): ObservedLease | undefined;
-  /** Takes the word of another box. */
-  observe(word: ObservedLease): void;
-  /** Notes that an engine refused an order of this epoch. */
+  /** Applies a lease reported by another box, if it is newer. */
+  observe(lease: ObservedLease): void;
+  /** Records that an engine rejected an order of this epoch. */
   recordRefusal(epoch: Epoch): void;
-  /** Time for which this box may go on giving orders. */
+  /** Returns the time for which this box may continue to send orders; 0 if it may not. */
   remainingLeaseMs(): Milliseconds;
+  /** Stops claiming, and releases the lease if this box holds it. */
   release(): Promise<void>;
 }
 
+/** Name of the lease in the kernel. */
 export const orderLeaseName = serviceName<OrderLease>("order-lease");
--- a/packages/order-lease/src/order-lease.feature
+++ b/packages/order-lease/src/order-lease.feature
@@ -1,98 +1,95 @@
-Feature: One box at a time may give orders, under an epoch that only rises
+Feature: At most one box may send orders at a time, under a growing epoch
 
   Background:
-    Given boxes "a b c" that hear each other and reach the store
+    Given boxes "a b c" that are connected to each other and to the store
 
-  Scenario: Of boxes that start together one gets the lease
+  Scenario: One of several boxes that start together acquires the lease
     When 2 s go by
-    Then exactly one box may give orders
+    Then exactly one box may send orders
 
-  Scenario: A box that starts later leaves the lease where it is
+  Scenario: A box that starts later does not take the lease
     Given "a" holds the lease
-    When box "d" starts and hears of the claim while it reads
+    When box "d" starts and is notified of the claim while it reads
     And 5 s go by
-    Then "a" may give orders and nobody else
-    And the epoch is as before
+    Then only "a" may send orders
+    And the epoch is unchanged
 
-  Scenario: The lease passes on when its holder falls silent, after its time
+  Scenario: After the holder falls silent, another box acquires the lease once it has expired
     Given "a" holds the lease
     When "a" falls silent
-    Then no other box gives orders before the lease of "a" has run out
+    Then no other box may send orders before the lease of "a" has expired
     And within 8 s another box may give orders under a higher epoch
 
-  Scenario: A holder that the store refuses loses the lease though the others hear it
+  Scenario: A holder that can't reach the store loses the lease although it is still connected to the others
     Given "a" holds the lease
     When the store refuses "a"
     Then within 8 s another box may give orders under a higher epoch
-    And "a" may give no orders
+    And "a" may not send orders
 
-  Scenario: While the store is away for all, the holder goes on
+  Scenario: The holder keeps the lease while the store is unavailable to all boxes
     Given "a" holds the lease
     When the store refuses "a"
     And the store refuses "b"
     And the store refuses "c"
     And 20 s go by
-    Then "a" may give orders and nobody else
+    Then only "a" may send orders
 
-  Scenario: A holder that hears of a newer claim stops at once
+  Scenario: A holder notified of a newer claim stops at once
     Given "a" holds the lease
-    When "a" hears of a newer claim of "b"
-    Then "a" may give no orders
+    When "a" is notified of a newer claim of "b"
+    Then "a" may not send orders
 
-  Scenario: An engine's refusal ends the tenure, and a new claim has a higher epoch
+  Scenario: A rejected order ends the epoch, and a new claim has a higher one
     Given "a" holds the lease
-    When an engine refuses the epoch of "a"
-    Then "a" may give no orders
+    When an engine rejects the epoch of "a"
+    Then "a" may not send orders
     And within 8 s a box may give orders under a higher epoch
 
-  Scenario: A holder that was suspended gives no orders before it has proven its lease anew
-    Two boxes gave orders at once. The holder's machine slept for longer than its lease, and the steady clock does not count that
-    time: its lease had as much left as before, while another box had waited for it to run out, and claimed it.
+  Scenario: A holder that was suspended sends no orders before it has proven its lease again
+    Guards against two boxes sending orders at once, as the steady clock stops while a machine is suspended.
     Given "a" holds the lease
     When "a" wakes after a suspension of 5000 ms
-    Then "a" may give no orders
-    And within 1 s "a" has proven its lease and may give orders
+    Then "a" may not send orders
+    And within 1 s "a" has proven its lease and may send orders
 
-  Scenario: A box that leaves hands the lease on
+  Scenario: A leaving box releases the lease
     Given "a" holds the lease
-    When "a" leaves
+    When "a" starts to leave
     Then within 2 s another box may give orders under a higher epoch
 
-  Scenario: A claim whose answer is lost is found by reading
-    When the store loses the answers to "a"
-    And the store loses the answers to "b"
-    And the store loses the answers to "c"
+  Scenario: A claim whose response is lost is found by reading the stream
+    When the store loses the responses to "a"
+    And the store loses the responses to "b"
+    And the store loses the responses to "c"
     And 5 s go by
     And the store serves "a"
     And the store serves "b"
     And the store serves "c"
     And 8 s go by
-    Then exactly one box may give orders
+    Then exactly one box may send orders
 
-  Scenario: A holder that begins a new life holds the lease again at once
-    All boxes lost power. They were ready 0.1 s after their starts, and the box that had held the lease took it 1.8 s later
-    ("leaseTaken" at 37.84 s, "boxReady" at 36.14 s), with its first order 0.94 s after that: it had waited for the silence of a
-    holder that was itself, in a life that had ended.
+  Scenario: A restarted holder acquires the lease again at once
+    Guards against waiting for the timeout of a holder that was an earlier incarnation of the same box.
 
     Given "a" holds the lease
-    When "a" begins a new life
-    Then within 1 s its new life may give orders under a higher epoch
+    When "a" restarts
+    Then within 1 s its new incarnation may send orders under a higher epoch
 
-  Scenario: A holder whose new life cannot reach the store is replaced like a silent one
+  Scenario: A restarted holder that can't reach the store is replaced like a silent one
     Given "a" holds the lease
-    When "a" begins a new life, which the store refuses
+    When "a" restarts and is refused by the store
     Then within 8 s another box may give orders under a higher epoch
 
-  Scenario: A new life does not take the lease from a box that took it meanwhile
+  Scenario: A restarted holder does not take the lease from a box that acquired it meanwhile
     Given "a" holds the lease
     When "a" falls silent
     Then within 8 s another box may give orders under a higher epoch
-    When "a" begins a new life
+    When "a" restarts
     And 5 s go by
-    Then "b" may give orders and nobody else
+    Then only "b" may send orders
 
-  Scenario: Through random cuts, returns and new lives no two boxes give orders at once and epochs rise
-    Then for 30 seeds with new lives no two boxes may give orders at once
+  Scenario: No two boxes may send orders at once and epochs grow, with random outages, recoveries and restarts
+    Then for 30 seeds with restarts no two boxes may send orders at once
 
-  Scenario: Through random cuts, silences and returns no two boxes give orders at once and epochs rise
-    Then for 30 seeds no two boxes may give orders at once
+  Scenario: No two boxes may send orders at once and epochs grow, with random outages, silences and recoveries
+    Then for 30 seeds no two boxes may send orders at once
--- a/packages/order-lease/src/order-lease.steps.ts
+++ b/packages/order-lease/src/order-lease.steps.ts
@@ -14,7 +14,7 @@
 import { createKeyedStore, type KeyedStore, type StoreAccess } from "@linkfall/test-support";
 import { createOrderLease, type LeasePeers, type LeaseOptions, type OrderLease } from "./index.js";
 
-const rules: LeaseOptions = {
+const options: LeaseOptions = {
   enginesFence: false,
   leaseMs: 3_000,
   holderTimeoutMs: 1_800,
@@ -22,18 +22,18 @@
   checkMs: 150,
 };
 const stepMs = 50;
-/** How often a box is heard. */
-const wordMs = 400;
+/** Interval at which a box reports its lease to the others. */
+const reportIntervalMs = 400;
 
 interface LeaseBox {
   readonly name: string;
   readonly lease: OrderLease;
   silent: boolean;
   leaving: boolean;
-  heardAt: number;
-  /** Time that its machine slept. */
+  lastMessageAt: number;
+  /** Total time for which its machine was suspended. */
   suspendedMs: number;
-  told: { ordersForMs: number };
+  reported: { remainingLeaseMs: number };
 }
 
 interface Scene {
@@ -41,8 +41,8 @@
   readonly store: KeyedStore;
   readonly boxes: LeaseBox[];
   readonly access: Map<string, StoreAccess>;
-  /** Highest epoch under which orders were allowed. */
-  highest: number;
+  /** Epoch of the holder at the start of the scenario. */
+  initialEpoch: number;
 }
 
 const scenes = new WeakMap<object, Scene>();
@@ -53,9 +53,9 @@
   return scene;
 }
 
-/** Marks each later life of a box in its name. */
-const nextLife = (name: string) => `${name}'`;
-const firstLife = (name: string) => name.replaceAll("'", "");
+/** Names the next incarnation of a box; the first one has the name of the box. */
+const nextIncarnation = (name: string) => `${name}'`;
+const firstIncarnation = (name: string) => name.replaceAll("'", "");
 
 function addBox(
   scene: Scene,
@@ -76,26 +76,27 @@
   const peers: LeasePeers = {
     sinceLastMessageMs: (other) => {
       const box = find(other);
-      return box && (other === name ? 0 : clock.now() - box.heardAt);
+      return box && (other === name ? 0 : clock.now() - box.lastMessageAt);
     },
-    isOwnEarlierIncarnation: (other) => other !== name && firstLife(other) === firstLife(name),
+    isOwnEarlierIncarnation: (other) =>
+      other !== name && firstIncarnation(other) === firstIncarnation(name),
     isLeaving: (other) => find(other)?.leaving ?? false,
-    remainingLeaseMs: (other) => find(other)?.told.ordersForMs ?? 0,
+    remainingLeaseMs: (other) => find(other)?.reported.remainingLeaseMs ?? 0,
     rank: () => rank,
     announceClaim: () => undefined,
     isStoreDownForAll: () =>
       boxes.every((box) => box.silent || access.get(box.name) === "refuses") &&
       boxes.filter((box) => !box.silent).length * 2 > boxes.length,
   };
-  const told = { ordersForMs: 0 };
-  const state = { name, silent: false, leaving: false, heardAt: 0, suspendedMs: 0, told };
+  const reported = { remainingLeaseMs: 0 };
+  const state = { name, silent: false, leaving: false, lastMessageAt: 0, suspendedMs: 0, reported };
   const box: LeaseBox = {
     ...state,
     get lease() {
       return lease;
     },
   };
-  const lease = createOrderLease(kernel, name, port, peers, rules);
+  const lease = createOrderLease(kernel, name, port, peers, options);
   boxes.push(box);
   return box;
 }
@@ -103,30 +104,34 @@
 function createScene(names: readonly string[], seed: number): Scene {
   const clock = createVirtualClock();
   const store = createKeyedStore(clock);
-  const scene: Scene = { clock, store, boxes: [], access: new Map(), highest: 0 };
+  const scene: Scene = { clock, store, boxes: [], access: new Map(), initialEpoch: 0 };
   for (const name of names) addBox(scene, name, seed);
   return scene;
 }
 
-/** Lets time pass; boxes that are not silent tell their word now and then. */
-async function pass(scene: Scene, ms: number, look: () => void = () => undefined): Promise<void> {
+/** Lets time pass, while boxes that are not silent report their leases to each other. */
+async function passTime(
+  scene: Scene,
+  ms: number,
+  onStep: () => void = () => undefined,
+): Promise<void> {
   const { clock, boxes } = scene;
   const end = clock.now() + ms;
   while (clock.now() < end) {
     await clock.runUntil(clock.now() + stepMs);
     for (const box of boxes) {
-      if (box.silent || clock.now() - box.heardAt < wordMs) continue;
-      box.heardAt = clock.now();
-      box.told = { ordersForMs: box.lease.remainingLeaseMs() };
-      const word = box.lease.observedLease();
-      if (word) for (const other of boxes) if (!other.silent) other.lease.observe(word);
+      if (box.silent || clock.now() - box.lastMessageAt < reportIntervalMs) continue;
+      box.lastMessageAt = clock.now();
+      box.reported = { remainingLeaseMs: box.lease.remainingLeaseMs() };
+      const observed = box.lease.observedLease();
+      if (observed) for (const other of boxes) if (!other.silent) other.lease.observe(observed);
     }
-    look();
+    onStep();
   }
 }
 
-/** Ends the box's process and starts another in its place. */
-async function beginNewLife(
+/** Stops a box and starts a new incarnation of it. */
+async function restartBox(
   scene: Scene,
   name: string,
   seed: number,
@@ -135,7 +140,7 @@
   const old = boxOf(scene, name);
   await old.lease.stop();
   scene.boxes.splice(scene.boxes.indexOf(old), 1);
-  const box = addBox(scene, nextLife(name), seed);
+  const box = addBox(scene, nextIncarnation(name), seed);
   setAccess(scene, box.name, access);
   await box.lease.start();
   return box;
@@ -154,18 +159,18 @@
   return box;
 }
 
-async function passUntilHolder(scene: Scene, ms: number, allowed: (box: LeaseBox) => boolean) {
+async function passTimeUntilHolder(scene: Scene, ms: number, allowed: (box: LeaseBox) => boolean) {
   const end = scene.clock.now() + ms;
   while (scene.clock.now() < end) {
-    await pass(scene, stepMs);
+    await passTime(scene, stepMs);
     const holder = holders(scene).find(allowed);
     if (holder) return holder;
   }
-  return assert.fail("no other box may give orders");
+  return assert.fail("no other box may send orders");
 }
 
 Given(
-  "boxes {string} that hear each other and reach the store",
+  "boxes {string} that are connected to each other and to the store",
   async function (this: object, names: string) {
     const scene = createScene(names.split(" "), 1);
     scenes.set(this, scene);
@@ -175,16 +180,16 @@
 
 Given("{string} holds the lease", async function (this: object, name: string) {
   const scene = sceneOf(this);
-  await pass(scene, 2_000);
+  await passTime(scene, 2_000);
   assert.deepEqual(
     holders(scene).map((box) => box.name),
     [name],
   );
-  scene.highest = boxOf(scene, name).lease.epoch() ?? 0;
+  scene.initialEpoch = boxOf(scene, name).lease.epoch() ?? 0;
 });
 
 When("{int} s go by", function (this: object, seconds: number) {
-  return pass(sceneOf(this), seconds * 1_000);
+  return passTime(sceneOf(this), seconds * 1_000);
 });
 
 When("{string} falls silent", function (this: object, name: string) {
@@ -197,7 +202,7 @@
   setAccess(sceneOf(this), name, "refuses");
 });
 
-When("the store loses the answers to {string}", function (this: object, name: string) {
+When("the store loses the responses to {string}", function (this: object, name: string) {
   setAccess(sceneOf(this), name, "loses_answers");
 });
 
@@ -206,58 +211,58 @@
 });
 
 When(
-  "{string} hears of a newer claim of {string}",
+  "{string} is notified of a newer claim of {string}",
   function (this: object, name: string, other: string) {
     const { lease } = boxOf(sceneOf(this), name);
     lease.observe({ epoch: (lease.epoch() ?? 0) + 5, holder: other });
   },
 );
 
-When("an engine refuses the epoch of {string}", function (this: object, name: string) {
+When("an engine rejects the epoch of {string}", function (this: object, name: string) {
   const { lease } = boxOf(sceneOf(this), name);
   lease.recordRefusal(lease.epoch() ?? 0);
 });
 
 When(
-  "box {string} starts and hears of the claim while it reads",
+  "box {string} starts and is notified of the claim while it reads",
   async function (this: object, name: string) {
     const scene = sceneOf(this);
-    const word = boxOf(scene, "a").lease.observedLease();
-    assert.ok(word);
+    const observed = boxOf(scene, "a").lease.observedLease();
+    assert.ok(observed);
     const port = scene.store.portFor(name);
     const box: LeaseBox = addBox(scene, name, 1, {
       ...port,
       async newest() {
-        box.lease.observe(word);
+        box.lease.observe(observed);
         return port.newest();
       },
     });
-    // It hears of the claim then and not before.
+    // It is notified of the claim during the read, and not before.
     box.silent = true;
     await box.lease.start();
   },
 );
 
-Then("the epoch is as before", function (this: object) {
+Then("the epoch is unchanged", function (this: object) {
   const scene = sceneOf(this);
-  assert.equal(boxOf(scene, "a").lease.epoch(), scene.highest);
+  assert.equal(boxOf(scene, "a").lease.epoch(), scene.initialEpoch);
 });
 
-When("{string} begins a new life", async function (this: object, name: string) {
-  await beginNewLife(sceneOf(this), name, 1);
+When("{string} restarts", async function (this: object, name: string) {
+  await restartBox(sceneOf(this), name, 1);
 });
 
-When("{string} begins a new life, which the store refuses", async function (this: object, name) {
-  await beginNewLife(sceneOf(this), String(name), 1, "refuses");
+When("{string} restarts and is refused by the store", async function (this: object, name) {
+  await restartBox(sceneOf(this), String(name), 1, "refuses");
 });
 
 Then(
-  "within {int} s its new life may give orders under a higher epoch",
+  "within {int} s its new incarnation may send orders under a higher epoch",
   async function (this: object, seconds: number) {
     const scene = sceneOf(this);
-    const holder = await passUntilHolder(scene, seconds * 1_000, () => true);
-    assert.equal(holder.name, nextLife("a"));
-    assert.ok((holder.lease.epoch() ?? 0) > scene.highest);
+    const holder = await passTimeUntilHolder(scene, seconds * 1_000, () => true);
+    assert.equal(holder.name, nextIncarnation("a"));
+    assert.ok((holder.lease.epoch() ?? 0) > scene.initialEpoch);
   },
 );
 
@@ -269,32 +274,32 @@
 );
 
 Then(
-  "within {int} s {string} has proven its lease and may give orders",
+  "within {int} s {string} has proven its lease and may send orders",
   async function (this: object, seconds: number, name: string) {
-    const holder = await passUntilHolder(sceneOf(this), seconds * 1_000, () => true);
+    const holder = await passTimeUntilHolder(sceneOf(this), seconds * 1_000, () => true);
     assert.equal(holder.name, name);
   },
 );
 
-When("{string} leaves", function (this: object, name: string) {
+When("{string} starts to leave", function (this: object, name: string) {
   const box = boxOf(sceneOf(this), name);
   box.leaving = true;
-  // Its answer needs the virtual clock to move.
+  // Not awaited, as the response arrives only when the virtual clock advances.
   void box.lease.release();
 });
 
-Then("exactly one box may give orders", function (this: object) {
+Then("exactly one box may send orders", function (this: object) {
   assert.equal(holders(sceneOf(this)).length, 1);
 });
 
 Then(
-  "no other box gives orders before the lease of {string} has run out",
+  "no other box may send orders before the lease of {string} has expired",
   async function (this: object, name: string) {
     const scene = sceneOf(this);
     const { lease } = boxOf(scene, name);
     while (lease.epoch() !== undefined) {
       assert.equal(holders(scene).length, 1);
-      await pass(scene, stepMs);
+      await passTime(scene, stepMs);
     }
   },
 );
@@ -303,80 +308,84 @@
   /^within (\d+) s (another|a) box may give orders under a higher epoch$/,
   async function (this: object, seconds: string, which: string) {
     const scene = sceneOf(this);
-    const before = scene.boxes.find((box) => box.name === "a");
-    const holder = await passUntilHolder(
+    const firstHolder = scene.boxes.find((box) => box.name === "a");
+    const holder = await passTimeUntilHolder(
       scene,
       Number(seconds) * 1_000,
-      (box) => which === "a" || box !== before,
+      (box) => which === "a" || box !== firstHolder,
     );
-    assert.ok((holder.lease.epoch() ?? 0) > scene.highest);
+    assert.ok((holder.lease.epoch() ?? 0) > scene.initialEpoch);
   },
 );
 
-Then("{string} may give no orders", function (this: object, name: string) {
+Then("{string} may not send orders", function (this: object, name: string) {
   assert.equal(boxOf(sceneOf(this), name).lease.epoch(), undefined);
 });
 
-Then("{string} may give orders and nobody else", function (this: object, name: string) {
+Then("only {string} may send orders", function (this: object, name: string) {
   assert.deepEqual(
     holders(sceneOf(this)).map((box) => box.name),
     [name],
   );
 });
 
-/** Many seeds take their time where the machine is busy; nothing here is measured by the clock. */
-const manySeeds = { timeout: 120_000 };
+/** Allows for a busy machine; the simulation itself uses a virtual clock. */
+const manySeedsOptions = { timeout: 120_000 };
 
-type Disturb = (scene: Scene, box: LeaseBox, seed: number) => Promise<void> | void;
+type Disturbance = (scene: Scene, box: LeaseBox, seed: number) => Promise<void> | void;
 
-const disturbances: readonly Disturb[] = [
+const disturbances: readonly Disturbance[] = [
   (scene, box) => setAccess(scene, box.name, "refuses"),
   (scene, box) => setAccess(scene, box.name, "serves"),
   (_scene, box) => void (box.silent = !box.silent),
   (scene, box) => setAccess(scene, box.name, "loses_answers"),
 ];
-const withNewLives: readonly Disturb[] = [
+const disturbancesWithRestarts: readonly Disturbance[] = [
   ...disturbances,
-  (scene, box, seed) => beginNewLife(scene, box.name, seed).then(() => undefined),
+  (scene, box, seed) => restartBox(scene, box.name, seed).then(() => undefined),
 ];
 
-async function checkOneHolder(seed: number, choices: readonly Disturb[]): Promise<void> {
+async function checkOneHolder(seed: number, allowed: readonly Disturbance[]): Promise<void> {
   const random = seededRandom(seed);
   const scene = createScene(["a", "b", "c", "d"], seed);
   for (const box of scene.boxes) await box.lease.start();
-  let highest = 0;
-  const look = () => {
-    const now = holders(scene);
-    const names = now.map((box) => box.name).join(" ");
-    assert.ok(now.length <= 1, `seed ${seed}: ${names} may give orders at once`);
-    for (const box of now) {
+  let highestEpoch = 0;
+  const checkInvariants = () => {
+    const current = holders(scene);
+    const names = current.map((box) => box.name).join(" ");
+    assert.ok(current.length <= 1, `seed ${seed}: ${names} may send orders at once`);
+    for (const box of current) {
       const epoch = box.lease.epoch() ?? 0;
-      assert.ok(epoch >= highest, `seed ${seed}: epoch ${epoch} after ${highest}`);
-      highest = epoch;
+      assert.ok(epoch >= highestEpoch, `seed ${seed}: epoch ${epoch} after ${highestEpoch}`);
+      highestEpoch = epoch;
     }
   };
   for (let step = 0; step < 12; step++) {
     const box = pick(random, scene.boxes);
-    await choices[random.below(choices.length)](scene, box, seed);
-    await pass(scene, 300 + random.below(3_000), look);
+    await allowed[random.below(allowed.length)](scene, box, seed);
+    await passTime(scene, 300 + random.below(3_000), checkInvariants);
   }
   for (const box of scene.boxes) {
     box.silent = false;
     setAccess(scene, box.name, "serves");
   }
-  await pass(scene, 9_000, look);
-  assert.equal(holders(scene).length, 1, `seed ${seed}: nobody may give orders in the end`);
+  await passTime(scene, 9_000, checkInvariants);
+  assert.equal(holders(scene).length, 1, `seed ${seed}: no box may send orders in the end`);
   for (const box of scene.boxes) await box.lease.stop();
 }
 
-Then("for {int} seeds no two boxes may give orders at once", manySeeds, async (seeds: number) => {
-  for (let seed = 1; seed <= seeds; seed++) await checkOneHolder(seed, disturbances);
-});
+Then(
+  "for {int} seeds no two boxes may send orders at once",
+  manySeedsOptions,
+  async (seeds: number) => {
+    for (let seed = 1; seed <= seeds; seed++) await checkOneHolder(seed, disturbances);
+  },
+);
 
 Then(
-  "for {int} seeds with new lives no two boxes may give orders at once",
-  manySeeds,
+  "for {int} seeds with restarts no two boxes may send orders at once",
+  manySeedsOptions,
   async (seeds: number) => {
-    for (let seed = 1; seed <= seeds; seed++) await checkOneHolder(seed, withNewLives);
+    for (let seed = 1; seed <= seeds; seed++) await checkOneHolder(seed, disturbancesWithRestarts);
   },
 );
--- a/packages/order-lease/src/order-lease.ts
+++ b/packages/order-lease/src/order-lease.ts
@@ -1,6 +1,6 @@
 /**
- * The right to give orders: one box holds it, by a conditional append to a keyed stream. The offset
- * of its claim is the fencing token. The holder proves that no newer claim exists by reading on.
+ * Lease on sending orders, claimed by a conditional append to a keyed stream. The offset of the claim determines the epoch,
+ * which serves as fencing token. The holder proves that there is no newer claim by reading the stream.
  */
 import type { LogFailure } from "@linkfall/errors";
 import { clockName, type Kernel, randomName, repeatEvery } from "@linkfall/kernel";
@@ -10,191 +10,199 @@
 import type { LeasePeers, LeaseOptions, OrderLease } from "./contract.js";
 
 const leaseKey = "orders";
-/** Stands in place of a holder that has given the right up. */
+/** Marks a released lease in place of the holder. */
 const releasedHolder = "-";
-/** Reads by which the holder proves its lease within the time of one. They do not wait: a store that
- * is silent about changes still answers what it has. */
-const proofsOfLease = 6;
-/** Checks within which a holder that reads every so often has surely read again. */
-const noticeChecks = 3;
-/** A holder with a smaller part of its lease left than this has lost the store. */
-const lostShare = 0.35;
-/** Time that a superseded holder needs to hear of a new claim. */
-const noticeMs: Milliseconds = 300;
+/** Proof reads per lease time. They don't wait for changes, so an idle stream is answered at once. */
+const proofsPerLease = 6;
+/** Check intervals added to the proof interval, after which a holder has certainly read the stream again. */
+const proofMarginChecks = 3;
+/** A holder with a smaller share of its lease left is presumed to have lost the store. */
+const minRemainingShare = 0.35;
+/** Time in which a superseded holder is notified of a new claim. */
+const claimNoticeMs: Milliseconds = 300;
 
 interface LeaseState {
-  /** Newest claim that is known; offset -1 before the first. */
+  /** Newest observed claim; offset -1 before the first. */
   claim: { readonly holder: Incarnation; readonly offset: Offset };
-  /** When this box heard of that claim. */
-  claimHeardAt: Milliseconds;
-  end: Offset | undefined;
-  /** Until when this box may give orders without another proof; as `provenAt`, by the clock's `elapsed`: a lease runs out while its
-   * holder sleeps. What other boxes may still do goes by `now`, so that a step of the wall clock never makes this box too early. */
+  /** When this box observed that claim. */
+  claimObservedAt: Milliseconds;
+  /** Offset at which the next read starts; undefined if it reads the newest records. */
+  nextOffset: Offset | undefined;
+  /**
+   * When the current proof expires. This and `provenAt` use `elapsed`, which includes suspensions of the machine, as leases
+   * expire during them. Times of other boxes use `now`, to never end early because of a clock step.
+   */
   provenUntil: Milliseconds;
-  /** When the last read that proved it was sent. */
+  /** When the newest successful read was sent. */
   provenAt: Milliseconds;
-  /** From when on this box may give orders. */
-  from: Milliseconds;
-  /** Since when the holder has been silent in this box's eyes. */
-  silentSince: Milliseconds | undefined;
-  /** When the holder before this box may last have given an order. */
-  lastHeardHolder: Milliseconds;
-  epochRefused: Epoch;
+  /** When this box may start to send orders. */
+  ordersFrom: Milliseconds;
+  /** When this box found the holder gone. */
+  holderGoneSince: Milliseconds | undefined;
+  /** When the holder last sent a message. */
+  holderLastSeenAt: Milliseconds;
+  /** Highest epoch rejected by an engine. */
+  rejectedEpoch: Epoch;
 }
 
+/** Creates the lease of one box, which claims and renews it while it is started. */
 export function createOrderLease(
   kernel: Kernel,
   self: Incarnation,
   stream: KeyedStreamPort,
   peers: LeasePeers,
-  rules: LeaseOptions,
+  options: LeaseOptions,
 ): OrderLease {
   const clock = kernel.find(clockName);
   const logger = kernel.find(loggerName);
   const startedAt = clock.now();
   const state: LeaseState = {
     claim: { holder: releasedHolder, offset: -1 },
-    claimHeardAt: startedAt,
-    end: undefined,
+    claimObservedAt: startedAt,
+    nextOffset: undefined,
     provenUntil: -Infinity,
     provenAt: -Infinity,
-    from: Infinity,
-    silentSince: undefined,
-    lastHeardHolder: startedAt,
-    epochRefused: -1,
+    ordersFrom: Infinity,
+    holderGoneSince: undefined,
+    holderLastSeenAt: startedAt,
+    rejectedEpoch: -1,
   };
   let stopping = false;
   let reading = false;
 
   const epochOf = (offset: Offset): Epoch => offset + 1;
-  const mine = () =>
-    state.claim.holder === self && epochOf(state.claim.offset) > state.epochRefused;
+  const isHeld = () =>
+    state.claim.holder === self && epochOf(state.claim.offset) > state.rejectedEpoch;
 
-  const takeClaim = (holder: Incarnation, offset: Offset) => {
+  const applyClaim = (holder: Incarnation, offset: Offset) => {
     if (offset <= state.claim.offset) return;
-    const had = mine();
+    const wasHeld = isHeld();
     state.claim = { holder, offset };
-    state.silentSince = undefined;
-    state.claimHeardAt = clock.now();
-    // A claim of this box that it learns of by reading: its answer was lost, and with it the time
-    // until which the holder before may give orders.
-    if (holder === self) state.from = clock.now() + rules.leaseMs;
-    if (had && holder !== self) {
+    state.holderGoneSince = undefined;
+    state.claimObservedAt = clock.now();
+    // This box's claim is found by reading if its response was lost. The time until which the previous holder may send orders
+    // is then unknown, and at most a full lease.
+    if (holder === self) state.ordersFrom = clock.now() + options.leaseMs;
+    if (wasHeld && holder !== self) {
       logger.event("leaseLost", { pool: leaseKey, epoch: epochOf(offset), holder });
     }
   };
 
-  const takeBatch = (batch: KeyedBatch) => {
+  const applyBatch = (batch: KeyedBatch) => {
     for (const record of batch.records) {
-      if (record.key === leaseKey) takeClaim(record.value ?? releasedHolder, record.offset);
+      if (record.key === leaseKey) applyClaim(record.value ?? releasedHolder, record.offset);
     }
-    state.end = batch.end;
+    state.nextOffset = batch.end;
   };
 
-  const forget = (failure: LogFailure) => {
-    if (failure.kind === "log_truncated") state.end = undefined;
+  const handleReadFailure = (failure: LogFailure) => {
+    if (failure.kind === "log_truncated") state.nextOffset = undefined;
   };
 
-  /** Reads on, so that a newer claim is heard of at once and its absence is proven. */
+  /** Reads the stream, which either shows a newer claim or proves that there is none. */
   const prove = async () => {
     if (reading) return;
     reading = true;
     const sentAt = clock.elapsed();
     const read =
-      state.end === undefined ? await stream.newest() : await stream.changes(state.end, 0);
+      state.nextOffset === undefined
+        ? await stream.newest()
+        : await stream.changes(state.nextOffset, 0);
     reading = false;
-    read.ifLeft(forget).ifRight((batch) => {
-      takeBatch(batch);
+    read.ifLeft(handleReadFailure).ifRight((batch) => {
+      applyBatch(batch);
       state.provenAt = sentAt;
-      if (mine()) state.provenUntil = sentAt + rules.leaseMs;
+      if (isHeld()) state.provenUntil = sentAt + options.leaseMs;
     });
   };
 
-  /** Until when the holder that this box has heard of may give orders. */
-  const holderMayOrderUntil = (holder: Incarnation): Milliseconds => {
+  /** Returns the time until which the observed holder may send orders. */
+  const holderOrdersUntil = (holder: Incarnation): Milliseconds => {
     if (holder === releasedHolder || holder === self) return clock.now();
     if (peers.isOwnEarlierIncarnation(holder)) return clock.now();
-    const heard = peers.sinceLastMessageMs(holder);
-    if (heard !== undefined && heard <= rules.holderTimeoutMs) {
+    const sinceLastMessageMs = peers.sinceLastMessageMs(holder);
+    if (sinceLastMessageMs !== undefined && sinceLastMessageMs <= options.holderTimeoutMs) {
       return clock.now() + peers.remainingLeaseMs(holder);
     }
-    // Unheard, it may have proven its lease just now, and go on for the whole of it. Where engines
-    // refuse a lower epoch, it is enough that a holder which the store serves has read of the claim.
-    const provesEvery = rules.leaseMs / proofsOfLease + noticeChecks * rules.checkMs;
-    return clock.now() + (rules.enginesFence ? provesEvery : rules.leaseMs);
+    // Without contact, the holder may have just proven its lease. If engines reject lower epochs, it is enough to wait until a
+    // holder that reaches the store has read the new claim.
+    const proofIntervalMs = options.leaseMs / proofsPerLease + proofMarginChecks * options.checkMs;
+    return clock.now() + (options.enginesFence ? proofIntervalMs : options.leaseMs);
   };
 
   const claim = async () => {
-    const before = state.claim.offset;
+    const offsetBefore = state.claim.offset;
     const read = await stream.newest();
     if (read.isLeft()) return;
-    read.ifRight(takeBatch);
-    // Somebody else was faster, as the read or another box has told meanwhile.
-    if (state.claim.offset !== before && state.claim.holder !== releasedHolder) return;
+    read.ifRight(applyBatch);
+    // Another box has claimed the lease since.
+    if (state.claim.offset !== offsetBefore && state.claim.holder !== releasedHolder) return;
     const sentAt = clock.elapsed();
-    const lastOrderBy = holderMayOrderUntil(state.claim.holder);
-    const put = await stream.put(leaseKey, self, state.end);
-    put.ifRight((offset) => {
-      const first = state.claim.offset < 0;
-      takeClaim(self, offset);
-      state.end = offset + 1;
-      state.provenUntil = sentAt + rules.leaseMs;
-      state.from = first ? clock.now() : Math.max(clock.now() + noticeMs, lastOrderBy);
+    const previousHolderOrdersUntil = holderOrdersUntil(state.claim.holder);
+    const appended = await stream.put(leaseKey, self, state.nextOffset);
+    appended.ifRight((offset) => {
+      const isFirst = state.claim.offset < 0;
+      applyClaim(self, offset);
+      state.nextOffset = offset + 1;
+      state.provenUntil = sentAt + options.leaseMs;
+      state.ordersFrom = isFirst
+        ? clock.now()
+        : Math.max(clock.now() + claimNoticeMs, previousHolderOrdersUntil);
       logger.event("leaseTaken", {
         pool: leaseKey,
         epoch: epochOf(offset),
-        ordersInMs: Math.round(state.from - clock.now()),
+        ordersInMs: Math.round(state.ordersFrom - clock.now()),
       });
       peers.announceClaim();
     });
   };
 
-  /** Keeps the right; after a refused order it is claimed anew unless another box has it. */
-  const keep = async () => {
-    if (mine() && clock.elapsed() - state.provenAt < rules.leaseMs / proofsOfLease) return;
+  /** Proves the lease when due; after a rejected order, claims it again unless another box holds it. */
+  const renew = async () => {
+    if (isHeld() && clock.elapsed() - state.provenAt < options.leaseMs / proofsPerLease) return;
     await prove();
-    if (state.claim.holder === self && !mine()) await claim();
+    if (state.claim.holder === self && !isHeld()) await claim();
   };
 
-  /** Whether the holder, though it is heard, can no longer prove its lease. */
+  /** Whether a holder that still sends messages can no longer prove its lease. */
   const hasLostStore = (holder: Incarnation): boolean => {
-    const sinceClaim = clock.now() - state.claimHeardAt;
-    if (sinceClaim < rules.leaseMs) return false;
-    return peers.remainingLeaseMs(holder) < rules.leaseMs * lostShare;
+    const sinceClaim = clock.now() - state.claimObservedAt;
+    if (sinceClaim < options.leaseMs) return false;
+    return peers.remainingLeaseMs(holder) < options.leaseMs * minRemainingShare;
   };
 
-  const holderGone = (): boolean => {
+  const isHolderGone = (): boolean => {
     const { holder } = state.claim;
     if (state.claim.offset < 0 || holder === releasedHolder) return true;
-    const heard = peers.sinceLastMessageMs(holder);
-    if (heard !== undefined) {
-      state.lastHeardHolder = Math.max(state.lastHeardHolder, clock.now() - heard);
+    const sinceLastMessageMs = peers.sinceLastMessageMs(holder);
+    if (sinceLastMessageMs !== undefined) {
+      state.holderLastSeenAt = Math.max(state.holderLastSeenAt, clock.now() - sinceLastMessageMs);
     }
     if (peers.isLeaving(holder)) return true;
-    if (heard !== undefined && hasLostStore(holder)) return true;
-    return clock.now() - state.lastHeardHolder > rules.holderTimeoutMs;
+    if (sinceLastMessageMs !== undefined && hasLostStore(holder)) return true;
+    return clock.now() - state.holderLastSeenAt > options.holderTimeoutMs;
   };
 
   const check = async () => {
     if (stopping) return;
-    if (state.claim.holder === self) return keep();
-    // Only this box knows for sure that the holder has ended: it waits for no silence and no turn.
+    if (state.claim.holder === self) return renew();
+    // An earlier incarnation of this box has certainly ended, so there is no need to wait.
     if (peers.isOwnEarlierIncarnation(state.claim.holder)) return claim();
-    if (!holderGone()) {
-      state.silentSince = undefined;
+    if (!isHolderGone()) {
+      state.holderGoneSince = undefined;
       return;
     }
-    state.silentSince ??= clock.now();
-    const turn = state.silentSince + peers.rank() * rules.rankStepMs;
-    if (clock.now() < turn) return;
+    state.holderGoneSince ??= clock.now();
+    const claimAt = state.holderGoneSince + peers.rank() * options.rankStepMs;
+    if (clock.now() < claimAt) return;
     await claim();
   };
 
-  const loop = repeatEvery(clock, kernel.find(randomName), rules.checkMs, check);
+  const loop = repeatEvery(clock, kernel.find(randomName), options.checkMs, check);
   return {
     epoch() {
       const now = clock.now();
-      if (!mine() || stopping || now < state.from) return undefined;
+      if (!isHeld() || stopping || now < state.ordersFrom) return undefined;
       if (clock.elapsed() >= state.provenUntil && !peers.isStoreDownForAll()) return undefined;
       return epochOf(state.claim.offset);
     },
@@ -202,21 +210,21 @@
       state.claim.offset < 0
         ? undefined
         : { epoch: epochOf(state.claim.offset), holder: state.claim.holder },
-    observe: (word) => takeClaim(word.holder, word.epoch - 1),
+    observe: (lease) => applyClaim(lease.holder, lease.epoch - 1),
     recordRefusal(epoch) {
-      state.epochRefused = Math.max(state.epochRefused, epoch);
+      state.rejectedEpoch = Math.max(state.rejectedEpoch, epoch);
       logger.event("fenceRefused", { pool: leaseKey, epoch });
     },
     remainingLeaseMs() {
-      if (!mine() || stopping) return 0;
-      if (peers.isStoreDownForAll()) return rules.leaseMs;
+      if (!isHeld() || stopping) return 0;
+      if (peers.isStoreDownForAll()) return options.leaseMs;
       return Math.max(0, Math.round(state.provenUntil - clock.elapsed()));
     },
     async release() {
-      const held = mine();
+      const wasHeld = isHeld();
       stopping = true;
-      if (!held || state.end === undefined) return;
-      await stream.put(leaseKey, releasedHolder, state.end);
+      if (!wasHeld || state.nextOffset === undefined) return;
+      await stream.put(leaseKey, releasedHolder, state.nextOffset);
       logger.event("leaseReleased", { pool: leaseKey });
     },
     start: loop.start,
