--- a/packages/lease-holder/src/lease-clock.feature
+++ b/packages/lease-holder/src/lease-clock.feature
@@ -1,8 +1,8 @@
-Feature: A lease ends for its holder before a rival may claim it
+Feature: A lease expires for its holder before a competing box may claim it
 
-  Scenario: The holder stops first, whatever the delays
-    Then for any delays of sending and reading, no rival finds the lease lapsed while the holder may act
+  Scenario: The holder stops first for any delays
+    Then for any delays of sending and reading, the lease has not expired for a competing box while it is valid for the holder
 
-  Scenario: A rival that has only just read of a lease waits its whole length
-    Given a lease of 1000 ms that a rival has read at 500 ms
-    Then it has not lapsed for the rival at 1500 ms and has at 1701 ms with a margin of 200 ms
+  Scenario: A competing box waits for the full lease time after reading the lease
+    Given a lease of 1000 ms that a competing box has read at 500 ms
+    Then it has not expired for the competing box at 1500 ms and has at 1701 ms with a margin of 200 ms
--- a/packages/lease-holder/src/lease-clock.steps.ts
+++ b/packages/lease-holder/src/lease-clock.steps.ts
@@ -13,37 +13,37 @@
   touched: 1,
   released: false,
 };
-const delay = fc.integer({ min: 0, max: 5_000 });
+const delayMs = fc.integer({ min: 0, max: 5_000 });
 
 Then(
-  "for any delays of sending and reading, no rival finds the lease lapsed while the holder may act",
+  "for any delays of sending and reading, the lease has not expired for a competing box while it is valid for the holder",
   () => {
     fc.assert(
-      fc.property(delay, delay, delay, delay, (sentAt, inLog, read, wait) => {
+      fc.property(delayMs, delayMs, delayMs, delayMs, (sentAt, appendMs, readMs, waitMs) => {
         const holder = createLeaseClock();
-        const rival = createLeaseClock();
+        const competitor = createLeaseClock();
         holder.recordSent(lease.epoch, sentAt);
-        const readAt = sentAt + inLog + read;
-        rival.recordRead(lease, readAt);
-        const now = readAt + wait;
-        assert.ok(!(holder.isHeld(lease, now) && rival.hasExpired(lease, 0, now)));
+        const readAt = sentAt + appendMs + readMs;
+        competitor.recordRead(lease, readAt);
+        const now = readAt + waitMs;
+        assert.ok(!(holder.isHeld(lease, now) && competitor.hasExpired(lease, 0, now)));
       }),
       { seed: 3, numRuns: 1_000 },
     );
   },
 );
 
-Given("a lease of 1000 ms that a rival has read at 500 ms", function (this: object) {
-  const rival = createLeaseClock();
-  rival.recordRead(lease, 500);
-  notes(this).set("rival", rival);
+Given("a lease of 1000 ms that a competing box has read at 500 ms", function (this: object) {
+  const competitor = createLeaseClock();
+  competitor.recordRead(lease, 500);
+  notes(this).set("competitor", competitor);
 });
 
 Then(
-  "it has not lapsed for the rival at 1500 ms and has at 1701 ms with a margin of 200 ms",
+  "it has not expired for the competing box at 1500 ms and has at 1701 ms with a margin of 200 ms",
   function (this: object) {
-    const rival = notes(this).get<LeaseClock>("rival");
-    assert.equal(rival.hasExpired(lease, 200, 1_500), false);
-    assert.equal(rival.hasExpired(lease, 200, 1_701), true);
+    const competitor = notes(this).get<LeaseClock>("competitor");
+    assert.equal(competitor.hasExpired(lease, 200, 1_500), false);
+    assert.equal(competitor.hasExpired(lease, 200, 1_701), true);
   },
 );
--- a/packages/lease-holder/src/lease-holder.ts
+++ b/packages/lease-holder/src/lease-holder.ts
@@ -1,4 +1,4 @@
-/** Holds leases on pools: claims those that are free, renews its own, and releases them at a stop. */
+/** Manages this box's leases on pools: claims free ones, renews held ones, and releases them on shutdown. */
 import { settingsName } from "@linkfall/config";
 import {
   clockName,
@@ -17,35 +17,37 @@
 import type { Epoch, Milliseconds } from "@linkfall/types";
 import { createLeaseClock } from "./lease-clock.js";
 
-/** Each later rank among the boxes waits this much longer before it claims. */
+/** Additional delay per rank before a box claims a free lease. */
 const rankStepMs: Milliseconds = 400;
-/** How often leases are looked at. */
+/** Interval at which leases are checked. */
 const checkMs: Milliseconds = 200;
 
-/** The right to give orders in a pool. */
+/** A lease on sending orders in a pool. */
 export interface HeldLease {
   readonly pool: string;
   readonly epoch: Epoch;
-  /** False once the lease has run out by this box's clock; a fence may still carry its orders. */
+  /** False once the lease has expired by this box's clock; engines with fencing still accept its orders. */
   readonly valid: boolean;
 }
 
+/** The leases of one box. */
 export interface LeaseHolder {
-  /** The newest lease of this box on the pool, unless another box's claim has been read. */
+  /** Returns this box's lease on the pool, unless it was released or another box has claimed it. */
   heldLease(pool: string): HeldLease | undefined;
-  /** Pools whose newest lease is this box's. */
+  /** Returns all leases of this box. */
   heldLeases(): readonly HeldLease[];
-  /** Pools that this box serves. */
+  /** Returns the names of the pools that this box serves. */
   servedPools(): readonly string[];
-  /** Names of the boxes that serve a pool, as this box sees the members. */
+  /** Returns the names of the boxes that serve a pool, by the members known to this box. */
   boxesServing(pool: string): readonly string[];
-  /** Gives all leases up, at a planned stop. */
+  /** Stops claiming and releases all leases, on planned shutdown. */
   releaseAll(): Promise<void>;
 }
 
+/** Name of the lease holder in the kernel. */
 export const leaseHolderName = serviceName<LeaseHolder>("lease-holder");
 
-/** Creates the lease holder of one box; its life cycle is the claiming and renewing. */
+/** Creates the lease holder of one box, which claims and renews leases while it is started. */
 export function createLeaseHolder(kernel: Kernel): LeaseHolder & Service {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
@@ -54,38 +56,38 @@
   const membership = kernel.find(membershipName);
   const incarnation = kernel.find(incarnationName);
   const settings = kernel.find(settingsName).lease;
-  const leases = createLeaseClock();
-  /** Since when a pool has been free in this box's eyes. */
+  const leaseClock = createLeaseClock();
+  /** When each free pool was first found free. */
   const freeSince = new Map<string, Milliseconds>();
   let releasing = false;
   let renewedAt = -Infinity;
   let writing = false;
 
-  const note = (lease: Lease) => leases.recordRead(lease, clock.now());
+  const recordRead = (lease: Lease) => leaseClock.recordRead(lease, clock.now());
   store.onFold((event) => {
-    if (event.type === "lease_claimed" || event.type === "lease_renewed") note(event.lease);
-    if (event.type === "lease_claimed") noteTakeover(event.lease);
+    if (event.type === "lease_claimed" || event.type === "lease_renewed") recordRead(event.lease);
+    if (event.type === "lease_claimed") logClaim(event.lease);
   });
   store.onReplace(() => {
-    for (const lease of store.state().leases.values()) note(lease);
+    for (const lease of store.state().leases.values()) recordRead(lease);
   });
 
-  const noteTakeover = (lease: Lease) => {
-    const mine = lease.holder === incarnation;
-    logger.event(mine ? "leaseTaken" : "leaseLost", {
+  const logClaim = (lease: Lease) => {
+    const isOwn = lease.holder === incarnation;
+    logger.event(isOwn ? "leaseTaken" : "leaseLost", {
       pool: lease.pool,
       epoch: lease.epoch,
       holder: lease.holder,
     });
   };
 
-  const mine = (): readonly Lease[] =>
+  const ownLeases = (): readonly Lease[] =>
     [...store.state().leases.values()].filter(
       (lease) => lease.holder === incarnation && !lease.released,
     );
 
-  const boxesOf = (pool: string) => {
-    // A box that is leaving goes on serving what it still gets, until its planned stop is done.
+  const boxesServing = (pool: string) => {
+    // A leaving box continues to serve the requests it receives until its shutdown is complete.
     const box = membership.self().box;
     const boxes = [...new Set([box, ...membership.serving().map((entry) => entry.box)])];
     return topNodes(pool, boxes, settings.boxes_per_pool);
@@ -93,11 +95,11 @@
 
   const servedPools = () => {
     const box = membership.self().box;
-    return [...store.desired().pools.keys()].filter((pool) => boxesOf(pool).includes(box));
+    return [...store.desired().pools.keys()].filter((pool) => boxesServing(pool).includes(box));
   };
 
   const renew = async () => {
-    const held = mine();
+    const held = ownLeases();
     if (held.length === 0) return;
     const sentAt = clock.elapsed();
     renewedAt = clock.now();
@@ -108,7 +110,7 @@
     );
     result.ifRight((folded) => {
       for (const event of folded) {
-        if (event.type === "lease_renewed") leases.recordSent(event.lease.epoch, sentAt);
+        if (event.type === "lease_renewed") leaseClock.recordSent(event.lease.epoch, sentAt);
       }
     });
   };
@@ -130,7 +132,7 @@
     );
     result.ifRight((folded) => {
       for (const event of folded) {
-        if (event.type === "lease_claimed") leases.recordSent(event.lease.epoch, sentAt);
+        if (event.type === "lease_claimed") leaseClock.recordSent(event.lease.epoch, sentAt);
       }
     });
     freeSince.delete(pool);
@@ -139,12 +141,12 @@
   const isFree = (pool: string) => {
     const lease = store.state().leases.get(pool);
     if (!lease) return true;
-    // A lease of this very process can be renewed, whatever its clock says, while none supersedes it.
+    // This incarnation's own lease can still be renewed after its expiry, unless it was superseded.
     if (lease.holder === incarnation && !lease.released) return false;
-    return leases.hasExpired(lease, settings.margin_ms, clock.now());
+    return leaseClock.hasExpired(lease, settings.margin_ms, clock.now());
   };
 
-  /** The first pool that is free and that it is this box's turn to claim. */
+  /** Returns the first free pool that this box may claim by its rank. */
   const poolToClaim = (): string | undefined => {
     const now = clock.now();
     const boxes = membership.serving().map((entry) => entry.box);
@@ -174,7 +176,7 @@
   const toHeld = (lease: Lease): HeldLease => ({
     pool: lease.pool,
     epoch: lease.epoch,
-    valid: leases.isHeld(lease, clock.elapsed()),
+    valid: leaseClock.isHeld(lease, clock.elapsed()),
   });
 
   const loop = repeatEvery(clock, kernel.find(randomName), checkMs, check);
@@ -184,12 +186,12 @@
       if (!lease || lease.holder !== incarnation || lease.released) return undefined;
       return toHeld(lease);
     },
-    heldLeases: () => mine().map(toHeld),
+    heldLeases: () => ownLeases().map(toHeld),
     servedPools,
-    boxesServing: boxesOf,
+    boxesServing,
     async releaseAll() {
       releasing = true;
-      const held = mine();
+      const held = ownLeases();
       if (held.length === 0) return;
       const epochs = held.map((lease) => lease.epoch);
       await writer.append(
