--- a/packages/followed-news/src/index.ts
+++ b/packages/followed-news/src/index.ts
@@ -1,23 +1,25 @@
-/** How far one box has followed the news of each other one. News are numbered by the box that tells them. */
+/** Tracks the latest update received from each other box. Updates are numbered by their sender. */
 import type { Incarnation } from "@linkfall/types";
 
+/** Latest received update numbers, by the sender's incarnation. */
 export interface ReceivedUpdates {
-  /** Number of the newest news that was taken from the other box; 0 before the first. */
-  latestFrom(other: Incarnation): number;
-  record(other: Incarnation, number: number): void;
+  /** Returns the number of the latest update received from the sender; 0 before the first. */
+  latestFrom(sender: Incarnation): number;
+  /** Records the number of an update received from the sender. */
+  record(sender: Incarnation, number: number): void;
 }
 
-/** Starts of boxes that are followed; the oldest are let go of first. */
+/** Limit of tracked incarnations; the least recently updated are dropped. */
 const maxTrackedIncarnations = 2_000;
 
-/** Creates a record that has followed nobody. */
+/** Creates a tracker without received updates. */
 export function createReceivedUpdates(): ReceivedUpdates {
   const numbers = new Map<Incarnation, number>();
   return {
-    latestFrom: (other) => numbers.get(other) ?? 0,
-    record(other, number) {
-      numbers.delete(other);
-      numbers.set(other, number);
+    latestFrom: (sender) => numbers.get(sender) ?? 0,
+    record(sender, number) {
+      numbers.delete(sender);
+      numbers.set(sender, number);
       if (numbers.size > maxTrackedIncarnations) numbers.delete(numbers.keys().next().value ?? "");
     },
   };
--- a/packages/report-relay/src/incoming.ts
+++ b/packages/report-relay/src/incoming.ts
@@ -1,36 +1,37 @@
-/** What one other box has told of the engines that it reads. */
+/** Reports received from one other box, for the engines that it polls. */
 import type { HeldPlacement, ReportsReply } from "@linkfall/ports";
 import type { EngineReport, Incarnation, Milliseconds, ReportPlacement } from "@linkfall/types";
 
-/** A placement as the other box numbered it. */
+/** A placement with the version assigned by the other box. */
 interface ReceivedPlacement {
   readonly version: number;
   readonly placement: ReportPlacement;
 }
 
-/** A report put together again. */
+/** A report reassembled from its load and its placement. */
 export interface ReceivedReport {
   readonly report: EngineReport;
-  /** A time by this box's clock before which the report was not asked for. */
+  /** Earliest time, by this box's clock, at which the report can have been requested from the engine. */
   readonly requestedAt: Milliseconds;
 }
 
-/** Reports of one other box. */
+/** Reports received from one other box. */
 export interface IncomingReports {
-  /** The start of the other box whose placements are held; empty when none are. */
+  /** Incarnation of the other box that the cached placements are from; empty if there are none. */
   heldFrom(): Incarnation;
+  /** Versions of the cached placements, by engine. */
   held(): readonly HeldPlacement[];
-  /** Takes an answer to a request that was sent at `askedAt`. */
+  /** Applies the reply to a request sent at `askedAt`; reports without a matching placement are dropped. */
   applyReply(reply: ReportsReply, askedAt: Milliseconds): readonly ReceivedReport[];
 }
 
-/** Creates the reports of one other box; none has come. */
+/** Creates the state for another box, without reports. */
 export function createIncomingReports(): IncomingReports {
   const placements = new Map<string, ReceivedPlacement>();
   let heldFrom: Incarnation = "";
 
-  /** Numbers of an earlier start mean nothing to a later one. */
-  const noteStart = (from: Incarnation) => {
+  /** Drops cached placements after a restart, as versions are only unique within an incarnation. */
+  const checkIncarnation = (from: Incarnation) => {
     if (from !== heldFrom) placements.clear();
     heldFrom = from;
   };
@@ -40,15 +41,15 @@
     held: () =>
       [...placements].map(([engine, { version }]) => ({ engine, placementVersion: version })),
     applyReply(reply, askedAt) {
-      noteStart(reply.from);
+      checkIncarnation(reply.from);
       return reply.reports.flatMap(({ load, ageMs, placementVersion, placement }) => {
-        const known = placements.get(load.engine);
+        const cached = placements.get(load.engine);
         if (placement) placements.set(load.engine, { version: placementVersion, placement });
-        else if (known?.version !== placementVersion) return [];
-        const whole = placement ?? known?.placement;
-        if (!whole) return [];
-        // The answer was made after it was asked for, so the report is at most this old.
-        return [{ report: { ...load, ...whole }, requestedAt: askedAt - ageMs }];
+        else if (cached?.version !== placementVersion) return [];
+        const currentPlacement = placement ?? cached?.placement;
+        if (!currentPlacement) return [];
+        // The reply was created after `askedAt`, so the report is no older than this.
+        return [{ report: { ...load, ...currentPlacement }, requestedAt: askedAt - ageMs }];
       });
     },
   };
--- a/packages/report-relay/src/outgoing.ts
+++ b/packages/report-relay/src/outgoing.ts
@@ -1,17 +1,17 @@
-/** What this box tells others of the engines that it reads itself. */
+/** Reports sent to other boxes, for the engines that this box polls itself. */
 import type { RelayedReport, ReportsRequest } from "@linkfall/ports";
 import type { WatchedReport } from "@linkfall/target-watch";
 import type { Milliseconds, ReportLoad, ReportPlacement } from "@linkfall/types";
 
-/** A placement that was seen, and how many there were before it. */
+/** The newest placement of an engine; the version grows with each change. */
 interface VersionedPlacement {
   readonly text: string;
   readonly version: number;
 }
 
-/** Reports of one box for the others. */
+/** Reports of one box for other boxes. */
 export interface OutgoingReports {
-  /** The answer to a box that holds some placements of this one's numbering. */
+  /** Prepares reports for a box, omitting placements that it holds in their current version. */
   reportsFor(
     reports: readonly WatchedReport[],
     held: ReportsRequest["held"],
@@ -19,21 +19,21 @@
   ): readonly RelayedReport[];
 }
 
-function split({ report }: WatchedReport): { load: ReportLoad; placement: ReportPlacement } {
+function splitReport({ report }: WatchedReport): { load: ReportLoad; placement: ReportPlacement } {
   const { engineIncarnation, fence, role, residents, settledOrders, ...load } = report;
   return { load, placement: { engineIncarnation, fence, role, residents, settledOrders } };
 }
 
-/** Creates the outgoing reports of one process start; its numbering ends with it. */
+/** Creates the outgoing reports of one incarnation; placement versions are only valid within it. */
 export function createOutgoingReports(): OutgoingReports {
-  const numbered = new Map<string, VersionedPlacement>();
+  const newestPlacements = new Map<string, VersionedPlacement>();
 
   const versionOf = (engine: string, placement: ReportPlacement): number => {
     const text = JSON.stringify(placement);
-    const known = numbered.get(engine);
+    const known = newestPlacements.get(engine);
     if (known?.text === text) return known.version;
     const version = (known?.version ?? 0) + 1;
-    numbered.set(engine, { text, version });
+    newestPlacements.set(engine, { text, version });
     return version;
   };
 
@@ -41,7 +41,7 @@
     reportsFor(reports, held, now) {
       const heldVersions = new Map(held.map((entry) => [entry.engine, entry.placementVersion]));
       return reports.map((watched) => {
-        const { load, placement } = split(watched);
+        const { load, placement } = splitReport(watched);
         const placementVersion = versionOf(load.engine, placement);
         const ageMs = now - watched.requestedAt;
         const isHeld = heldVersions.get(load.engine) === placementVersion;
--- a/packages/report-relay/src/report-relay.feature
+++ b/packages/report-relay/src/report-relay.feature
@@ -1,12 +1,12 @@
-Feature: Reports that boxes pass on to each other
+Feature: Relaying of engine reports between boxes
 
-  Scenario: A report that is passed on comes out as it was read, whatever changed and whoever restarted
-    Then for any changes of an engine, lost answers and restarts of the reader, the asker gets the report or none
+  Scenario: A relayed report arrives as it was read, for any changes and restarts
+    Then for any changes of an engine, lost replies and restarts of the reader, the requester receives the report or none
 
-  Scenario: The age of a report that is passed on is never understated
-    When a report that was read 700 ms ago is asked for at 5000 ms and the answer takes 400 ms
-    Then it counts as asked for at 4300 ms
+  Scenario: The age of a relayed report is never understated
+    When a report that was read 700 ms ago is requested at 5000 ms and the reply takes 400 ms
+    Then its request time is 4300 ms
 
-  Scenario: What is held already is not sent again
-    When a box asks twice and only the load of the engine has changed
-    Then the second answer carries no placement
+  Scenario: A placement that the requester has is not sent again
+    When a box requests reports twice and only the load of the engine has changed
+    Then the second reply contains no placement
--- a/packages/report-relay/src/report-relay.steps.ts
+++ b/packages/report-relay/src/report-relay.steps.ts
@@ -35,22 +35,22 @@
   way: "read",
 });
 
-/** One box asks another; with `lost` the answer does not come. */
+/** Requests a report from another box; if `lost` is set, the reply is lost. */
 function exchange(
   from: OutgoingReports,
-  start: string,
+  incarnation: string,
   to: IncomingReports,
   report: WatchedReport,
   lost = false,
 ): readonly EngineReport[] {
-  const held = to.heldFrom() === start ? to.held() : [];
+  const held = to.heldFrom() === incarnation ? to.held() : [];
   const reports = from.reportsFor([report], held, report.requestedAt);
   if (lost) return [];
-  return to.applyReply({ from: start, reports }, 0).map((received) => received.report);
+  return to.applyReply({ from: incarnation, reports }, 0).map((received) => received.report);
 }
 
 Then(
-  "for any changes of an engine, lost answers and restarts of the reader, the asker gets the report or none",
+  "for any changes of an engine, lost replies and restarts of the reader, the requester receives the report or none",
   () => {
     const step = fc.record({
       models: fc.nat(3),
@@ -62,15 +62,21 @@
       fc.property(fc.array(step, { maxLength: 30 }), (steps) => {
         const incoming = createIncomingReports();
         let outgoing = createOutgoingReports();
-        let start = 0;
+        let restarts = 0;
         for (const [index, { models, running, lost, restart }] of steps.entries()) {
           if (restart) {
             outgoing = createOutgoingReports();
-            start += 1;
+            restarts += 1;
           }
           const report = reportOf(index, running, models);
-          const got = exchange(outgoing, `b@${start}`, incoming, watched(report, index), lost);
-          assert.deepEqual(got, lost ? [] : [report]);
+          const received = exchange(
+            outgoing,
+            `b@${restarts}`,
+            incoming,
+            watched(report, index),
+            lost,
+          );
+          assert.deepEqual(received, lost ? [] : [report]);
         }
       }),
       { seed: 11, numRuns: 300 },
@@ -79,31 +85,34 @@
 );
 
 When(
-  "a report that was read {int} ms ago is asked for at {int} ms and the answer takes {int} ms",
-  function (this: object, age: number, askedAt: number, took: number) {
-    const answeredAt = askedAt + took / 2;
-    const read = watched(reportOf(1, 1, 1), answeredAt - age);
-    const reports = createOutgoingReports().reportsFor([read], [], answeredAt);
+  "a report that was read {int} ms ago is requested at {int} ms and the reply takes {int} ms",
+  function (this: object, ageMs: number, askedAt: number, replyMs: number) {
+    const repliedAt = askedAt + replyMs / 2;
+    const report = watched(reportOf(1, 1, 1), repliedAt - ageMs);
+    const reports = createOutgoingReports().reportsFor([report], [], repliedAt);
     const [received] = createIncomingReports().applyReply({ from: "b@1", reports }, askedAt);
     notes(this).set("requestedAt", received.requestedAt);
   },
 );
 
-Then("it counts as asked for at {int} ms", function (this: object, expected: number) {
+Then("its request time is {int} ms", function (this: object, expected: number) {
   assert.equal(notes(this).get("requestedAt"), expected);
 });
 
-When("a box asks twice and only the load of the engine has changed", function (this: object) {
-  const outgoing = createOutgoingReports();
-  const incoming = createIncomingReports();
-  exchange(outgoing, "b@1", incoming, watched(reportOf(1, 1, 2), 0));
-  notes(this).set(
-    "second",
-    outgoing.reportsFor([watched(reportOf(2, 5, 2), 9)], incoming.held(), 9),
-  );
-});
+When(
+  "a box requests reports twice and only the load of the engine has changed",
+  function (this: object) {
+    const outgoing = createOutgoingReports();
+    const incoming = createIncomingReports();
+    exchange(outgoing, "b@1", incoming, watched(reportOf(1, 1, 2), 0));
+    notes(this).set(
+      "second",
+      outgoing.reportsFor([watched(reportOf(2, 5, 2), 9)], incoming.held(), 9),
+    );
+  },
+);
 
-Then("the second answer carries no placement", function (this: object) {
+Then("the second reply contains no placement", function (this: object) {
   const [second] = notes(this).get<readonly RelayedReport[]>("second");
   assert.equal(second.placement, undefined);
   assert.equal(second.load.running, 5);
--- a/packages/report-relay/src/report-relay.ts
+++ b/packages/report-relay/src/report-relay.ts
@@ -1,7 +1,7 @@
 /**
- * Each engine of a pool is read by a few of the pool's boxes, chosen by rendezvous hashing; every other
- * box asks those for what they have read. Ages, never clock readings, travel between boxes. A box that
- * gets no fresh report of an engine this way reads the engine itself (see target-watch).
+ * Relays engine reports between boxes. Each engine is polled by a few boxes of its pool, selected by rendezvous hashing; the
+ * other boxes request the reports from those. Reports are sent with their age, as clocks differ between boxes. A box that
+ * receives no recent report of an engine polls it itself (see target-watch).
  */
 import { settingsName } from "@linkfall/config";
 import {
@@ -20,31 +20,34 @@
 import { createIncomingReports, type IncomingReports } from "./incoming.js";
 import { createOutgoingReports } from "./outgoing.js";
 
+/** Relays reports to other boxes. */
 export interface ReportRelay {
-  /** Answers a box that asks for reports. */
+  /** Returns the reports requested by another box. */
   answerRequest(request: ReportsRequest): ReportsReply;
 }
 
+/** Name of the relay in the kernel. */
 export const reportRelayName = serviceName<ReportRelay>("report-relay");
 
-/** Creates the relay of one box; its life cycle is the asking. */
+/** Creates the relay of one box, which requests reports from other boxes while it is started. */
 export function createReportRelay(kernel: Kernel): ReportRelay & Service {
   const clock = kernel.find(clockName);
   const membership = kernel.find(membershipName);
   const peers = kernel.find(peerPortName);
-  const watch = kernel.find(targetWatchName);
+  const targetWatch = kernel.find(targetWatchName);
   const self = kernel.find(incarnationName);
   const settings = kernel.find(settingsName);
   const outgoing = createOutgoingReports();
-  /** By peer address. */
-  const incoming = new Map<string, IncomingReports>();
-  const asking = new Set<string>();
+  /** Received reports, by peer address. */
+  const incomingByAddress = new Map<string, IncomingReports>();
+  /** Peer addresses with a request in flight. */
+  const pendingRequests = new Set<string>();
 
-  /** The pools whose engines each other box reads for this one. */
+  /** Pools whose reports this box requests from other boxes, by the name of the box. */
   const poolsByReader = (): ReadonlyMap<string, ReadonlySet<string>> => {
     const byReader = new Map<string, Set<string>>();
-    for (const engine of watch.watched()) {
-      for (const reader of watch.readersOf(engine)) {
+    for (const engine of targetWatch.watched()) {
+      for (const reader of targetWatch.readersOf(engine)) {
         const pools = byReader.get(reader) ?? new Set();
         byReader.set(reader, pools.add(engine.pool));
       }
@@ -53,43 +56,44 @@
     return byReader;
   };
 
-  const ask = async ({ peerAddress }: MemberEntry, pools: ReadonlySet<string>) => {
-    if (asking.has(peerAddress)) return;
-    const from = incoming.get(peerAddress) ?? createIncomingReports();
-    incoming.set(peerAddress, from);
-    asking.add(peerAddress);
+  const requestReports = async ({ peerAddress }: MemberEntry, pools: ReadonlySet<string>) => {
+    if (pendingRequests.has(peerAddress)) return;
+    const received = incomingByAddress.get(peerAddress) ?? createIncomingReports();
+    incomingByAddress.set(peerAddress, received);
+    pendingRequests.add(peerAddress);
     const askedAt = clock.now();
-    const answer = await peers.readReports(peerAddress, {
+    const result = await peers.readReports(peerAddress, {
       from: self,
       pools: [...pools],
-      heldFrom: from.heldFrom(),
-      held: from.held(),
+      heldFrom: received.heldFrom(),
+      held: received.held(),
     });
-    asking.delete(peerAddress);
-    answer.ifRight((reply) => {
-      for (const { report, requestedAt } of from.applyReply(reply, askedAt)) {
-        watch.ingest(report, requestedAt, "relayed");
+    pendingRequests.delete(peerAddress);
+    result.ifRight((reply) => {
+      for (const { report, requestedAt } of received.applyReply(reply, askedAt)) {
+        targetWatch.ingest(report, requestedAt, "relayed");
       }
     });
   };
 
-  const round = () => {
+  const pollPeers = () => {
     const members = membership.alive();
     const addresses = new Set(members.map((entry) => entry.peerAddress));
-    for (const address of incoming.keys()) if (!addresses.has(address)) incoming.delete(address);
+    for (const address of incomingByAddress.keys())
+      if (!addresses.has(address)) incomingByAddress.delete(address);
     for (const [box, pools] of poolsByReader()) {
       const entry = members.find((member) => member.box === box);
-      if (entry) void ask(entry, pools);
+      if (entry) void requestReports(entry, pools);
     }
   };
 
-  const interval = settings.targets.report_poll_ms;
-  const loop = repeatEvery(clock, kernel.find(randomName), interval, round);
+  const intervalMs = settings.targets.report_poll_ms;
+  const loop = repeatEvery(clock, kernel.find(randomName), intervalMs, pollPeers);
   return {
     answerRequest(request) {
       const pools = new Set(request.pools);
       const held = request.heldFrom === self ? request.held : [];
-      const reports = watch.ownReports().filter(({ pool }) => pools.has(pool));
+      const reports = targetWatch.ownReports().filter(({ pool }) => pools.has(pool));
       return {
         from: self,
         reports: outgoing.reportsFor(
