--- a/packages/log-follower/src/log-follower.ts
+++ b/packages/log-follower/src/log-follower.ts
@@ -1,4 +1,4 @@
-/** Reads the state stream again and again and folds what is new. */
+/** Polls the state stream and folds new records. */
 import { settingsName } from "@linkfall/config";
 import type { LogFailure } from "@linkfall/errors";
 import {
@@ -18,18 +18,21 @@
 import { match } from "ts-pattern";
 import { restoreFromLog } from "./restore.js";
 
+/** Limit of records returned by one read. */
 const maxBatchRecords = 500;
 
+/** Keeps the folded state up to date with the log. */
 export interface LogFollower {
-  /** Reads to the end of the log and answers with the offset that the state has reached. */
+  /** Reads to the end of the log; returns the offset of the state. Concurrent calls share one read. */
   catchUp(): Promise<Either<LogFailure, Offset>>;
-  /** Time since the log last answered a read; Infinity before the first answer. */
+  /** Returns the time since the last successful read of the log; Infinity before the first. */
   sinceLastResponseMs(): Milliseconds;
 }
 
+/** Name of the follower in the kernel. */
 export const logFollowerName = serviceName<LogFollower>("log-follower");
 
-/** Creates the follower; its life cycle is the reading loop. */
+/** Creates the follower, which polls the log while it is started. */
 export function createLogFollower(kernel: Kernel): LogFollower & Service {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
@@ -37,29 +40,29 @@
   const metrics = kernel.find(metricsName);
   const port = kernel.find(logPortName);
   const settings = kernel.find(settingsName).platform;
-  let answeredAt = -Infinity;
-  let reachable = true;
-  let running: Promise<Either<LogFailure, Offset>> | undefined;
+  let lastResponseAt = -Infinity;
+  let isReachable = true;
+  let catchUpInProgress: Promise<Either<LogFailure, Offset>> | undefined;
 
-  const noteFailure = (failure: LogFailure) => {
+  const recordFailure = (failure: LogFailure) => {
     metrics.count("linkfall_log_read_failures_total", "Reads of the log that failed");
-    if (reachable) logger.event("logUnreachable", { reason: failure.kind });
-    reachable = false;
+    if (isReachable) logger.event("logUnreachable", { reason: failure.kind });
+    isReachable = false;
   };
-  const noteAnswer = () => {
-    answeredAt = clock.now();
-    if (!reachable) logger.event("logReachable", { offset: store.state().offset });
-    reachable = true;
+  const recordResponse = () => {
+    lastResponseAt = clock.now();
+    if (!isReachable) logger.event("logReachable", { offset: store.state().offset });
+    isReachable = true;
   };
 
   const restore = async (first: Offset): Promise<Either<LogFailure, Offset>> => {
     const restored = await restoreFromLog(port, first, maxBatchRecords);
     return restored.caseOf<Either<LogFailure, Offset>>({
-      // No snapshot is no empty state: the box goes on asking, and its peers meanwhile.
+      // Without a snapshot the state is unknown, not empty: keep polling; a peer may provide the state meanwhile.
       Left: (failure) =>
         match(failure)
-          .with({ kind: "no_snapshot" }, (gap) =>
-            Left<LogFailure>({ kind: "log_truncated", first: gap.first }),
+          .with({ kind: "no_snapshot" }, (missing) =>
+            Left<LogFailure>({ kind: "log_truncated", first: missing.first }),
           )
           .otherwise((other) => Left(other)),
       Right: (state) => {
@@ -69,7 +72,7 @@
     });
   };
 
-  /** One read; Right(true) when the end of the log has been reached. */
+  /** Performs one read; Right(true) if the end of the log was reached. */
   const readOnce = async (): Promise<Either<LogFailure, boolean>> => {
     const read = await port.read(streams.state, store.state().offset + 1, maxBatchRecords);
     if (read.isLeft()) {
@@ -87,10 +90,10 @@
       const read = await readOnce();
       if (read.isLeft()) {
         const failure = read.extract() as LogFailure;
-        noteFailure(failure);
+        recordFailure(failure);
         return Left(failure);
       }
-      noteAnswer();
+      recordResponse();
       if (read.extract() === true) break;
     }
     store.markReady();
@@ -98,20 +101,20 @@
   };
 
   const catchUp = () => {
-    running ??= readToEnd().finally(() => {
-      running = undefined;
+    catchUpInProgress ??= readToEnd().finally(() => {
+      catchUpInProgress = undefined;
     });
-    return running;
+    return catchUpInProgress;
   };
 
   store.onFold((event, entry) => {
     if (event.type !== "bad_record") return;
-    metrics.count("linkfall_log_bad_records_total", "Records that could not be understood");
+    metrics.count("linkfall_log_bad_records_total", "Invalid records in the log");
     logger.event("badRecord", { offset: entry.offset, reason: event.reason });
   });
   metrics.gauge(
     "linkfall_state_offset",
-    "Offset that the state has reached",
+    "Log offset of the folded state",
     () => store.state().offset,
   );
 
@@ -120,7 +123,7 @@
   });
   return {
     catchUp,
-    sinceLastResponseMs: () => clock.now() - answeredAt,
+    sinceLastResponseMs: () => clock.now() - lastResponseAt,
     async start() {
       void catchUp();
       await loop.start();
--- a/packages/log-follower/src/restore.ts
+++ b/packages/log-follower/src/restore.ts
@@ -1,26 +1,27 @@
-/** Starts from a snapshot when the records that come next are no longer in the log. */
+/** Restores the state from a snapshot in the log if the next records have been truncated. */
 import type { LogFailure } from "@linkfall/errors";
 import { type LogPort, streams } from "@linkfall/ports";
 import { createSnapshotCollector, type FoldedState } from "@linkfall/state-fold";
 import type { Offset } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
 
-/** The log holds no whole snapshot that reaches its oldest record. */
+/** The log contains no complete snapshot that covers all truncated records. */
 export interface NoSnapshot {
   readonly kind: "no_snapshot";
+  /** Offset of the oldest record in the log. */
   readonly first: Offset;
 }
 
-/** Reads from the oldest record on until a snapshot is whole. */
+/** Reads the log from offset `first`, in batches of up to `maxRecords`, until a snapshot is complete. */
 export async function restoreFromLog(
   port: LogPort,
   first: Offset,
-  batch: number,
+  maxRecords: number,
 ): Promise<Either<LogFailure | NoSnapshot, FoldedState>> {
   const collector = createSnapshotCollector();
   let from = first;
   for (;;) {
-    const read = await port.read(streams.state, from, batch);
+    const read = await port.read(streams.state, from, maxRecords);
     if (read.isLeft()) return Left(read.extract() as LogFailure);
     const { entries, newest } = read.unsafeCoerce();
     for (const entry of entries) {
--- a/packages/log-writer/src/index.ts
+++ b/packages/log-writer/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Appends records so that each counts once. Records of one box go one after the other: a record is
- * read back before the next is sent, so the fold can drop every repeat by one number a box.
+ * Appends records with exactly-once effect. Each record is read back before the next is sent, so the fold can detect
+ * duplicates by one sequence number per box.
  */
 import { settingsName } from "@linkfall/config";
 import type { LogFailure } from "@linkfall/errors";
@@ -18,26 +18,29 @@
 const initialRetryWaitMs: Milliseconds = 100;
 const maxRetryWaitMs: Milliseconds = 2_000;
 
-/** The record was not read back in time. It may be in the log, or come there late. */
+/** The record was not read back in time. It may be in the log, or still be appended later. */
 export interface AppendUnknown {
   readonly kind: "append_unknown";
 }
 
-/** Makes the record once its identifier is known. */
+/** Creates a record with the given identifier. */
 export type RecordFactory = (id: string) => StateRecord;
 
+/** Appends the records of one box. */
 export interface LogWriter {
   /**
-   * Appends a record and answers with what it did when folded, or gives up after `limit`.
-   * A record that was given up on becomes void once a later one of this box is in the log.
+   * Appends a record and returns its effects, or gives up after `timeoutMs`. An abandoned record has no effect once a later
+   * one of this box is in the log.
    */
   append(
-    record: RecordFactory,
-    limit: Milliseconds,
+    createRecord: RecordFactory,
+    timeoutMs: Milliseconds,
   ): Promise<Either<AppendUnknown, readonly FoldEvent[]>>;
 }
 
+/** Name of the writer in the kernel. */
 export const logWriterName = serviceName<LogWriter>("log-writer");
+/** Name of this box's incarnation in the kernel. */
 export const incarnationName = serviceName<Incarnation>("incarnation");
 
 /** Creates the writer of one box. */
@@ -50,15 +53,16 @@
   const incarnation = kernel.find(incarnationName);
   const rate = kernel.find(settingsName).platform.append_rate;
   const bucket = createTokenBucket(clock, { rate, burst: appendBurstSize });
-  const seen = new Map<string, FoldEvent[]>();
+  /** Effects observed so far of records that are being appended, by record id. */
+  const effectsById = new Map<string, FoldEvent[]>();
   let sequence = 0;
   let queue: Promise<unknown> = Promise.resolve();
 
   store.onFold((event) => {
-    if ("id" in event) seen.get(event.id)?.push(event);
+    if ("id" in event) effectsById.get(event.id)?.push(event);
   });
 
-  /** Whether the record has been folded, seen or not. */
+  /** Whether the record has been folded, even if its effects were not observed. */
   const isFolded = (number: number) =>
     (store.state().writers.get(incarnation)?.highest ?? 0) >= number;
 
@@ -68,43 +72,43 @@
     return port.append(streams.state, data);
   };
 
-  const appendUntilFolded = async (data: string, number: number, giveUpAt: Milliseconds) => {
-    let wait = initialRetryWaitMs;
-    while (clock.now() < giveUpAt) {
+  const appendUntilFolded = async (data: string, number: number, deadline: Milliseconds) => {
+    let retryWaitMs = initialRetryWaitMs;
+    while (clock.now() < deadline) {
       const appended = await appendOnce(data);
       const read = await follower.catchUp();
       if (isFolded(number)) return true;
-      // Appended and read to the end, yet absent: the read had begun before the append.
+      // The log was read to its end without the record: the read had started before the append.
       if (appended.isRight() && read.isRight()) {
         await follower.catchUp();
         if (isFolded(number)) return true;
       }
-      await sleep(clock, Math.max(0, Math.min(wait, giveUpAt - clock.now())));
-      wait = Math.min(maxRetryWaitMs, 2 * wait);
+      await sleep(clock, Math.max(0, Math.min(retryWaitMs, deadline - clock.now())));
+      retryWaitMs = Math.min(maxRetryWaitMs, 2 * retryWaitMs);
       if (isFolded(number)) return true;
     }
     return false;
   };
 
-  const run = async (
-    recordOf: RecordFactory,
-    giveUpAt: Milliseconds,
+  const appendNext = async (
+    createRecord: RecordFactory,
+    deadline: Milliseconds,
   ): Promise<Either<AppendUnknown, readonly FoldEvent[]>> => {
     const number = ++sequence;
-    const record = recordOf(`${incarnation}#${number}`);
-    seen.set(record.id, []);
-    await appendUntilFolded(JSON.stringify(record), number, giveUpAt);
-    const foldEvents = seen.get(record.id) ?? [];
-    seen.delete(record.id);
-    // No event although it is folded: the state was taken over as a whole, its effect is unseen.
-    return foldEvents.length > 0 ? Right(foldEvents) : Left({ kind: "append_unknown" });
+    const record = createRecord(`${incarnation}#${number}`);
+    effectsById.set(record.id, []);
+    await appendUntilFolded(JSON.stringify(record), number, deadline);
+    const effects = effectsById.get(record.id) ?? [];
+    effectsById.delete(record.id);
+    // A folded record has no observed effects if the state was replaced meanwhile.
+    return effects.length > 0 ? Right(effects) : Left({ kind: "append_unknown" });
   };
 
   return {
-    append(recordOf, limit) {
-      // Counted from now: what waits before it, such as a renewal during an outage, is part of the wait.
-      const giveUpAt = clock.now() + limit;
-      const result = queue.then(() => run(recordOf, giveUpAt));
+    append(createRecord, timeoutMs) {
+      // The timeout includes the time that the record is queued, for example behind a renewal during an outage.
+      const deadline = clock.now() + timeoutMs;
+      const result = queue.then(() => appendNext(createRecord, deadline));
       queue = result.catch(() => undefined);
       return result;
     },
--- a/packages/snapshot-writer/src/index.ts
+++ b/packages/snapshot-writer/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Appends snapshots. The boxes rank themselves, so that one of them does it and the next steps in
- * when it does not; two snapshots at once do no harm.
+ * Appends snapshots of the state to the log. Boxes wait by rank, so that usually one of them writes a snapshot and the next
+ * takes over if it fails; concurrent snapshots are harmless.
  */
 import { settingsName } from "@linkfall/config";
 import { clockName, type Kernel, randomName, repeatEvery, type Service } from "@linkfall/kernel";
@@ -12,12 +12,14 @@
 import { stateStoreName } from "@linkfall/state-store";
 import type { Milliseconds, Offset } from "@linkfall/types";
 
+/** Interval at which a box checks whether a snapshot is due. */
 const checkMs: Milliseconds = 1_000;
-/** Each later rank waits this many more checks. */
+/** Additional checks per rank before a box writes a due snapshot. */
 const checksPerRank = 5;
-const partLimitMs: Milliseconds = 15_000;
+/** Timeout for appending one part. */
+const partTimeoutMs: Milliseconds = 15_000;
 
-/** Creates the writer of one box; its life cycle is the checking. */
+/** Creates the snapshot writer of one box, which checks while it is started. */
 export function createSnapshotWriter(kernel: Kernel): Service {
   const clock = kernel.find(clockName);
   const random = kernel.find(randomName);
@@ -26,34 +28,38 @@
   const logger = kernel.find(loggerName);
   const membership = kernel.find(membershipName);
   const settings = kernel.find(settingsName).platform;
+  /** Consecutive checks that found a snapshot due. */
   let dueChecks = 0;
-  let newestSeen: Offset = 0;
-  let newestSeenAt = clock.now();
+  let lastSnapshot: Offset = 0;
+  let lastSnapshotAt = clock.now();
 
   const isDue = (): boolean => {
     const { offset, newestSnapshot } = store.state();
-    if (newestSnapshot !== newestSeen) {
-      newestSeen = newestSnapshot;
-      newestSeenAt = clock.now();
+    if (newestSnapshot !== lastSnapshot) {
+      lastSnapshot = newestSnapshot;
+      lastSnapshotAt = clock.now();
     }
     if (offset === 0) return false;
-    const records = offset - newestSnapshot;
-    const tooOld = clock.now() - newestSeenAt >= settings.snapshot_every_ms;
-    return records >= settings.snapshot_every_records || tooOld;
+    const recordsSince = offset - newestSnapshot;
+    const tooOld = clock.now() - lastSnapshotAt >= settings.snapshot_every_ms;
+    return recordsSince >= settings.snapshot_every_records || tooOld;
   };
 
-  const myRank = () => {
+  const ownRank = () => {
     const boxes = membership.serving().map((entry) => entry.box);
     return Math.max(0, rankNodes("snapshot", boxes).indexOf(membership.self().box));
   };
 
-  const write = async () => {
+  const writeSnapshot = async () => {
     const snapshot = random.identifier();
     const parts = splitSnapshot(store.state(), snapshot, settings.snapshot_part_bytes);
     for (const part of parts) {
-      const added = await writer.append((id) => ({ type: "snapshot", id, ...part }), partLimitMs);
-      // A snapshot with a part missing is ignored by readers; the next check begins another.
-      if (added.isLeft()) return;
+      const appended = await writer.append(
+        (id) => ({ type: "snapshot", id, ...part }),
+        partTimeoutMs,
+      );
+      // Readers ignore incomplete snapshots; a later check starts a new one.
+      if (appended.isLeft()) return;
     }
     logger.event("snapshotWritten", { asOf: parts[0].asOf, parts: parts.length });
   };
@@ -61,9 +67,9 @@
   const check = async () => {
     if (!store.ready() || membership.self().leaving || membership.isolated()) return;
     dueChecks = isDue() ? dueChecks + 1 : 0;
-    if (dueChecks === 0 || dueChecks <= myRank() * checksPerRank) return;
+    if (dueChecks === 0 || dueChecks <= ownRank() * checksPerRank) return;
     dueChecks = 0;
-    await write();
+    await writeSnapshot();
   };
 
   return repeatEvery(clock, random, checkMs, check);
