--- a/packages/report-relay/src/outgoing.ts
+++ b/packages/report-relay/src/outgoing.ts
@@ -12,7 +12,7 @@
 /** Reports of one box for other boxes. */
 export interface OutgoingReports {
   /** Prepares reports for a box, omitting placements that it holds in their current version. */
-  reportsFor(
+  answer(
     reports: readonly WatchedReport[],
     held: ReportsRequest["held"],
     now: Milliseconds,
@@ -38,7 +38,7 @@
   };
 
   return {
-    reportsFor(reports, held, now) {
+    answer(reports, held, now) {
       const heldVersions = new Map(held.map((entry) => [entry.engine, entry.placementVersion]));
       return reports.map((watched) => {
         const { load, placement } = splitReport(watched);
--- a/packages/report-relay/src/report-relay.steps.ts
+++ b/packages/report-relay/src/report-relay.steps.ts
@@ -44,7 +44,7 @@
   lost = false,
 ): readonly EngineReport[] {
   const held = to.heldFrom() === incarnation ? to.held() : [];
-  const reports = from.reportsFor([report], held, report.requestedAt);
+  const reports = from.answer([report], held, report.requestedAt);
   if (lost) return [];
   return to.applyReply({ from: incarnation, reports }, 0).map((received) => received.report);
 }
@@ -89,7 +89,7 @@
   function (this: object, ageMs: number, askedAt: number, replyMs: number) {
     const repliedAt = askedAt + replyMs / 2;
     const report = watched(reportOf(1, 1, 1), repliedAt - ageMs);
-    const reports = createOutgoingReports().reportsFor([report], [], repliedAt);
+    const reports = createOutgoingReports().answer([report], [], repliedAt);
     const [received] = createIncomingReports().applyReply({ from: "b@1", reports }, askedAt);
     notes(this).set("requestedAt", received.requestedAt);
   },
@@ -105,10 +105,7 @@
     const outgoing = createOutgoingReports();
     const incoming = createIncomingReports();
     exchange(outgoing, "b@1", incoming, watched(reportOf(1, 1, 2), 0));
-    notes(this).set(
-      "second",
-      outgoing.reportsFor([watched(reportOf(2, 5, 2), 9)], incoming.held(), 9),
-    );
+    notes(this).set("second", outgoing.answer([watched(reportOf(2, 5, 2), 9)], incoming.held(), 9));
   },
 );
 
--- a/packages/report-relay/src/report-relay.ts
+++ b/packages/report-relay/src/report-relay.ts
@@ -96,7 +96,7 @@
       const reports = targetWatch.ownReports().filter(({ pool }) => pools.has(pool));
       return {
         from: self,
-        reports: outgoing.reportsFor(
+        reports: outgoing.answer(
           reports.map(({ watched }) => watched),
           held,
           clock.now(),
