--- a/packages/desired-feed/src/desired-feed.ts
+++ b/packages/desired-feed/src/desired-feed.ts
@@ -8,14 +8,14 @@
 import type { KeyedBatch, KeyedRecord, KeyedStreamPort, RecordCodec } from "@linkfall/ports";
 import type { ListedTarget, Milliseconds, Offset } from "@linkfall/types";
 import {
-  type ConfigurationTracker,
   type ActiveConfiguration,
+  type ConfigurationTracker,
   createConfigurationTracker,
 } from "./configuration-tracker.js";
 import {
   createStreamFollower,
-  type StreamFollowerTimes,
   type StreamFollower,
+  type StreamFollowerTimes,
 } from "./stream-follower.js";
 import { createStoreReachability, type StoreReachability } from "./store-reachability.js";
 import { createTargetChangeLog, type TargetChangeLog } from "./target-change-log.js";
--- a/packages/desired-feed/src/stream-follower.ts
+++ b/packages/desired-feed/src/stream-follower.ts
@@ -19,10 +19,11 @@
 export interface StreamFollower {
   start(): void;
   stop(): void;
-  /** Continues with a snapshot, after another box has sent later records. */
+  /** Restarts with a snapshot, after another box has sent later records. */
   restart(): void;
 }
 
+/** Dependencies and callbacks of a stream follower. */
 interface StreamFollowerInput {
   readonly clock: Clock;
   readonly port: KeyedStreamPort;
@@ -43,7 +44,8 @@
 /** Creates a stopped follower. */
 export function createStreamFollower(input: StreamFollowerInput): StreamFollower {
   const { clock, port, times } = input;
-  let end: Offset | undefined;
+  /** Offset of the next read; undefined if it reads a snapshot. */
+  let nextOffset: Offset | undefined;
   let restarts = 0;
   let stopped = false;
   let pauseMs = times.initialRetryPauseMs;
@@ -53,7 +55,7 @@
    * returns changes; treating them as a snapshot would delete all keys that had not changed.
    */
   const handleBatch = (batch: KeyedBatch, from: Offset | undefined, restarted: boolean) => {
-    end = restarted ? undefined : batch.end;
+    nextOffset = restarted ? undefined : batch.end;
     pauseMs = times.initialRetryPauseMs;
     if (from === undefined) input.onSnapshot(batch);
     else if (batch.records.length > 0) input.onChanges(batch);
@@ -63,7 +65,7 @@
   const handleFailure = async (failure: LogFailure) => {
     // Truncated history is no outage: continue with a snapshot.
     if (failure.kind === "log_truncated") {
-      end = undefined;
+      nextOffset = undefined;
       return;
     }
     input.onRead(failure);
@@ -74,11 +76,11 @@
   const run = async () => {
     while (!stopped) {
       if (!input.isReader()) {
-        end = undefined;
+        nextOffset = undefined;
         await sleep(clock, readerCheckMs);
         continue;
       }
-      const from = end;
+      const from = nextOffset;
       const restartsBefore = restarts;
       const read = await (from === undefined ? port.newest() : port.changes(from, times.maxWaitMs));
       if (stopped) return;
@@ -98,7 +100,7 @@
     },
     restart: () => {
       restarts += 1;
-      end = undefined;
+      nextOffset = undefined;
     },
   };
 }
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -8,7 +8,7 @@
   ListedTarget,
   Milliseconds,
 } from "@linkfall/types";
-import { noLoad, applyHoldings, type TargetView, type TargetLoad } from "./target-view.js";
+import { applyHoldings, noLoad, type TargetLoad, type TargetView } from "./target-view.js";
 import {
   type FleetPolicies,
   type FleetState,
@@ -18,12 +18,12 @@
 import { keepPendingHoldings, viewForDirectReport, viewForRelayedReport } from "./incarnations.js";
 import { afterFailure, afterRefusedConnection, afterSuccess, isEjected } from "./health.js";
 import {
-  removeEntry,
-  expireMissing,
-  excludeUnreadable,
   applyEntry,
   applyList,
   disappearedInLapse,
+  excludeUnreadable,
+  expireMissing,
+  removeEntry,
 } from "./target-list.js";
 
 /** Tracks the targets of all services from the target list, direct and relayed reports, and request outcomes. */
@@ -34,7 +34,7 @@
   applyEntry(target: ListedTarget): void;
   /** Handles an entry that was deleted from the list. */
   removeEntry(id: string): void;
-  /** Handles an entry that can't be reported: its target gets no new requests; those in flight continue. */
+  /** Handles an entry that can't be read: its target gets no new requests; those in flight continue. */
   excludeUnreadable(id: string): void;
   /** Applies a state that the target itself reported `ageMs` ago. */
   applyState(id: string, state: EngineState, ageMs: Milliseconds): void;
@@ -68,7 +68,7 @@
   setEngineShapes(shapes: ReadonlyMap<string, EngineShape | undefined>): void;
   /** Ignores the models of the list while `fresh` returns true, in favour of the engines' own reports. */
   preferDirectReportsWhile(fresh: () => boolean): void;
-  /** Removes targets missing for longer than the grace period, which does not run while the store is unavailable or has only just returned. */
+  /** Removes targets missing for longer than the grace period, which does not run while the store is unsettled. */
   expireMissing(storeUnsettled: boolean): void;
 }
 
--- a/packages/fleet/src/health.ts
+++ b/packages/fleet/src/health.ts
@@ -3,7 +3,9 @@
 
 /** When a target is ejected, and for how long. */
 export interface EjectionPolicy {
+  /** Number of consecutive failures that eject a target. */
   readonly consecutiveFailures: number;
+  /** Time of the first ejection; doubles with each further one up to `maxMs`. */
   readonly initialMs: Milliseconds;
   readonly maxMs: Milliseconds;
 }
@@ -11,10 +13,12 @@
 /** A target's recent successes and failures, as observed by one box. */
 export interface Health {
   readonly consecutiveFailures: number;
+  /** Determines the next ejection time; grows with each ejection and shrinks with each success. */
   readonly ejections: number;
   readonly ejectedUntil: Milliseconds;
 }
 
+/** Health of a target without failures. */
 export const initialHealth: Health = { consecutiveFailures: 0, ejections: 0, ejectedUntil: 0 };
 
 /** Returns the health after a successful response. */
--- a/packages/fleet/src/incarnations.ts
+++ b/packages/fleet/src/incarnations.ts
@@ -3,7 +3,7 @@
  * new view, so that callers still holding the old one (a request or an order in flight) can't affect it.
  */
 import type { Holdings, ListedTarget, Milliseconds } from "@linkfall/types";
-import { createTargetView, applyHoldings, type TargetView } from "./target-view.js";
+import { applyHoldings, createTargetView, type TargetView } from "./target-view.js";
 import { type FleetState, notifyChange } from "./fleet-state.js";
 
 /** Source of a start time: the target list, the target's own state, or another box, whose report may be outdated. */
--- a/packages/fleet/src/target-list.ts
+++ b/packages/fleet/src/target-list.ts
@@ -1,12 +1,12 @@
 /** Applies the target list: adds, updates, marks as missing and removes targets. */
 import type { ListedTarget } from "@linkfall/types";
-import { createTargetView, applyListedModels, type TargetView } from "./target-view.js";
+import { applyListedModels, createTargetView, type TargetView } from "./target-view.js";
 import { type FleetState, notifyChange } from "./fleet-state.js";
 import {
+  applyPendingHoldings,
   isSameIncarnation,
-  viewForEntry,
   notifyIncarnationEnded,
-  applyPendingHoldings,
+  viewForEntry,
 } from "./incarnations.js";
 
 /** A single entry that disappears is no lapse, even of a service with few targets. */
@@ -88,7 +88,7 @@
 }
 
 /**
- * Whether the entry disappeared disappearedTogether with so many others of its service that the list itself is at fault. Only
+ * Whether the entry disappeared together with so many others of its service that the list itself is at fault. Only
  * entries that disappeared within the grace period of each other count.
  */
 export function disappearedInLapse(
--- a/packages/fleet/src/target-view.ts
+++ b/packages/fleet/src/target-view.ts
@@ -16,17 +16,19 @@
   readonly promptTokens: number;
 }
 
+/** Load of an idle target. */
 export const noLoad: TargetLoad = { inFlight: 0, promptTokens: 0 };
 
 /** Share of an engine's cache that the index assumes to hold prefixes. */
 const prefixCacheShare = 0.7;
+/** Cache size of targets without a known engine shape. */
 const defaultCacheTokens = 100_000;
 
 /** A target's refusal to serve a model that it was expected to have loaded. */
 export interface ModelRefusal {
   /** Sequence of the holdings that listed the model; newer holdings void the refusal. */
   readonly sequence: number;
-  /** Expiry time; Infinity where only newer holdings void the refusal. */
+  /** Expiry time; Infinity if only newer holdings void the refusal. */
   readonly until: Milliseconds;
 }
 
@@ -38,7 +40,7 @@
   born?: Milliseconds;
   /** When its entry disappeared; absent while it is listed. */
   unlistedAt?: Milliseconds;
-  /** Start of its grace period, which is moved on while the store is unavailable. */
+  /** Start of its grace period; reset while the store is unsettled. */
   missingSince?: Milliseconds;
   /** Newest known holdings; the sequence counts the orders that the target has accepted. */
   holdings: Holdings;
@@ -52,6 +54,7 @@
   ownLoad: TargetLoad;
   /** Load caused by the other boxes. */
   otherBoxesLoad: TargetLoad;
+  /** Failures and ejections. */
   health: Health;
   /** End of the back-off that the target asked for. */
   backOffUntil: Milliseconds;
@@ -59,6 +62,7 @@
   withheldModels: ReadonlySet<string>;
   /** Recent refusals, by model or `model/adapter`. */
   modelRefusals: Map<string, ModelRefusal>;
+  /** Prompt prefixes that are probably in the target's cache. */
   readonly prefixIndex: PrefixIndex;
 }
 
--- a/packages/order-lease/src/order-lease.steps.ts
+++ b/packages/order-lease/src/order-lease.steps.ts
@@ -12,7 +12,7 @@
 import { loggerName, recordingLogger } from "@linkfall/logger";
 import type { KeyedStreamPort } from "@linkfall/ports";
 import { createKeyedStore, type KeyedStore, type StoreAccess } from "@linkfall/test-support";
-import { createOrderLease, type LeasePeers, type LeaseOptions, type OrderLease } from "./index.js";
+import { createOrderLease, type LeaseOptions, type LeasePeers, type OrderLease } from "./index.js";
 
 const options: LeaseOptions = {
   enginesFence: false,
--- a/packages/order-lease/src/order-lease.ts
+++ b/packages/order-lease/src/order-lease.ts
@@ -7,7 +7,7 @@
 import { loggerName } from "@linkfall/logger";
 import type { KeyedBatch, KeyedStreamPort } from "@linkfall/ports";
 import type { Epoch, Incarnation, Milliseconds, Offset } from "@linkfall/types";
-import type { LeasePeers, LeaseOptions, OrderLease } from "./contract.js";
+import type { LeaseOptions, LeasePeers, OrderLease } from "./contract.js";
 
 const leaseKey = "orders";
 /** Marks a released lease in place of the holder. */
