--- a/packages/log-writer/src/index.ts
+++ b/packages/log-writer/src/index.ts
@@ -55,7 +55,7 @@
   const bucket = createTokenBucket(clock, { rate, burst: appendBurstSize });
   /** Effects observed so far of records that are being appended, by record id. */
   const effectsById = new Map<string, FoldEvent[]>();
-  let sequence = 0;
+  let lastSequenceNumber = 0;
   let queue: Promise<unknown> = Promise.resolve();
 
   store.onFold((event) => {
@@ -63,8 +63,8 @@
   });
 
   /** Whether the record has been folded, even if its effects were not observed. */
-  const isFolded = (number: number) =>
-    (store.state().writers.get(incarnation)?.highest ?? 0) >= number;
+  const isFolded = (sequenceNumber: number) =>
+    (store.state().writers.get(incarnation)?.highest ?? 0) >= sequenceNumber;
 
   const appendOnce = async (data: string): Promise<Either<LogFailure, Offset>> => {
     while (!bucket.take()) await sleep(clock, bucket.waitFor());
@@ -72,20 +72,24 @@
     return port.append(streams.state, data);
   };
 
-  const appendUntilFolded = async (data: string, number: number, deadline: Milliseconds) => {
+  const appendUntilFolded = async (
+    data: string,
+    sequenceNumber: number,
+    deadline: Milliseconds,
+  ) => {
     let retryWaitMs = initialRetryWaitMs;
     while (clock.now() < deadline) {
       const appended = await appendOnce(data);
       const read = await follower.catchUp();
-      if (isFolded(number)) return true;
-      // The log was read to its end without the record: the read had started before the append.
+      if (isFolded(sequenceNumber)) return true;
+      // Appended, but not read yet: the read may have started before the append.
       if (appended.isRight() && read.isRight()) {
         await follower.catchUp();
-        if (isFolded(number)) return true;
+        if (isFolded(sequenceNumber)) return true;
       }
       await sleep(clock, Math.max(0, Math.min(retryWaitMs, deadline - clock.now())));
       retryWaitMs = Math.min(maxRetryWaitMs, 2 * retryWaitMs);
-      if (isFolded(number)) return true;
+      if (isFolded(sequenceNumber)) return true;
     }
     return false;
   };
@@ -94,10 +98,10 @@
     createRecord: RecordFactory,
     deadline: Milliseconds,
   ): Promise<Either<AppendUnknown, readonly FoldEvent[]>> => {
-    const number = ++sequence;
-    const record = createRecord(`${incarnation}#${number}`);
+    const sequenceNumber = ++lastSequenceNumber;
+    const record = createRecord(`${incarnation}#${sequenceNumber}`);
     effectsById.set(record.id, []);
-    await appendUntilFolded(JSON.stringify(record), number, deadline);
+    await appendUntilFolded(JSON.stringify(record), sequenceNumber, deadline);
     const effects = effectsById.get(record.id) ?? [];
     effectsById.delete(record.id);
     // A folded record has no observed effects if the state was replaced meanwhile.
