--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -10,17 +10,17 @@
 import { desiredFeedName } from "@linkfall/desired-feed";
 import { fleetName } from "@linkfall/fleet";
 import type { ChangeWaiter } from "@linkfall/forwarding";
-import type { Wanted } from "@linkfall/model-demand";
+import type { RequestedWeights } from "@linkfall/model-demand";
 import { orderLeaseName } from "@linkfall/order-lease";
 import type { Milliseconds } from "@linkfall/types";
-import { orderGiverName } from "@linkfall/weight-orders";
+import { orderDispatcherName } from "@linkfall/weight-orders";
 import type { BoxParts } from "./box-parts.js";
 import { targetLimitsName } from "./provide-limits.js";
 import { hasWaiting, sumLoads } from "./box-loads.js";
 
 export interface HeartbeatReceiver {
   /** Time until weights are expected to be there, as the order giver told. */
-  expectedWeightsMs(wanted: Wanted): Milliseconds | undefined;
+  expectedWeightsMs(wanted: RequestedWeights): Milliseconds | undefined;
 }
 
 /** What was taken of the order giver's reports. */
@@ -96,7 +96,7 @@
   const { kernel, ports } = parts;
   const peers = kernel.find(peersName);
   const lease = kernel.find(orderLeaseName);
-  const giver = kernel.find(orderGiverName);
+  const giver = kernel.find(orderDispatcherName);
   const blame = kernel.find(crashBlameName);
   const targetLimits = kernel.find(targetLimitsName);
   const catchUp = createCatchUp(parts);
@@ -116,13 +116,13 @@
       takeReport(parts, knowledge, report);
       waiter.wake();
     }
-    if (givesOrders && hasWaiting(status)) giver.hurry();
+    if (givesOrders && hasWaiting(status)) giver.triggerCycle();
   });
 
   return {
     expectedWeightsMs({ service, model }) {
       const key = `${service} ${model}`;
-      if (lease.epoch() !== undefined) return giver.expected()[key];
+      if (lease.epoch() !== undefined) return giver.timesToReady()[key];
       const at = knowledge.expectedAt.get(key);
       return at === undefined ? undefined : Math.max(0, at - ports.clock.now());
     },
--- a/packages/forwarding/src/forward.ts
+++ b/packages/forwarding/src/forward.ts
@@ -195,7 +195,7 @@
   { route, service, terms }: ForwardedRequest,
 ): RequestDemand {
   const { perTokenMs } = costs.of(service.name, "");
-  return { objectiveMs: route.objectiveMs, readingMs: probablyUnread(terms) * perTokenMs };
+  return { objectiveMs: route.objectiveMs, prefillMs: probablyUnread(terms) * perTokenMs };
 }
 
 /** Takes a request to its end; the caller has its final answer when this resolves. */
@@ -209,7 +209,7 @@
   if (guilty?.go === "end") return guilty.end;
   const asksForWeights = terms.model !== undefined && service.engine !== undefined;
   const endDemand = asksForWeights
-    ? context.demand.begins(wantedOf(request), demandOf(context, request))
+    ? context.demand.recordRequest(wantedOf(request), demandOf(context, request))
     : () => undefined;
   let taken = await step(context, request);
   while (taken.go === "on") taken = await step(context, request);
--- a/packages/forwarding/src/forwarding.steps.ts
+++ b/packages/forwarding/src/forwarding.steps.ts
@@ -12,7 +12,7 @@
 import { loggerName, recordingLogger } from "@linkfall/logger";
 import { createTargetLimits, type PermitPeers } from "@linkfall/target-limits";
 import { createMetrics } from "@linkfall/metrics";
-import { createDemandMeter } from "@linkfall/model-demand";
+import { createModelDemandMeter } from "@linkfall/model-demand";
 import type { RawHeaders, RequestCodec } from "@linkfall/ports";
 import { createRetryBudget } from "@linkfall/retry-budget";
 import type { Milliseconds, Route, RoutedService } from "@linkfall/types";
@@ -120,7 +120,7 @@
     targetLimits: createTargetLimits(clock, oneBox, (id) => fleet.find(id)?.born),
     codec,
     fleet,
-    demand: createDemandMeter(clock),
+    demand: createModelDemandMeter(clock),
     waiter,
     domain: "d1",
     tellOfWait: () => undefined,
--- a/packages/pool-control/src/pool-control.ts
+++ b/packages/pool-control/src/pool-control.ts
@@ -28,7 +28,7 @@
   const ticking = new Set<PoolSession>();
 
   kernel.find(targetWatchName).onReport((watched) => {
-    for (const session of sessions.values()) session.takeReport(watched);
+    for (const session of sessions.values()) session.handleReport(watched);
   });
 
   /** Ends the sessions of leases that are gone, and starts one for each new lease. */
--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -23,7 +23,7 @@
   RoutedConfiguration,
 } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
-import { createOrderGiver, type OrderGiver } from "./index.js";
+import { createOrderDispatcher, type OrderDispatcher } from "./index.js";
 
 const service = "s";
 const modelMb = 100;
@@ -58,7 +58,7 @@
   readonly fates: Fate[];
   readonly refused: number[];
   readonly storeLoads: number[];
-  giver?: OrderGiver;
+  giver?: OrderDispatcher;
   epoch: number | undefined;
   demand: readonly ModelDemand[];
   perSecond: number;
@@ -256,22 +256,22 @@
     names,
     onDisk: names,
   };
-  scene.giver = createOrderGiver(kernel, {
+  scene.giver = createOrderDispatcher(kernel, {
     self: "b1",
     fleet,
     engines: portOf(scene),
-    takesPerSecond: () => undefined,
-    noteLimit: () => undefined,
+    maxRequestsPerSecond: () => undefined,
+    onLimitReported: () => undefined,
     lease: leaseOf(scene),
     configuration: () => configurationOf(scene),
     demand: () => scene.demand,
-    announce: () => undefined,
+    notifyPeers: () => undefined,
     rules: {
-      plan: { loadOfReplica: 0.6, horizonMs: 10_000 },
-      stateMs: 300,
-      busyStateMs: 60,
-      resendMs: 800,
-      giveUpMs: 8_000,
+      plan: { targetReplicaLoad: 0.6, horizonMs: 10_000 },
+      pollIntervalMs: 300,
+      activePollIntervalMs: 60,
+      resendAfterMs: 800,
+      moveTimeoutMs: 8_000,
     },
   });
   return scene;
@@ -508,7 +508,7 @@
   const scene = sceneOf(this);
   // The second copy began while the first was under way, so it is there later.
   assert.equal(scene.orders.filter(({ order }) => order.model === name).length, 2);
-  const expected = scene.giver?.expected()[`${service} ${name}`];
+  const expected = scene.giver?.timesToReady()[`${service} ${name}`];
   // Loads on engines at work are taken to last a little longer than declared.
   const overrun = 1.15;
   const first = Math.min(...scene.orders.map(({ at }) => at));
