--- a/packages/desired-diff/src/index.ts
+++ b/packages/desired-diff/src/index.ts
@@ -16,16 +16,16 @@
   readonly after: unknown;
 }
 
-/** What would become of one resource. */
+/** The difference of one resource. */
 export interface ResourceDiff {
   readonly subject: ResourceName;
   readonly action: "create" | "update" | "unchanged" | "delete";
-  /** Revision that the comparison is based on. */
+  /** Revision of the stored resource; 0 if there is none. */
   readonly base: Revision;
   readonly fields: readonly FieldChange[];
 }
 
-/** The differences, and the changes that make them. */
+/** The differences of all declared resources, and the changes that apply them. */
 export interface DesiredDiff {
   readonly diffs: readonly ResourceDiff[];
   readonly changes: readonly Change[];
@@ -38,7 +38,7 @@
     .map(([field, value]) => ({ field, before: old[field], after: value }));
 }
 
-function diffOne(stored: StoredResource | undefined, resource: Resource): ResourceDiff {
+function diffResource(stored: StoredResource | undefined, resource: Resource): ResourceDiff {
   const subject = { kind: resource.kind, name: resource.name };
   const fields = fieldChanges(stored?.resource, resource);
   const base = stored?.revision ?? 0;
@@ -46,7 +46,7 @@
   return { subject, action: fields.length === 0 ? "unchanged" : "update", base, fields };
 }
 
-/** Compares declared resources with stored ones; stored ones that are not declared stay. */
+/** Compares declared resources with stored ones; stored resources that are not declared are kept. */
 export function diffResources(
   declared: readonly Resource[],
   stored: readonly StoredResource[],
@@ -54,7 +54,7 @@
   const byKey = new Map(stored.map((entry) => [resourceKey(entry.resource), entry]));
   const pairs = declared.map((resource) => ({
     resource,
-    diff: diffOne(byKey.get(resourceKey(resource)), resource),
+    diff: diffResource(byKey.get(resourceKey(resource)), resource),
   }));
   const changes = pairs
     .filter(({ diff }) => diff.action !== "unchanged")
--- a/packages/desired-feed/src/configuration-holder.ts
+++ b/packages/desired-feed/src/configuration-tracker.ts
@@ -1,4 +1,4 @@
-/** Holds the newest configuration. A version never goes back, and a broken record changes nothing. */
+/** Tracks the active configuration. Older versions and invalid records are ignored. */
 import { createKeyTable, type KeyTable } from "@linkfall/account-keys";
 import type { ConfigurationCopy } from "@linkfall/box-peers";
 import { describeProblems } from "@linkfall/errors";
@@ -9,25 +9,29 @@
 import { createRouteTable, type RouteTable } from "@linkfall/route-table";
 import type { Milliseconds, RoutedConfiguration } from "@linkfall/types";
 
-/** One configuration with the table that is built of it. */
-export interface ConfigurationInForce {
+/** A configuration with the tables built from it. */
+export interface ActiveConfiguration {
   readonly configuration: RoutedConfiguration;
   readonly routes: RouteTable;
-  /** Absent where callers need no keys. */
+  /** Absent if callers need no keys. */
   readonly keys?: KeyTable;
-  readonly since: Milliseconds;
+  /** When this box activated the configuration. */
+  readonly activeSince: Milliseconds;
 }
 
-export interface ConfigurationHolder {
-  inForce(): ConfigurationInForce | undefined;
-  /** -1 before the first. */
+/** Holds the newest valid configuration. */
+export interface ConfigurationTracker {
+  active(): ActiveConfiguration | undefined;
+  /** Version of the active configuration; -1 if there is none. */
   version(): number;
+  /** Returns the active configuration as it is stored, for other boxes. */
   copy(): ConfigurationCopy;
-  /** Takes a record as the store gave it, read here or by another box. */
-  take(text: string, from: "store" | "box"): void;
+  /** Activates a stored record, read by this box or received from another one, if it is valid and newer. */
+  apply(text: string, from: "store" | "box"): void;
 }
 
-export interface ConfigurationHolderInput {
+/** Dependencies of the tracker. */
+export interface ConfigurationTrackerInput {
   readonly codec: RecordCodec;
   readonly fleet: Fleet;
   readonly configurationKey: string;
@@ -35,28 +39,29 @@
 
 const noVersion = -1;
 
-export function createConfigurationHolder(
+/** Creates a tracker without an active configuration. */
+export function createConfigurationTracker(
   clock: Clock,
   logger: Logger,
-  { codec, fleet, configurationKey }: ConfigurationHolderInput,
-): ConfigurationHolder {
-  let inForce: ConfigurationInForce | undefined;
-  let inForceText: string | undefined;
-  const version = () => inForce?.configuration.version ?? noVersion;
+  { codec, fleet, configurationKey }: ConfigurationTrackerInput,
+): ConfigurationTracker {
+  let active: ActiveConfiguration | undefined;
+  let activeText: string | undefined;
+  const version = () => active?.configuration.version ?? noVersion;
 
-  const putInForce = (configuration: RoutedConfiguration, text: string, from: string) => {
+  const activate = (configuration: RoutedConfiguration, text: string, from: string) => {
     if (configuration.version <= version()) return;
-    inForce = {
+    active = {
       configuration,
       routes: createRouteTable(configuration),
       keys: configuration.accounts && createKeyTable(configuration.accounts),
-      since: clock.now(),
+      activeSince: clock.now(),
     };
-    inForceText = text;
+    activeText = text;
     const shapes = [...configuration.services.values()].map(
       (service) => [service.name, service.engine] as const,
     );
-    fleet.setEngines(new Map(shapes));
+    fleet.setEngineShapes(new Map(shapes));
     logger.event("configurationInForce", {
       version: configuration.version,
       routes: configuration.routes.length,
@@ -66,16 +71,16 @@
   };
 
   return {
-    inForce: () => inForce,
+    active: () => active,
     version,
-    copy: () => ({ version: version(), text: inForceText }),
-    take(text, from) {
+    copy: () => ({ version: version(), text: activeText }),
+    apply(text, from) {
       codec.configuration(text).caseOf({
         Left: (invalid) => {
           const problem = describeProblems(invalid);
           logger.event("badRecord", { key: configurationKey, problem });
         },
-        Right: (configuration) => putInForce(configuration, text, from),
+        Right: (configuration) => activate(configuration, text, from),
       });
     },
   };
--- /dev/null
+++ b/packages/desired-feed/src/stream-follower.ts
@@ -0,0 +1,106 @@
+/** Follows one keyed stream: reads a snapshot of its newest records first, then each change. */
+import type { LogFailure } from "@linkfall/errors";
+import { type Clock, sleep } from "@linkfall/kernel";
+import type { KeyedBatch, KeyedStreamPort } from "@linkfall/ports";
+import type { Milliseconds, Offset } from "@linkfall/types";
+
+/** Timing of a stream follower. */
+export interface StreamFollowerTimes {
+  /** Maximum time that one read waits for a change. */
+  readonly maxWaitMs: Milliseconds;
+  /** Pause after a read with changes, which combines later changes into one read. */
+  readonly coalesceMs: Milliseconds;
+  /** Pause after a failed read; doubles with each further failure up to `maxRetryPauseMs`. */
+  readonly initialRetryPauseMs: Milliseconds;
+  readonly maxRetryPauseMs: Milliseconds;
+}
+
+/** Reads one keyed stream in a loop. */
+export interface StreamFollower {
+  start(): void;
+  stop(): void;
+  /** Restarts with a snapshot, after another box has sent later records. */
+  restart(): void;
+}
+
+/** Dependencies and callbacks of a stream follower. */
+interface StreamFollowerInput {
+  readonly clock: Clock;
+  readonly port: KeyedStreamPort;
+  readonly times: StreamFollowerTimes;
+  /** Whether this box currently reads the stream itself. */
+  isReader(): boolean;
+  /** Handles the newest record of every key; absent keys are deleted. */
+  onSnapshot(batch: KeyedBatch): void;
+  /** Handles changes in offset order. */
+  onChanges(batch: KeyedBatch): void;
+  /** Handles the failure of a read, or `undefined` after a successful one. */
+  onRead(failure?: LogFailure): void;
+}
+
+/** Interval at which a box that does not read the stream checks whether it has become a reader. */
+const readerCheckMs: Milliseconds = 150;
+
+/** Creates a stopped follower. */
+export function createStreamFollower(input: StreamFollowerInput): StreamFollower {
+  const { clock, port, times } = input;
+  /** Offset of the next read; undefined if it reads a snapshot. */
+  let nextOffset: Offset | undefined;
+  let restarts = 0;
+  let stopped = false;
+  let pauseMs = times.initialRetryPauseMs;
+
+  /**
+   * Handles the result of a read that started at `from`, undefined for a snapshot. A read that started before a restart still
+   * returns changes; treating them as a snapshot would delete all keys that had not changed.
+   */
+  const handleBatch = (batch: KeyedBatch, from: Offset | undefined, restarted: boolean) => {
+    nextOffset = restarted ? undefined : batch.end;
+    pauseMs = times.initialRetryPauseMs;
+    if (from === undefined) input.onSnapshot(batch);
+    else if (batch.records.length > 0) input.onChanges(batch);
+    input.onRead();
+  };
+
+  const handleFailure = async (failure: LogFailure) => {
+    // Truncated history is no outage: continue with a snapshot.
+    if (failure.kind === "log_truncated") {
+      nextOffset = undefined;
+      return;
+    }
+    input.onRead(failure);
+    await sleep(clock, pauseMs);
+    pauseMs = Math.min(times.maxRetryPauseMs, pauseMs * 2);
+  };
+
+  const run = async () => {
+    while (!stopped) {
+      if (!input.isReader()) {
+        nextOffset = undefined;
+        await sleep(clock, readerCheckMs);
+        continue;
+      }
+      const from = nextOffset;
+      const restartsBefore = restarts;
+      const read = await (from === undefined ? port.newest() : port.changes(from, times.maxWaitMs));
+      if (stopped) return;
+      await read.caseOf<Promise<void> | void>({
+        Left: handleFailure,
+        Right: (batch) => handleBatch(batch, from, restarts !== restartsBefore),
+      });
+      const changed = read.map((batch) => batch.records.length > 0).orDefault(false);
+      if (changed && times.coalesceMs > 0) await sleep(clock, times.coalesceMs);
+    }
+  };
+
+  return {
+    start: () => void run(),
+    stop: () => {
+      stopped = true;
+    },
+    restart: () => {
+      restarts += 1;
+      nextOffset = undefined;
+    },
+  };
+}
--- a/packages/fleet/src/fleet-state.ts
+++ b/packages/fleet/src/fleet-state.ts
@@ -1,43 +1,46 @@
-/** What the steps of the fleet share. */
+/** State shared by the modules of the fleet. */
 import type { Clock } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
 import type { EngineShape, Holdings, Milliseconds } from "@linkfall/types";
-import type { TargetBelief } from "./belief.js";
-import type { EjectionRule } from "./health.js";
+import type { TargetView } from "./target-view.js";
+import type { EjectionPolicy } from "./health.js";
 
-/** How long a target whose entry lapsed goes on being believed in. */
-export interface LapseRule {
-  /** After the store has come back, or after a lapse of many entries at once. */
+/** How long targets are kept after their entries disappear from the list. */
+export interface LapsePolicy {
+  /** Grace period after an entry disappears, or after the store is reachable again. */
   readonly graceMs: Milliseconds;
-  /** Share of a service's entries that go within the grace to be taken for a lapse. */
-  readonly share: number;
+  /** Share of a service's entries, 0 to 1, that must disappear within the grace period to count as a lapse of the list. */
+  readonly minShare: number;
 }
 
-export interface FleetRules {
-  readonly lapse: LapseRule;
-  readonly ejection: EjectionRule;
+/** Settings of the fleet. */
+export interface FleetPolicies {
+  readonly lapse: LapsePolicy;
+  readonly ejection: EjectionPolicy;
 }
 
+/** Mutable state of one fleet. */
 export interface FleetState {
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly rules: FleetRules;
-  readonly beliefs: Map<string, TargetBelief>;
-  /** Holdings that were told of before their target, or its life, was listed here. */
-  readonly early: Map<string, Holdings>;
-  readonly listeners: (() => void)[];
-  /** Called with the id of a target that is gone or has started again. */
-  readonly lifeListeners: ((id: string) => void)[];
-  engines: ReadonlyMap<string, EngineShape | undefined>;
-  /** Whether engines' own word is fresh, so that the list is not believed about models. */
-  ownWord: () => boolean;
+  readonly policies: FleetPolicies;
+  readonly targets: Map<string, TargetView>;
+  /** Relayed holdings of targets, or of incarnations, that are not listed yet, by target id. */
+  readonly pendingHoldings: Map<string, Holdings>;
+  readonly changeListeners: (() => void)[];
+  /** Called with the id of a target that is gone or has restarted. */
+  readonly incarnationListeners: ((id: string) => void)[];
+  engineShapes: ReadonlyMap<string, EngineShape | undefined>;
+  /** Whether the engines' own reports are up to date, in which case the models of the list are ignored. */
+  hasDirectReports: () => boolean;
 }
 
-/** Tells that something changed that may let a waiting request go on. */
-export function noteChange(state: FleetState): void {
-  for (const listener of state.listeners) listener();
+/** Notifies listeners of a change that may allow a waiting request to proceed. */
+export function notifyChange(state: FleetState): void {
+  for (const listener of state.changeListeners) listener();
 }
 
-export function targetsOf(state: FleetState, service: string): readonly TargetBelief[] {
-  return [...state.beliefs.values()].filter((belief) => belief.listed.service === service);
+/** Returns the targets of a service, listed or missing. */
+export function targetsOfService(state: FleetState, service: string): readonly TargetView[] {
+  return [...state.targets.values()].filter((target) => target.listed.service === service);
 }
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -1,4 +1,4 @@
-/** The targets as one box believes them to be: listed, lapsed or gone, what they hold, their load. */
+/** One box's view of the targets: which are listed, what they have loaded, their load and health. */
 import { clockName, type Kernel, serviceName } from "@linkfall/kernel";
 import { loggerName } from "@linkfall/logger";
 import type {
@@ -8,174 +8,204 @@
   ListedTarget,
   Milliseconds,
 } from "@linkfall/types";
-import { noLoad, takeHoldings, type TargetBelief, type TargetLoad } from "./belief.js";
-import { type FleetRules, type FleetState, noteChange, targetsOf } from "./fleet-state.js";
-import { keepEarly, lifeOfOwnWord, lifeOfTold } from "./lives.js";
+import { applyHoldings, noLoad, type TargetLoad, type TargetView } from "./target-view.js";
+import {
+  type FleetPolicies,
+  type FleetState,
+  notifyChange,
+  targetsOfService,
+} from "./fleet-state.js";
+import { keepPendingHoldings, viewForDirectReport, viewForRelayedReport } from "./incarnations.js";
 import { afterFailure, afterRefusedConnection, afterSuccess, isEjected } from "./health.js";
 import {
-  dropEntry,
-  expireLapsed,
-  leaveAlone,
-  takeEntry,
-  takeList,
-  wentInLapse,
-} from "./listing.js";
+  applyEntry,
+  applyList,
+  disappearedInLapse,
+  excludeUnreadable,
+  expireMissing,
+  removeEntry,
+} from "./target-list.js";
 
+/** Tracks the targets of all services from the target list, direct and relayed reports, and request outcomes. */
 export interface Fleet {
-  /** Takes the whole list; targets that it lacks have lapsed or are gone. */
-  takeList(list: readonly ListedTarget[]): void;
-  takeEntry(target: ListedTarget): void;
-  /** Takes that an entry has gone from the list. */
-  dropEntry(id: string): void;
-  /** Takes that an entry can't be read: its target is left alone, and what runs there ends well. */
-  leaveAlone(id: string): void;
-  takeState(id: string, state: EngineState, ageMs: Milliseconds): void;
-  /** Takes what the holder of the order lease tells, also of a target that is not listed here yet. */
-  takeHoldings(id: string, holdings: Holdings): void;
-  /** Requests of the other boxes, by target. */
-  takeOthers(loads: ReadonlyMap<string, TargetLoad>): void;
-  withhold(models: ReadonlyMap<string, readonly string[]>): void;
-  /** Notes that a target refused to serve weights; for `forMs`, or until it has taken an order. */
-  deny(id: string, key: string, forMs?: Milliseconds): void;
-  /** Notes that a target has asked for no requests for a time. */
+  /** Applies the complete list; targets that it lacks become missing. */
+  applyList(list: readonly ListedTarget[]): void;
+  /** Applies one new or changed entry. */
+  applyEntry(target: ListedTarget): void;
+  /** Handles an entry that was deleted from the list. */
+  removeEntry(id: string): void;
+  /** Handles an entry that can't be read: its target gets no new requests; those in flight continue. */
+  excludeUnreadable(id: string): void;
+  /** Applies a state that the target itself reported `ageMs` ago. */
+  applyState(id: string, state: EngineState, ageMs: Milliseconds): void;
+  /** Applies holdings relayed by the lease holder, also of a target that is not listed here yet. */
+  applyRelayedHoldings(id: string, holdings: Holdings): void;
+  /** Replaces the load caused by other boxes, by target id. */
+  setOtherBoxesLoads(loads: ReadonlyMap<string, TargetLoad>): void;
+  /** Replaces the models about to be unloaded, by target id; they get no new requests. */
+  setWithheldModels(models: ReadonlyMap<string, readonly string[]>): void;
+  /** Records that a target refused to serve a model (`model` or `model/adapter`), for `forMs` or until newer holdings. */
+  recordModelRefusal(id: string, key: string, forMs?: Milliseconds): void;
+  /** Sends the target no new requests for `forMs`, as it asked; the time is capped. */
   backOff(id: string, forMs: Milliseconds): void;
-  succeeded(id: string): void;
-  failed(id: string, reason: string): void;
-  /** Notes that nobody, or somebody else, listens at the target's address. */
-  unreachable(id: string, reason: string): void;
-  find(id: string): TargetBelief | undefined;
-  all(): readonly TargetBelief[];
-  /** Targets of a service that may get new requests. */
-  usable(service: string): readonly TargetBelief[];
-  /** Calls the listener with the id of a target whose life has ended here: it is gone, or has started again. */
-  onLifeEnded(listener: (id: string) => void): void;
-  /** Calls the listener after each change that may let a waiting request go on. */
+  /** Records a successful response. */
+  recordSuccess(id: string): void;
+  /** Records a failure caused by the target, and ejects it after too many in a row. */
+  recordFailure(id: string, reason: string): void;
+  /** Records that the target is not listening at its address, and ejects it. */
+  recordUnreachable(id: string, reason: string): void;
+  /** Returns the target, also while it is missing from the list. */
+  find(id: string): TargetView | undefined;
+  /** Returns all targets, listed or missing. */
+  all(): readonly TargetView[];
+  /** Returns the targets of a service that may get new requests. */
+  usableTargets(service: string): readonly TargetView[];
+  /** Calls the listener with the id of a target that is gone or has restarted. */
+  onIncarnationEnded(listener: (id: string) => void): void;
+  /** Calls the listener after each change that may allow a waiting request to proceed. */
   onChange(listener: () => void): void;
-  setEngines(shapes: ReadonlyMap<string, EngineShape | undefined>): void;
-  /** Tells when the list is to be believed about models: never while engines' own word is fresh. */
-  trustOwnWord(fresh: () => boolean): void;
-  /** Removes targets whose lapse has lasted longer than the grace. */
-  expireLapsed(storeDisturbed: boolean): void;
+  /** Sets the engine shapes by service; undefined for a service without engines. */
+  setEngineShapes(shapes: ReadonlyMap<string, EngineShape | undefined>): void;
+  /** Ignores the models of the list while `fresh` returns true, in favour of the engines' own reports. */
+  preferDirectReportsWhile(fresh: () => boolean): void;
+  /** Removes targets missing for longer than the grace period, which does not run while the store is unsettled. */
+  expireMissing(storeUnsettled: boolean): void;
 }
 
+/** Name of the fleet in the kernel. */
 export const fleetName = serviceName<Fleet>("fleet");
 
-/** Notes a failure, and leaves the target out where that makes too many. */
-function worsen(state: FleetState, id: string, reason: string, after: typeof afterFailure): void {
-  const { clock, logger, rules } = state;
-  const belief = state.beliefs.get(id);
-  if (!belief) return;
-  const before = belief.health;
-  belief.health = after(before, rules.ejection, clock.now());
-  if (belief.health.ejections === before.ejections) return;
-  const forMs = Math.round(belief.health.ejectedUntil - clock.now());
+/** Updates the target's health after a failure, and logs an ejection. */
+function updateHealth(
+  state: FleetState,
+  id: string,
+  reason: string,
+  nextHealth: typeof afterFailure,
+): void {
+  const { clock, logger, policies } = state;
+  const target = state.targets.get(id);
+  if (!target) return;
+  const before = target.health;
+  target.health = nextHealth(before, policies.ejection, clock.now());
+  if (target.health.ejections === before.ejections) return;
+  const forMs = Math.round(target.health.ejectedUntil - clock.now());
   logger.event("targetEjected", { target: id, reason, forMs });
-  clock.after(forMs, () => noteChange(state));
+  clock.after(forMs, () => notifyChange(state));
 }
 
-function takeState(state: FleetState, id: string, read: EngineState, ageMs: Milliseconds): void {
-  const known = state.beliefs.get(id);
+function applyState(
+  state: FleetState,
+  id: string,
+  reported: EngineState,
+  ageMs: Milliseconds,
+): void {
+  const known = state.targets.get(id);
   const now = state.clock.now();
   const at = now - ageMs;
-  if (!known || at <= known.stateAt) return;
-  const belief = lifeOfOwnWord(state, known, read);
-  belief.state = read;
-  belief.stateAt = at;
-  if (takeHoldings(belief, read, now)) noteChange(state);
+  if (!known || at <= known.stateReadAt) return;
+  const target = viewForDirectReport(state, known, reported);
+  target.state = reported;
+  target.stateReadAt = at;
+  if (applyHoldings(target, reported, now)) notifyChange(state);
 }
 
-function takeTold(state: FleetState, id: string, holdings: Holdings): void {
-  const known = state.beliefs.get(id);
-  if (!known) return keepEarly(state, id, holdings);
-  const belief = lifeOfTold(state, known, holdings);
-  if (belief && takeHoldings(belief, holdings, state.clock.now())) noteChange(state);
+function applyRelayedHoldings(state: FleetState, id: string, holdings: Holdings): void {
+  const known = state.targets.get(id);
+  if (!known) return keepPendingHoldings(state, id, holdings);
+  const target = viewForRelayedReport(state, known, holdings);
+  if (target && applyHoldings(target, holdings, state.clock.now())) notifyChange(state);
 }
 
-function withhold(state: FleetState, models: ReadonlyMap<string, readonly string[]>): void {
-  let freed = false;
-  for (const belief of state.beliefs.values()) {
-    const withheld = new Set(models.get(belief.listed.id) ?? []);
-    if (withheld.size < belief.withheld.size) freed = true;
-    belief.withheld = withheld;
+function setWithheldModels(
+  state: FleetState,
+  models: ReadonlyMap<string, readonly string[]>,
+): void {
+  let anyReleased = false;
+  for (const target of state.targets.values()) {
+    const withheld = new Set(models.get(target.listed.id) ?? []);
+    if (withheld.size < target.withheldModels.size) anyReleased = true;
+    target.withheldModels = withheld;
   }
-  if (freed) noteChange(state);
+  if (anyReleased) notifyChange(state);
 }
 
-function deny(state: FleetState, id: string, key: string, forMs: Milliseconds): void {
-  const belief = state.beliefs.get(id);
-  if (!belief) return;
-  const { sequence } = belief.holdings;
-  belief.denied.set(key, { sequence, until: state.clock.now() + forMs });
-  if (Number.isFinite(forMs)) state.clock.after(forMs, () => noteChange(state));
+function recordModelRefusal(state: FleetState, id: string, key: string, forMs: Milliseconds): void {
+  const target = state.targets.get(id);
+  if (!target) return;
+  const { sequence } = target.holdings;
+  target.modelRefusals.set(key, { sequence, until: state.clock.now() + forMs });
+  if (Number.isFinite(forMs)) state.clock.after(forMs, () => notifyChange(state));
 }
 
-/** Longest back-off, whatever a target asks for: nobody learns that it has recovered while it gets no requests. */
-const longestBackOffMs: Milliseconds = 10_000;
+/** Upper bound of a back-off: the target's recovery is only observed through requests. */
+const maxBackOffMs: Milliseconds = 10_000;
 
-function backOff(state: FleetState, id: string, askedMs: Milliseconds): void {
-  const belief = state.beliefs.get(id);
-  if (!belief) return;
-  const forMs = Math.min(askedMs, longestBackOffMs);
-  belief.backOffUntil = Math.max(belief.backOffUntil, state.clock.now() + forMs);
-  state.clock.after(forMs, () => noteChange(state));
+function backOff(state: FleetState, id: string, requestedMs: Milliseconds): void {
+  const target = state.targets.get(id);
+  if (!target) return;
+  const forMs = Math.min(requestedMs, maxBackOffMs);
+  target.backOffUntil = Math.max(target.backOffUntil, state.clock.now() + forMs);
+  state.clock.after(forMs, () => notifyChange(state));
 }
 
-function usable(state: FleetState, service: string): readonly TargetBelief[] {
+function usableTargets(state: FleetState, service: string): readonly TargetView[] {
   const now = state.clock.now();
-  const targets = targetsOf(state, service);
-  const staying = targets.filter((belief) => !belief.listed.leaving);
-  const isListed = (belief: TargetBelief) =>
-    belief.wentAt === undefined || wentInLapse(state, belief, targets);
-  const sound = staying.filter(
-    (belief) => isListed(belief) && !isEjected(belief.health, now) && now >= belief.backOffUntil,
+  const targets = targetsOfService(state, service);
+  const staying = targets.filter((target) => !target.listed.leaving);
+  const isListed = (target: TargetView) =>
+    target.unlistedAt === undefined || disappearedInLapse(state, target, targets);
+  const available = staying.filter(
+    (target) => isListed(target) && !isEjected(target.health, now) && now >= target.backOffUntil,
   );
-  // With nothing else left, a target that was left out is better than none.
-  return sound.length > 0 ? sound : staying;
+  // If no target is available, an ejected or missing one is better than none.
+  return available.length > 0 ? available : staying;
 }
 
-export function createFleet(kernel: Kernel, rules: FleetRules): Fleet {
+/** Creates a fleet without targets. */
+export function createFleet(kernel: Kernel, policies: FleetPolicies): Fleet {
   const state: FleetState = {
     clock: kernel.find(clockName),
     logger: kernel.find(loggerName),
-    rules,
-    beliefs: new Map(),
-    early: new Map(),
-    listeners: [],
-    lifeListeners: [],
-    engines: new Map(),
-    ownWord: () => false,
+    policies,
+    targets: new Map(),
+    pendingHoldings: new Map(),
+    changeListeners: [],
+    incarnationListeners: [],
+    engineShapes: new Map(),
+    hasDirectReports: () => false,
   };
-  const { beliefs, listeners } = state;
+  const { targets, changeListeners } = state;
   return {
-    takeList: (list) => takeList(state, list),
-    takeEntry: (target) => takeEntry(state, target),
-    dropEntry: (id) => dropEntry(state, id),
-    leaveAlone: (id) => leaveAlone(state, id),
-    takeState: (id, read, ageMs) => takeState(state, id, read, ageMs),
-    takeHoldings: (id, holdings) => takeTold(state, id, holdings),
-    takeOthers(loads) {
-      for (const belief of beliefs.values()) belief.others = loads.get(belief.listed.id) ?? noLoad;
+    applyList: (list) => applyList(state, list),
+    applyEntry: (target) => applyEntry(state, target),
+    removeEntry: (id) => removeEntry(state, id),
+    excludeUnreadable: (id) => excludeUnreadable(state, id),
+    applyState: (id, reported, ageMs) => applyState(state, id, reported, ageMs),
+    applyRelayedHoldings: (id, holdings) => applyRelayedHoldings(state, id, holdings),
+    setOtherBoxesLoads(loads) {
+      for (const target of targets.values())
+        target.otherBoxesLoad = loads.get(target.listed.id) ?? noLoad;
     },
-    withhold: (models) => withhold(state, models),
-    deny: (id, key, forMs = Infinity) => deny(state, id, key, forMs),
+    setWithheldModels: (models) => setWithheldModels(state, models),
+    recordModelRefusal: (id, key, forMs = Infinity) => recordModelRefusal(state, id, key, forMs),
     backOff: (id, forMs) => backOff(state, id, forMs),
-    succeeded(id) {
-      const belief = beliefs.get(id);
-      if (belief) belief.health = afterSuccess(belief.health);
+    recordSuccess(id) {
+      const target = targets.get(id);
+      if (target) target.health = afterSuccess(target.health);
     },
-    failed: (id, reason) => worsen(state, id, reason, afterFailure),
-    unreachable: (id, reason) => worsen(state, id, reason, afterRefusedConnection),
-    find: (id) => beliefs.get(id),
-    all: () => [...beliefs.values()],
-    usable: (service) => usable(state, service),
-    onLifeEnded: (listener) => void state.lifeListeners.push(listener),
-    onChange: (listener) => void listeners.push(listener),
-    setEngines(shapes) {
-      state.engines = shapes;
+    recordFailure: (id, reason) => updateHealth(state, id, reason, afterFailure),
+    recordUnreachable: (id, reason) => updateHealth(state, id, reason, afterRefusedConnection),
+    find: (id) => targets.get(id),
+    all: () => [...targets.values()],
+    usableTargets: (service) => usableTargets(state, service),
+    onIncarnationEnded: (listener) => void state.incarnationListeners.push(listener),
+    onChange: (listener) => void changeListeners.push(listener),
+    setEngineShapes(shapes) {
+      state.engineShapes = shapes;
     },
-    trustOwnWord(fresh) {
-      state.ownWord = fresh;
+    preferDirectReportsWhile(fresh) {
+      state.hasDirectReports = fresh;
     },
-    expireLapsed: (storeDisturbed) => expireLapsed(state, storeDisturbed),
+    expireMissing: (storeUnsettled) => expireMissing(state, storeUnsettled),
   };
 }
--- /dev/null
+++ b/packages/fleet/src/target-list.ts
@@ -0,0 +1,121 @@
+/** Applies the target list: adds, updates, marks as missing and removes targets. */
+import type { ListedTarget } from "@linkfall/types";
+import { applyListedModels, createTargetView, type TargetView } from "./target-view.js";
+import { type FleetState, notifyChange } from "./fleet-state.js";
+import {
+  applyPendingHoldings,
+  isSameIncarnation,
+  notifyIncarnationEnded,
+  viewForEntry,
+} from "./incarnations.js";
+
+/** A single entry that disappears is no lapse, even of a service with few targets. */
+const minLapsedEntries = 2;
+
+function addTarget(state: FleetState, listed: ListedTarget): void {
+  const { targets, engineShapes, clock, logger } = state;
+  const shape = engineShapes.get(listed.service);
+  const target = createTargetView(listed, listed.born, shape, clock.now());
+  targets.set(listed.id, target);
+  applyPendingHoldings(state, target);
+  logger.event("targetSeen", {
+    target: listed.id,
+    service: listed.service,
+    address: listed.address,
+  });
+}
+
+function updateTarget(state: FleetState, listed: ListedTarget): void {
+  const known = state.targets.get(listed.id);
+  if (!known) return addTarget(state, listed);
+  const target = viewForEntry(state, known, listed);
+  target.unlistedAt = undefined;
+  target.missingSince = undefined;
+  // An entry of an earlier incarnation does not apply to the current one.
+  if (!isSameIncarnation(listed.born, target.born)) return;
+  if (listed.leaving && !target.listed.leaving) {
+    state.logger.event("targetLeaving", { target: listed.id, service: listed.service });
+  }
+  // A leaving target stays so for the rest of its incarnation.
+  const wasLeaving = target.listed.leaving && isSameIncarnation(listed.born, target.listed.born);
+  target.listed = { ...listed, leaving: listed.leaving || wasLeaving };
+  target.born ??= listed.born;
+  if (!state.hasDirectReports()) applyListedModels(target, state.clock.now());
+}
+
+function removeTarget(state: FleetState, target: TargetView, why: string): void {
+  const { id } = target.listed;
+  state.targets.delete(id);
+  state.logger.event("targetGone", { target: id, why });
+  notifyIncarnationEnded(state, id);
+}
+
+/** Removes a target whose entry can't be read; it is added again with its next valid entry. */
+export function excludeUnreadable(state: FleetState, id: string): void {
+  const target = state.targets.get(id);
+  if (target) removeTarget(state, target, "entry can't be read");
+}
+
+function markMissing({ clock, logger }: FleetState, target: TargetView): void {
+  if (target.missingSince !== undefined) return;
+  target.unlistedAt = clock.now();
+  target.missingSince = target.unlistedAt;
+  logger.event("targetMissing", { target: target.listed.id, service: target.listed.service });
+}
+
+/** Applies the complete list; targets that it lacks become missing. */
+export function applyList(state: FleetState, list: readonly ListedTarget[]): void {
+  const ids = new Set(list.map((target) => target.id));
+  for (const target of list) updateTarget(state, target);
+  for (const target of state.targets.values()) {
+    if (!ids.has(target.listed.id)) markMissing(state, target);
+  }
+  notifyChange(state);
+}
+
+/** Applies one new or changed entry. */
+export function applyEntry(state: FleetState, target: ListedTarget): void {
+  updateTarget(state, target);
+  notifyChange(state);
+}
+
+/** Handles a deleted entry: a leaving target is removed, any other becomes missing. */
+export function removeEntry(state: FleetState, id: string): void {
+  const target = state.targets.get(id);
+  if (!target) return;
+  if (target.listed.leaving) removeTarget(state, target, "left");
+  else markMissing(state, target);
+}
+
+/**
+ * Whether the entry disappeared together with so many others of its service that the list itself is at fault. Only
+ * entries that disappeared within the grace period of each other count.
+ */
+export function disappearedInLapse(
+  { policies }: FleetState,
+  { unlistedAt }: TargetView,
+  targets: readonly TargetView[],
+): boolean {
+  if (unlistedAt === undefined) return false;
+  const { graceMs, minShare } = policies.lapse;
+  const disappearedTogether = targets.filter(
+    (other) => other.unlistedAt !== undefined && Math.abs(other.unlistedAt - unlistedAt) <= graceMs,
+  );
+  return (
+    disappearedTogether.length >= minLapsedEntries &&
+    disappearedTogether.length >= targets.length * minShare
+  );
+}
+
+/** Removes targets that have been missing for longer than the grace period. */
+export function expireMissing(state: FleetState, storeUnsettled: boolean): void {
+  const now = state.clock.now();
+  for (const target of [...state.targets.values()]) {
+    if (target.missingSince === undefined) continue;
+    // Entries can't be renewed while the store is unavailable: the grace period starts when it is back.
+    if (storeUnsettled) target.missingSince = now;
+    else if (now - target.missingSince > state.policies.lapse.graceMs) {
+      removeTarget(state, target, "not listed again");
+    }
+  }
+}
--- a/packages/followed-news/src/index.ts
+++ b/packages/followed-news/src/index.ts
@@ -1,24 +1,26 @@
-/** How far one box has followed the news of each other one. News are numbered by the box that tells them. */
+/** Tracks the latest update received from each other box. Updates are numbered by their sender. */
 import type { Incarnation } from "@linkfall/types";
 
-export interface FollowedNews {
-  /** Number of the newest news that was taken from the other box; 0 before the first. */
-  of(other: Incarnation): number;
-  note(other: Incarnation, number: number): void;
+/** Latest received update numbers, by the sender's incarnation. */
+export interface ReceivedUpdates {
+  /** Returns the number of the latest update received from the sender; 0 before the first. */
+  latestFrom(sender: Incarnation): number;
+  /** Records the number of an update received from the sender. */
+  record(sender: Incarnation, number: number): void;
 }
 
-/** Starts of boxes that are followed; the oldest are let go of first. */
-const mostFollowed = 2_000;
+/** Limit of tracked incarnations; the least recently updated are dropped. */
+const maxTrackedIncarnations = 2_000;
 
-/** Creates a record that has followed nobody. */
-export function createFollowedNews(): FollowedNews {
+/** Creates a tracker without received updates. */
+export function createReceivedUpdates(): ReceivedUpdates {
   const numbers = new Map<Incarnation, number>();
   return {
-    of: (other) => numbers.get(other) ?? 0,
-    note(other, number) {
-      numbers.delete(other);
-      numbers.set(other, number);
-      if (numbers.size > mostFollowed) numbers.delete(numbers.keys().next().value ?? "");
+    latestFrom: (sender) => numbers.get(sender) ?? 0,
+    record(sender, number) {
+      numbers.delete(sender);
+      numbers.set(sender, number);
+      if (numbers.size > maxTrackedIncarnations) numbers.delete(numbers.keys().next().value ?? "");
     },
   };
 }
--- a/packages/pool-control/src/pool-context.ts
+++ b/packages/pool-control/src/pool-context.ts
@@ -36,7 +36,7 @@
   const watch = kernel.find(targetWatchName);
   const startedAt = kernel.find(clockName).now();
   const openOrders = createOpenOrders();
-  const isLeaseCurrent = () => leases.held(lease.pool)?.epoch === lease.epoch;
+  const isLeaseCurrent = () => leases.heldLease(lease.pool)?.epoch === lease.epoch;
   return {
     lease,
     startedAt,
@@ -57,7 +57,7 @@
       return watched && watched.requestedAt >= startedAt ? watched : undefined;
     },
     isLeaseCurrent,
-    isLeaseValid: () => isLeaseCurrent() && leases.held(lease.pool)?.valid === true,
+    isLeaseValid: () => isLeaseCurrent() && leases.heldLease(lease.pool)?.valid === true,
     openOrdersOf(engine) {
       const intents = [...store.state().intents.values()]
         .map((intent) => intent.order)
--- a/packages/pool-control/src/pool-control.ts
+++ b/packages/pool-control/src/pool-control.ts
@@ -33,7 +33,7 @@
 
   /** Ends sessions whose lease is lost, and starts one for each new lease. */
   const alignSessions = () => {
-    const heldLeases = leases.heldPools();
+    const heldLeases = leases.heldLeases();
     const epochs = new Map(heldLeases.map((lease) => [lease.pool, lease.epoch]));
     for (const [pool, session] of sessions) {
       if (epochs.get(pool) !== session.epoch) sessions.delete(pool);
--- a/packages/weight-orders/src/advance-moves.ts
+++ b/packages/weight-orders/src/advance-moves.ts
@@ -1,5 +1,5 @@
 /** Starts moves and advances those in progress. */
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import type { Epoch } from "@linkfall/types";
 import type { WeightMove } from "@linkfall/weight-plan";
 import { type ActiveMove, currentSnapshot, isOrderPending, nextStep } from "./active-move.js";
@@ -28,7 +28,7 @@
 
 function advanceMove(
   context: DispatcherContext,
-  target: TargetBelief,
+  target: TargetView,
   activeMove: ActiveMove,
   epoch: Epoch,
 ): void {
--- a/packages/weight-orders/src/dispatcher-context.ts
+++ b/packages/weight-orders/src/dispatcher-context.ts
@@ -1,5 +1,5 @@
 /** State and dependencies shared by the parts of the order dispatcher. */
-import type { Fleet, TargetBelief } from "@linkfall/fleet";
+import type { Fleet, TargetView } from "@linkfall/fleet";
 import type { Clock } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
 import type { Metrics } from "@linkfall/metrics";
@@ -113,13 +113,13 @@
 /** Returns the configured engine parameters of the target's service. */
 export function engineShapeOf(
   context: DispatcherContext,
-  target: TargetBelief,
+  target: TargetView,
 ): EngineShape | undefined {
   return context.configuration()?.services.get(target.listed.service)?.engine;
 }
 
 /** Returns the engines that can receive orders. */
-export function orderableEngines(context: DispatcherContext): readonly TargetBelief[] {
+export function orderableEngines(context: DispatcherContext): readonly TargetView[] {
   return context.fleet
     .all()
     .filter((target) => engineShapeOf(context, target) !== undefined && !target.listed.leaving);
@@ -131,16 +131,16 @@
  */
 export function stateInCurrentTerm(
   { state }: DispatcherContext,
-  target: TargetBelief,
+  target: TargetView,
 ): EngineState | undefined {
-  if (target.stateAt < state.termStartedAt || !target.state) return undefined;
+  if (target.stateReadAt < state.termStartedAt || !target.state) return undefined;
   return target.state.sequence >= target.holdings.sequence ? target.state : undefined;
 }
 
 /** Returns the adapter order of an engine whose effect is not visible yet. */
 export function pendingAdapterOrder(
   { state, clock }: DispatcherContext,
-  target: TargetBelief,
+  target: TargetView,
 ): UnconfirmedAdapterOrder | undefined {
   const pending = state.unconfirmedAdapterOrders.get(target.listed.id);
   if (!pending || clock.now() >= pending.expiresAt) return undefined;
--- a/packages/weight-orders/src/order-dispatcher.ts
+++ b/packages/weight-orders/src/order-dispatcher.ts
@@ -93,7 +93,7 @@
     state: createDispatcherState(),
   };
   const { state } = context;
-  input.fleet.onLifeEnded((id) => {
+  input.fleet.onIncarnationEnded((id) => {
     endMove(context, id, "engine removed or restarted");
     state.unconfirmedAdapterOrders.delete(id);
     state.lastPolledAt.delete(id);
--- a/packages/weight-orders/src/plan-service.ts
+++ b/packages/weight-orders/src/plan-service.ts
@@ -1,5 +1,5 @@
 /** Plans the moves of one service from the current state and demand, and starts them. */
-import { isEjected, type TargetBelief } from "@linkfall/fleet";
+import { isEjected, type TargetView } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { EngineShape, Epoch, Milliseconds } from "@linkfall/types";
 import {
@@ -21,7 +21,7 @@
 
 function createEngineView(
   context: DispatcherContext,
-  target: TargetBelief,
+  target: TargetView,
   engineShape: EngineShape,
 ): EngineView | undefined {
   const activeMove = context.state.activeMoves.get(target.listed.id);
--- a/packages/weight-orders/src/planner-views.ts
+++ b/packages/weight-orders/src/planner-views.ts
@@ -1,5 +1,5 @@
 /** Converts target states and demand into the planner's input. */
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { EngineShape, EngineState, Milliseconds } from "@linkfall/types";
 import type { DemandView, EngineView } from "@linkfall/weight-plan";
@@ -11,7 +11,7 @@
 
 /** Returns the planner's view of an engine; undefined until its state is known. */
 export function toEngineView(
-  target: TargetBelief,
+  target: TargetView,
   state: EngineState | undefined,
   engineShape: EngineShape,
   activeMove: ActiveMove | undefined,
@@ -20,7 +20,7 @@
 ): EngineView | undefined {
   const { listed, holdings } = target;
   if (!state) return undefined;
-  const inFlight = target.own.inFlight + target.others.inFlight;
+  const inFlight = target.ownLoad.inFlight + target.otherBoxesLoad.inFlight;
   return {
     id: listed.id,
     domain: listed.domain,
--- a/packages/weight-orders/src/poll-engines.ts
+++ b/packages/weight-orders/src/poll-engines.ts
@@ -1,5 +1,5 @@
 /** Polls engines for their state, more often while a move is in progress. */
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import type { Milliseconds } from "@linkfall/types";
 import {
   type DispatcherContext,
@@ -9,7 +9,7 @@
 import { remainingMoveMs } from "./remaining-move-time.js";
 
 /** Polls one engine unless a poll is already pending. */
-export async function pollEngine(context: DispatcherContext, target: TargetBelief): Promise<void> {
+export async function pollEngine(context: DispatcherContext, target: TargetView): Promise<void> {
   const { state, clock, fleet } = context;
   const { id } = target.listed;
   if (state.pendingPolls.has(id)) return;
@@ -22,7 +22,7 @@
   if (fleet.find(id) !== target) return;
   result.ifRight((engineState) => {
     const previousSequence = target.holdings.sequence;
-    fleet.takeState(id, engineState, clock.now() - sentAt);
+    fleet.applyState(id, engineState, clock.now() - sentAt);
     // Passes on the limit immediately; a report without a limit does not clear a known one.
     if (engineState.limit.kind === "limited") context.onLimitReported(id, engineState.limit);
     if (fleet.find(id)?.holdings.sequence !== previousSequence) context.notifyPeers();
@@ -44,7 +44,7 @@
 /** Returns the polling interval of an engine. */
 function pollIntervalFor(
   context: DispatcherContext,
-  target: TargetBelief,
+  target: TargetView,
   idleIntervalMs: Milliseconds,
 ): Milliseconds {
   const { state, rules } = context;
--- a/packages/weight-orders/src/send-order.ts
+++ b/packages/weight-orders/src/send-order.ts
@@ -1,6 +1,6 @@
 /** Sends single orders to engines, after checking them against the engine's state. */
 import { invariant } from "@linkfall/errors";
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import type {
   EngineShape,
   Epoch,
@@ -35,14 +35,14 @@
 }
 
 /** Plans an order based on the reported engine state. */
-export function planOrder(target: TargetBelief, weightOrder: WeightOrder): PlannedOrder {
+export function planOrder(target: TargetView, weightOrder: WeightOrder): PlannedOrder {
   const { sequence, models } = target.holdings;
   return { order: weightOrder, expectedSequence: sequence, residents: models };
 }
 
 /** Plans an order based on the predicted engine state. */
 export function planOrderFromPrediction(
-  target: TargetBelief,
+  target: TargetView,
   weightOrder: WeightOrder,
   snapshot: EngineSnapshot,
 ): PlannedOrder {
@@ -52,7 +52,7 @@
 
 /** Returns whether the engine has enough memory and adapter slots for the order. */
 export function fits(
-  target: TargetBelief,
+  target: TargetView,
   engineShape: EngineShape,
   { order: weightOrder, residents }: PlannedOrder,
 ): boolean {
@@ -116,7 +116,8 @@
   answer: OrderAnswer,
 ) {
   const { fleet, state } = context;
-  if (answer === "gone") fleet.unreachable(id, "its address now belongs to another incarnation");
+  if (answer === "gone")
+    fleet.recordUnreachable(id, "its address now belongs to another incarnation");
   if (answer !== "conflict" && answer !== "refused" && answer !== "gone") return;
   state.unconfirmedAdapterOrders.delete(id);
   endMove(context, id, answer);
@@ -143,11 +144,7 @@
 }
 
 /** Predicts the engine state after an accepted order. */
-function predictOutcome(
-  context: DispatcherContext,
-  target: TargetBelief,
-  order: FencedOrder,
-): void {
+function predictOutcome(context: DispatcherContext, target: TargetView, order: FencedOrder): void {
   const activeMove = context.state.activeMoves.get(target.listed.id);
   if (!activeMove) return;
   const models = target.holdings.models.map((model) => model.name);
@@ -195,7 +192,7 @@
     const state = target && stateInCurrentTerm(context, target);
     if (!state || target.holdings.sequence !== order.expectedSequence) return;
     const models = target.holdings.models.map((held) => applyAdapterOrder(held, order));
-    fleet.takeState(id, { ...state, sequence: order.expectedSequence + 1, models }, 0);
+    fleet.applyState(id, { ...state, sequence: order.expectedSequence + 1, models }, 0);
     notifyPeers();
   });
 }
@@ -203,7 +200,7 @@
 /** Sends the order with the given epoch; the engine is polled if it does not accept the order. */
 export async function sendOrder(
   context: DispatcherContext,
-  target: TargetBelief,
+  target: TargetView,
   plannedOrder: PlannedOrder,
   epoch: Epoch,
 ): Promise<void> {
@@ -224,7 +221,7 @@
   const answer = await engines.order(target.listed, order);
   state.pendingOrders.delete(id);
   recordAnswer(context, id, order, answer);
-  if (answer === "fenced") context.lease.refused(order.epoch);
+  if (answer === "fenced") context.lease.recordRefusal(order.epoch);
   if (context.fleet.find(id) !== target) return;
   const activeMove = state.activeMoves.get(id);
   const wasPredicted = expectedSequence > target.holdings.sequence;
--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { createFleet, type Fleet, holds } from "@linkfall/fleet";
+import { createFleet, type Fleet, hasModelLoaded } from "@linkfall/fleet";
 import {
   clockName,
   createKernel,
@@ -204,13 +204,13 @@
 function createLease(scene: Scene): OrderLease {
   return {
     epoch: () => scene.epoch,
-    known: () => undefined,
-    hear: () => undefined,
-    refused(epoch) {
+    observedLease: () => undefined,
+    observe: () => undefined,
+    recordRefusal(epoch) {
       scene.refusedEpochs.push(epoch);
       scene.epoch = undefined;
     },
-    ordersForMs: () => 1_000,
+    remainingLeaseMs: () => 1_000,
     release: async () => undefined,
     start: async () => undefined,
     stop: async () => undefined,
@@ -232,10 +232,10 @@
     recordingLogger(() => undefined),
   );
   const fleet = createFleet(kernel, {
-    lapse: { graceMs: 1_600, share: 0.3 },
-    ejection: { failuresInARow: 3, firstMs: 1_000, longestMs: 8_000 },
+    lapse: { graceMs: 1_600, minShare: 0.3 },
+    ejection: { consecutiveFailures: 3, initialMs: 1_000, maxMs: 8_000 },
   });
-  fleet.takeList(engineIds.map(createListedTarget));
+  fleet.applyList(engineIds.map(createListedTarget));
   const scene: Scene = {
     clock,
     fleet,
@@ -321,7 +321,7 @@
     assert.ok(engine);
     await scene.clock.runUntil(scene.clock.now() + 300);
     engine.sequence += 1;
-    scene.fleet.takeHoldings(id, { sequence: engine.sequence, models: [] });
+    scene.fleet.applyRelayedHoldings(id, { sequence: engine.sequence, models: [] });
     await scene.clock.runUntil(scene.clock.now() + 2_000);
     engine.models.push(name);
   },
@@ -355,7 +355,7 @@
   const now = sceneOf(this).clock.now();
   const holding = sceneOf(this)
     .fleet.all()
-    .filter((target) => holds(target, name, adapter, now));
+    .filter((target) => hasModelLoaded(target, name, adapter, now));
   assert.equal(holding.length, 1);
 });
 
