--- a/packages/completion/src/retry-budget.ts
+++ b/packages/completion/src/retry-budget.ts
@@ -20,7 +20,7 @@
     return bucket;
   };
   return {
-    request: (account) => bucketOf(account).give(share),
+    request: (account) => bucketOf(account).add(share),
     retry: (account) => bucketOf(account).take(),
   };
 }
--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -110,7 +110,7 @@
     if (peers.mesh() || givesOrders) sumHeardLoads();
     takeTargets(parts, heartbeat);
     if (heartbeat.blame) blame.take(status.incarnation, heartbeat.blame);
-    if (heartbeat.limits) targetLimits.take(status.incarnation, heartbeat.limits);
+    if (heartbeat.limits) targetLimits.applyChanges(status.incarnation, heartbeat.limits);
     void catchUp(status);
     if (report && lease.known()?.holder === status.incarnation) {
       takeReport(parts, knowledge, report);
--- a/packages/entry-box/src/heartbeat-source.ts
+++ b/packages/entry-box/src/heartbeat-source.ts
@@ -34,7 +34,7 @@
 
 /** What this box knows of targets' limits and the reader does not. */
 function limitsFor({ kernel }: BoxParts, reader?: BoxStatus): TargetLimitWord | undefined {
-  const word = kernel.find(targetLimitsName).tell(reader?.limitsFollowed ?? 0);
+  const word = kernel.find(targetLimitsName).changesSince(reader?.limitsFollowed ?? 0);
   return word.records.length > 0 ? word : undefined;
 }
 
@@ -66,7 +66,7 @@
       lease: known,
       ordersForMs: lease.ordersForMs(),
       followed: followed(),
-      limitsFollowed: reader && kernel.find(targetLimitsName).followed(reader.incarnation),
+      limitsFollowed: reader && kernel.find(targetLimitsName).appliedSequence(reader.incarnation),
       blameFollowed: reader && kernel.find(crashBlameName).followed(reader.incarnation),
     };
   };
--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -67,7 +67,7 @@
     demand: () => sumDemand([demand.read(), ...peers.statuses().map((status) => status.demand)]),
     takesPerSecond: targetLimits.limitOf,
     noteLimit: (target, notice) =>
-      targetLimits.hear({ target, notice, sentMsAgo: 0, served: false }),
+      targetLimits.recordAnswer({ target, notice, sentMsAgo: 0, served: false }),
     announce() {
       fleet.withhold(giver.withheld());
       // In a large deployment all others hear of it in their next round.
--- a/packages/forwarding/src/forwarding.steps.ts
+++ b/packages/forwarding/src/forwarding.steps.ts
@@ -70,11 +70,12 @@
 const oneBox: PermitPeers = {
   self: "b1",
   allocators: () => ["b1"],
-  ask: async () => Left({ kind: "peer_unreachable", reason: "no peers", mayHaveArrived: false }),
+  sendRequest: async () =>
+    Left({ kind: "peer_unreachable", reason: "no peers", mayHaveArrived: false }),
   connected: () => true,
-  ownPart: () => 1,
-  silentPart: () => 0,
-  boxes: () => 1,
+  ownShare: () => 1,
+  silentShare: () => 0,
+  boxCount: () => 1,
 };
 /** Nobody listens there: a send ends at once. */
 const address = "127.0.0.1:1";
--- a/packages/forwarding/src/limited-targets.ts
+++ b/packages/forwarding/src/limited-targets.ts
@@ -25,7 +25,7 @@
   { target, permitWithinMs }: PickedTarget,
 ): Promise<boolean> {
   if (permitWithinMs === undefined) return true;
-  const taken = await context.targetLimits.takePermit(target.listed.id, permitWithinMs);
+  const taken = await context.targetLimits.acquirePermit(target.listed.id, permitWithinMs);
   // The target may have left while the request waited for its permit.
   return taken && mayStillBeSent(context, request, target);
 }
@@ -53,7 +53,7 @@
     return on;
   }
   metrics.refusedByLimit(request.service.name);
-  const permitMs = targetLimits.comeBackMs(targets);
+  const permitMs = targetLimits.retryAfterMs(targets);
   const comeBackMs = Math.max(forwardLimits.comeBackMs, Math.min(permitMs, coming ?? Infinity));
   return refuse(request, refusedStatus, "the limits of its targets are used up", comeBackMs);
 }
--- a/packages/forwarding/src/pick.ts
+++ b/packages/forwarding/src/pick.ts
@@ -150,7 +150,7 @@
 
 /** Whether a limited target is to be tried although others are there, to learn whether its limit still holds. */
 function isTrial({ targetLimits }: ForwardContext, { listed: { id } }: TargetBelief): boolean {
-  return targetLimits.isTrialDue(id) && !targetLimits.isClosed(id, 0);
+  return targetLimits.isProbeDue(id) && !targetLimits.isExhausted(id, 0);
 }
 
 /**
@@ -180,7 +180,9 @@
 
   const permitWithinMs = best ? 0 : longestPermitWaitMs(request, queueMs);
   const limited = open.filter(isLimited);
-  const askable = limited.filter(({ listed }) => !targetLimits.isClosed(listed.id, permitWithinMs));
+  const askable = limited.filter(
+    ({ listed }) => !targetLimits.isExhausted(listed.id, permitWithinMs),
+  );
   const withPermit = choose(context, request, askable, home);
   if (withPermit) return pickOf(withPermit, permitWithinMs);
   if (best) return pickOf(best, 0);
--- a/packages/forwarding/src/send-to-target.ts
+++ b/packages/forwarding/src/send-to-target.ts
@@ -117,7 +117,7 @@
   if (limit.kind === "unreadable") {
     logger.event("targetLimitUnreadable", { target: id, text: limit.text });
   }
-  targetLimits.hear({
+  targetLimits.recordAnswer({
     target: id,
     notice: limit,
     sentMsAgo,
--- a/packages/log-writer/src/index.ts
+++ b/packages/log-writer/src/index.ts
@@ -63,7 +63,7 @@
     (store.state().writers.get(incarnation)?.highest ?? 0) >= number;
 
   const appendOnce = async (data: string): Promise<Either<LogFailure, Offset>> => {
-    while (!bucket.take()) await sleep(clock, bucket.waitFor());
+    while (!bucket.take()) await sleep(clock, bucket.msUntil());
     metrics.count("linkfall_log_appends_total", "Appends sent to the log", { stream: "state" });
     return port.append(streams.state, data);
   };
--- a/packages/pool-control/src/load-slots.ts
+++ b/packages/pool-control/src/load-slots.ts
@@ -25,7 +25,7 @@
   const bucket = createTokenBucket(clock, { rate: pool.loadsPerSecond, burst: burst(pool) }, 0);
   return {
     take(current, underWay) {
-      bucket.limit({ rate: current.loadsPerSecond, burst: burst(current) });
+      bucket.setLimits({ rate: current.loadsPerSecond, burst: burst(current) });
       return underWay < current.loadsAtOnce && bucket.take();
     },
   };
--- a/packages/pool-control/src/pool-session.ts
+++ b/packages/pool-control/src/pool-session.ts
@@ -72,7 +72,7 @@
     clock.now() - (movedAt.get(model) ?? -Infinity) < placement.cooldown_ms;
 
   const plan = (): Plan => {
-    const planned = planPool(viewer.view(spareMoves.waitFor() === 0 ? 1 : 0, coolingDown));
+    const planned = planPool(viewer.view(spareMoves.msUntil() === 0 ? 1 : 0, coolingDown));
     if (planned.unplaceable.length > 0 && unplaceable.length === 0) {
       logger.event("unplaceable", { pool: lease.pool, models: planned.unplaceable.join(",") });
     }
