--- a/packages/account-quota/src/quota-source.ts
+++ b/packages/account-quota/src/quota-source.ts
@@ -82,7 +82,7 @@
     },
     // What this box knows of before it was cut off says little afterwards.
     onReconnected: () => shared.reset(),
-    declined,
+    declinedGrant: declined,
   };
 }
 
--- a/packages/allocation/src/index.ts
+++ b/packages/allocation/src/index.ts
@@ -40,7 +40,7 @@
   /** This box is connected again: others have allocated meanwhile. */
   onReconnected(): void;
   /** Answer of a box that may not allocate. */
-  readonly declined: Grant;
+  readonly declinedGrant: Grant;
 }
 
 export interface DistributedAllocator<Ask, Grant> {
@@ -134,7 +134,7 @@
    * out one limit under partial cuts.
    */
   const allocate = async (ask: Ask): Promise<Grant> => {
-    if (!isConnected()) return allocators.declined;
+    if (!isConnected()) return allocators.declinedGrant;
     const [first] = answeringFor(nameOf(ask));
     if (first === undefined || first === peers.self || ask.passedOn)
       return allocators.grantShared(ask);
--- a/packages/target-limits/src/index.ts
+++ b/packages/target-limits/src/index.ts
@@ -76,7 +76,7 @@
       grantIsolated: (ask) => alone.grant(ask, peers.ownShare()),
       onDisconnected: alone.reset,
       onReconnected: shared.reset,
-      declined,
+      declinedGrant: declined,
     },
     ({ target }) => target,
   );
