--- a/packages/account-quota/src/account-quota.feature
+++ b/packages/account-quota/src/account-quota.feature
@@ -1,49 +1,49 @@
-Feature: The limit of a client account over all boxes
+Feature: Limits of client accounts across all boxes
 
-  Scenario: What is refused is told to come back one after the other
-    Given an allocator of 1000 units a second and 1000 at once
-    When 10 requests of 500 units come at once
-    Then 2 are granted
-    And those refused are told to come back 500 ms apart, the last after 3501 ms
+  Scenario: Retry times of refused requests are spread out
+    Given an allocator with a rate of 1000 units per second and a burst of 1000
+    When 10 requests of 500 units arrive at the same time
+    Then 2 requests are granted
+    And the retry times of the refused requests are 500 ms apart, the last after 3501 ms
 
-  Scenario: A request that is larger than what is left goes, and the rest is owed
-    Given an allocator of 1000 units a second and 1000 at once
-    When a request of 3000 units comes
-    Then it is granted
-    When 1900 ms go by and a request of 10 units comes
-    Then it is refused for 101 ms
-    When 200 ms go by and a request of 10 units comes
-    Then it is granted
+  Scenario: A request larger than the available units is granted and leaves a debt
+    Given an allocator with a rate of 1000 units per second and a burst of 1000
+    When a request of 3000 units arrives
+    Then the request is granted
+    When 1900 ms pass and a request of 10 units arrives
+    Then the request is refused with a wait of 101 ms
+    When 200 ms pass and a request of 10 units arrives
+    Then the request is granted
 
-  Scenario: An allocator that nobody asked for a while does not begin with a full burst
-    Given an allocator of 1000 units a second and 1000 at once, of which 200 at first
-    When 5 requests of 100 units come at once
-    Then 2 are granted
-    When 5000 ms go by and 5 requests of 100 units come at once
-    Then 2 are granted
+  Scenario: An idle allocator does not resume with a full burst
+    Given an allocator with a rate of 1000 units per second, a burst of 1000 and an initial level of 200
+    When 5 requests of 100 units arrive at the same time
+    Then 2 requests are granted
+    When 5000 ms pass and 5 requests of 100 units arrive at the same time
+    Then 2 requests are granted
 
-  Scenario: A limit that is older than the known one is not taken
-    Given an allocator of 1000 units a second and 1000 at once
-    When version 2 lowers the limit to 100 units a second and 100 at once
-    And 5 requests of 100 units come at once under version 1
-    Then 1 is granted
+  Scenario: A limit from an outdated configuration version is ignored
+    Given an allocator with a rate of 1000 units per second and a burst of 1000
+    When version 2 lowers the limit to 100 units per second and a burst of 100
+    And 5 requests of 100 units arrive at the same time with version 1
+    Then 1 request is granted
 
-  Scenario: A box without an answer from any allocator decides alone, by its part
-    Given a box whose allocators are silent, with a tenth of what all boxes carry
-    When an account of 10000 units a second sends 20 requests of 100 units there
-    Then it lets through between 1 and 5
-    And each decision took at most 360 ms
+  Scenario: A box that reaches no allocator decides alone, within its own share
+    Given a box whose allocators do not respond, with a tenth of all load as its own share
+    When an account limited to 10000 units per second sends 20 requests of 100 units to the box
+    Then the box admits between 1 and 5 requests
+    And each admission decision took at most 360 ms
 
-  Scenario: A box that is cut off from most others serves by its own part, and allocates for nobody
-    Given a box that is cut off from most others
-    When an account of 10000 units a second sends 20 requests of 100 units there
-    Then it lets through between 1 and 5
-    And it declines to allocate for others
+  Scenario: An isolated box admits requests within its own share and declines to allocate for others
+    Given a box that is isolated from the majority
+    When an account limited to 10000 units per second sends 20 requests of 100 units to the box
+    Then the box admits between 1 and 5 requests
+    And the box declines to allocate for others
 
-  Scenario Outline: What is the part of <silent> silent boxes in 100 is not handed out to the others
-    Given a box that allocates while <silent> in 100 of all boxes are silent
-    When 10 s go by while an account of 10000 units a second sends 100 units each 5 ms
-    Then it lets through between <least> and <most>
+  Scenario Outline: The share of <silent> silent boxes in 100 is not allocated to the others
+    Given an allocating box while <silent> of 100 boxes are silent
+    When for 10 s an account limited to 10000 units per second sends a request of 100 units every 5 ms
+    Then the box admits between <least> and <most> requests
 
     Examples:
       | silent | least | most |
@@ -51,24 +51,24 @@
       | 30     | 700   | 780  |
       | 90     | 500   | 560  |
 
-  Scenario: What is handed out of a limit that runs short is told each second
-    Given a box that allocates while 0 in 100 of all boxes are silent
-    When 3 s go by while an account of 10000 units a second sends 100 units each 5 ms
-    Then what it tells of the limit adds up to what it lets through, but for the last second
+  Scenario: Grants from an exhausted limit are summarized every second
+    Given an allocating box while 0 of 100 boxes are silent
+    When for 3 s an account limited to 10000 units per second sends a request of 100 units every 5 ms
+    Then the grant summaries add up to the admitted units, except for the last second
 
-  Scenario: Nothing is told of a limit that does not run short
-    Given a box that allocates while 0 in 100 of all boxes are silent
-    When 3 s go by while an account of 100000 units a second sends 100 units each 5 ms
-    Then it tells nothing of that limit
+  Scenario: No summary is reported for a limit that is not exhausted
+    Given an allocating box while 0 of 100 boxes are silent
+    When for 3 s an account limited to 100000 units per second sends a request of 100 units every 5 ms
+    Then no grant summary is reported
 
-  Scenario: What did not run is given back
-    Given a box that allocates for itself
-    When an account of 1000 units a second uses up what it has there
-    And 300 units are given back
-    Then a request of 300 units is let through
+  Scenario: Units of requests that were not executed are refunded
+    Given a box that is its own allocator
+    When an account limited to 1000 units per second exhausts its units at the box
+    And 300 units are refunded
+    Then a request of 300 units is admitted
 
-  Scenario Outline: A request with <terms> counts <units>
-    Then a request with "<terms>" counts <units> under a limit of "<unit>"
+  Scenario Outline: The charge of a request with tokens <terms> under a limit of <unit>
+    Then a request with prompt and output tokens "<terms>" is charged <units> units under a limit of "<unit>"
 
     Examples:
       | terms        | unit     | units |
--- a/packages/account-quota/src/account-quota.steps.ts
+++ b/packages/account-quota/src/account-quota.steps.ts
@@ -17,137 +17,145 @@
   unitsOf,
 } from "./index.js";
 
-interface AllocatorScene {
+interface AllocatorContext {
   readonly clock: VirtualClock;
   readonly allocator: QuotaAllocator;
   rate: QuotaRate;
   grants: readonly QuotaGrant[];
 }
 
-const sceneOf = (world: object) => notes(world).get<AllocatorScene>("allocator");
+const contextOf = (world: object) => notes(world).get<AllocatorContext>("allocator");
 
-function setUp(world: object, rate: QuotaRate, firstLevel: number): void {
+function createAllocatorContext(world: object, rate: QuotaRate, initialLevel: number): void {
   const clock = createVirtualClock();
-  const allocator = createQuotaAllocator(clock, () => firstLevel);
-  notes(world).set("allocator", { clock, allocator, rate, grants: [] } satisfies AllocatorScene);
+  const allocator = createQuotaAllocator(clock, () => initialLevel);
+  notes(world).set("allocator", { clock, allocator, rate, grants: [] } satisfies AllocatorContext);
 }
 
-function request(world: object, count: number, needed: number, version = 1): void {
-  const scene = sceneOf(world);
-  const { allocator, rate } = scene;
-  const ask = { account: "a", rate, version, needed, ahead: 0 };
-  scene.grants = Array.from({ length: count }, () => allocator.grant(ask));
+function sendRequests(world: object, count: number, needed: number, version = 1): void {
+  const context = contextOf(world);
+  const { allocator, rate } = context;
+  const request = { account: "a", rate, version, needed, ahead: 0 };
+  context.grants = Array.from({ length: count }, () => allocator.grant(request));
 }
 
-const passes = (world: object, ms: number) => {
-  const { clock } = sceneOf(world);
+const advance = (world: object, ms: number) => {
+  const { clock } = contextOf(world);
   return clock.runUntil(clock.now() + ms);
 };
 
 Given(
-  "an allocator of {int} units a second and {int} at once",
+  "an allocator with a rate of {int} units per second and a burst of {int}",
   function (this: object, perSecond: number, burst: number) {
-    setUp(this, { perSecond, burst }, burst);
+    createAllocatorContext(this, { perSecond, burst }, burst);
   },
 );
 
 Given(
-  "an allocator of {int} units a second and {int} at once, of which {int} at first",
-  function (this: object, perSecond: number, burst: number, first: number) {
-    setUp(this, { perSecond, burst }, first);
+  "an allocator with a rate of {int} units per second, a burst of {int} and an initial level of {int}",
+  function (this: object, perSecond: number, burst: number, initialLevel: number) {
+    createAllocatorContext(this, { perSecond, burst }, initialLevel);
   },
 );
 
 When(
-  "{int} requests of {int} units come at once",
+  "{int} requests of {int} units arrive at the same time",
   function (this: object, count: number, units: number) {
-    request(this, count, units);
+    sendRequests(this, count, units);
   },
 );
 
-When("a request of {int} units comes", function (this: object, units: number) {
-  request(this, 1, units);
+When("a request of {int} units arrives", function (this: object, units: number) {
+  sendRequests(this, 1, units);
 });
 
 When(
-  "{int} ms go by and a request of {int} units comes",
+  "{int} ms pass and a request of {int} units arrives",
   async function (this: object, ms: number, units: number) {
-    await passes(this, ms);
-    request(this, 1, units);
+    await advance(this, ms);
+    sendRequests(this, 1, units);
   },
 );
 
 When(
-  "{int} ms go by and {int} requests of {int} units come at once",
+  "{int} ms pass and {int} requests of {int} units arrive at the same time",
   async function (this: object, ms: number, count: number, units: number) {
-    await passes(this, ms);
-    request(this, count, units);
+    await advance(this, ms);
+    sendRequests(this, count, units);
   },
 );
 
 When(
-  "version {int} lowers the limit to {int} units a second and {int} at once",
+  "version {int} lowers the limit to {int} units per second and a burst of {int}",
   function (this: object, version: number, perSecond: number, burst: number) {
-    const scene = sceneOf(this);
-    const before = scene.rate;
-    scene.rate = { perSecond, burst };
-    request(this, 1, 0, version);
-    scene.rate = before;
+    const context = contextOf(this);
+    const previous = context.rate;
+    context.rate = { perSecond, burst };
+    sendRequests(this, 1, 0, version);
+    context.rate = previous;
   },
 );
 
 When(
-  "{int} requests of {int} units come at once under version {int}",
+  "{int} requests of {int} units arrive at the same time with version {int}",
   function (this: object, count: number, units: number, version: number) {
-    request(this, count, units, version);
+    sendRequests(this, count, units, version);
   },
 );
 
-const grantedOf = (world: object) => sceneOf(world).grants.filter(({ granted }) => granted > 0);
+const grantedOf = (world: object) => contextOf(world).grants.filter(({ granted }) => granted > 0);
 
-Then(/^(\d+) (?:is|are) granted$/, function (this: object, count: string) {
+Then(/^(\d+) requests? (?:is|are) granted$/, function (this: object, count: string) {
   assert.equal(grantedOf(this).length, Number(count));
 });
 
-Then("it is granted", function (this: object) {
+Then("the request is granted", function (this: object) {
   assert.equal(grantedOf(this).length, 1);
 });
 
-Then("it is refused for {int} ms", function (this: object, ms: number) {
-  assert.deepEqual(sceneOf(this).grants, [{ granted: 0, waitMs: ms }]);
+Then("the request is refused with a wait of {int} ms", function (this: object, ms: number) {
+  assert.deepEqual(contextOf(this).grants, [{ granted: 0, waitMs: ms }]);
 });
 
 Then(
-  "those refused are told to come back {int} ms apart, the last after {int} ms",
-  function (this: object, apart: number, last: number) {
-    const waits = sceneOf(this).grants.flatMap((grant) => (grant.granted > 0 ? [] : grant.waitMs));
-    const expected = waits.map((_, index) => last - (waits.length - 1 - index) * apart);
+  "the retry times of the refused requests are {int} ms apart, the last after {int} ms",
+  function (this: object, intervalMs: number, lastMs: number) {
+    const waits = contextOf(this).grants.flatMap((grant) =>
+      grant.granted > 0 ? [] : grant.waitMs,
+    );
+    const expected = waits.map((_, index) => lastMs - (waits.length - 1 - index) * intervalMs);
     assert.deepEqual(waits, expected);
   },
 );
 
-interface BoxScene {
+interface BoxContext {
   readonly clock: VirtualClock;
   readonly quota: AccountQuota;
   readonly decisions: QuotaDecision[];
-  /** What the box has told of limits that run short. */
-  readonly told: GrantSummary[];
-  readonly tookMs: number[];
+  /** Summaries reported for exhausted limits. */
+  readonly summaries: GrantSummary[];
+  readonly durationsMs: number[];
 }
 
-const boxOf = (world: object) => notes(world).get<BoxScene>("box");
-const alike = { connected: () => true, ownShare: () => 1, silentShare: () => 0 };
+const boxContextOf = (world: object) => notes(world).get<BoxContext>("box");
+const connectedPeers = { connected: () => true, ownShare: () => 1, silentShare: () => 0 };
 const tolerance = { windowSeconds: 8, overage: 0.1, slack: 0 };
 
-function setUpBox(world: object, peers: Omit<QuotaPeers, "self">, clock: VirtualClock): void {
-  const told: GrantSummary[] = [];
-  const onShort = (allotted: GrantSummary) => void told.push(allotted);
-  const quota = createAccountQuota(
+function createBoxContext(
+  world: object,
+  peers: Omit<QuotaPeers, "self">,
+  clock: VirtualClock,
+): void {
+  const summaries: GrantSummary[] = [];
+  const onExhausted = (summary: GrantSummary) => void summaries.push(summary);
+  const quota = createAccountQuota(clock, { self: "self", onExhausted, ...peers }, tolerance);
+  notes(world).set("box", {
     clock,
-    { self: "self", onExhausted: onShort, ...peers },
-    tolerance,
-  );
-  notes(world).set("box", { clock, quota, decisions: [], tookMs: [], told } satisfies BoxScene);
+    quota,
+    decisions: [],
+    durationsMs: [],
+    summaries,
+  } satisfies BoxContext);
 }
 
 function accountOf(perSecond: number): ClientAccount {
@@ -156,48 +164,62 @@
 }
 
 async function send(world: object, perSecond: number, units: number): Promise<QuotaDecision> {
-  const { clock, quota, decisions, tookMs } = boxOf(world);
-  const from = clock.now();
-  const deciding = quota.admit({ account: accountOf(perSecond), units, version: 1 });
+  const { clock, quota, decisions, durationsMs } = boxContextOf(world);
+  const startedAt = clock.now();
+  const decisionPromise = quota.admit({ account: accountOf(perSecond), units, version: 1 });
   let decided = false;
-  void deciding.then((decision) => {
+  void decisionPromise.then((decision) => {
     decided = true;
     decisions.push(decision);
-    tookMs.push(clock.now() - from);
+    durationsMs.push(clock.now() - startedAt);
   });
   while (!decided) await clock.runUntil(clock.now() + 1);
-  return deciding;
+  return decisionPromise;
 }
 
 Given(
-  "a box whose allocators are silent, with a tenth of what all boxes carry",
+  "a box whose allocators do not respond, with a tenth of all load as its own share",
   function (this: object) {
     const clock = createVirtualClock();
-    const silent = async (): Promise<never> => new Promise(() => undefined);
-    setUpBox(
+    const neverResponds = async (): Promise<never> => new Promise(() => undefined);
+    createBoxContext(
       this,
-      { ...alike, allocators: () => ["x", "y", "z"], sendRequest: silent, ownShare: () => 0.1 },
+      {
+        ...connectedPeers,
+        allocators: () => ["x", "y", "z"],
+        sendRequest: neverResponds,
+        ownShare: () => 0.1,
+      },
       clock,
     );
   },
 );
 
-Given("a box that allocates for itself", function (this: object) {
+Given("a box that is its own allocator", function (this: object) {
   const failure = { kind: "peer_unreachable", reason: "none", mayHaveArrived: false } as const;
   const sendRequest = async () => Left(failure);
-  setUpBox(this, { ...alike, allocators: () => ["self"], sendRequest }, createVirtualClock());
+  createBoxContext(
+    this,
+    { ...connectedPeers, allocators: () => ["self"], sendRequest },
+    createVirtualClock(),
+  );
 });
 
-Given("a box that is cut off from most others", function (this: object) {
+Given("a box that is isolated from the majority", function (this: object) {
   const sendRequest = async () => Right({ granted: 0, waitMs: 0, declined: true });
-  const peers = { ...alike, allocators: () => ["x", "self"], sendRequest, connected: () => false };
-  setUpBox(this, { ...peers, ownShare: () => 0.1 }, createVirtualClock());
+  const peers = {
+    ...connectedPeers,
+    allocators: () => ["x", "self"],
+    sendRequest,
+    connected: () => false,
+  };
+  createBoxContext(this, { ...peers, ownShare: () => 0.1 }, createVirtualClock());
 });
 
-Then("it declines to allocate for others", async function (this: object) {
+Then("the box declines to allocate for others", async function (this: object) {
   const rate = { perSecond: 1000, burst: 1000 };
-  const ask = { account: "a", rate, version: 1, needed: 10, ahead: 0 };
-  assert.deepEqual(await boxOf(this).quota.allocate(ask), {
+  const request = { account: "a", rate, version: 1, needed: 10, ahead: 0 };
+  assert.deepEqual(await boxContextOf(this).quota.allocate(request), {
     granted: 0,
     waitMs: 0,
     declined: true,
@@ -205,90 +227,96 @@
 });
 
 Given(
-  "a box that allocates while {int} in 100 of all boxes are silent",
+  "an allocating box while {int} of 100 boxes are silent",
   function (this: object, silent: number) {
     const sendRequest = async () => Right({ granted: 0, waitMs: 0, declined: true });
     const peers = {
-      ...alike,
+      ...connectedPeers,
       allocators: () => ["self"],
       sendRequest,
       silentShare: () => silent / 100,
     };
-    setUpBox(this, peers, createVirtualClock());
+    createBoxContext(this, peers, createVirtualClock());
   },
 );
 
 When(
-  "{int} s go by while an account of {int} units a second sends {int} units each {int} ms",
-  async function (this: object, seconds: number, perSecond: number, units: number, eachMs: number) {
-    const { clock } = boxOf(this);
+  "for {int} s an account limited to {int} units per second sends a request of {int} units every {int} ms",
+  async function (
+    this: object,
+    seconds: number,
+    perSecond: number,
+    units: number,
+    intervalMs: number,
+  ) {
+    const { clock } = boxContextOf(this);
     const until = clock.now() + seconds * 1000;
     while (clock.now() < until) {
       await send(this, perSecond, units);
-      await clock.runUntil(clock.now() + eachMs);
+      await clock.runUntil(clock.now() + intervalMs);
     }
   },
 );
 
 When(
-  "an account of {int} units a second sends {int} requests of {int} units there",
+  "an account limited to {int} units per second sends {int} requests of {int} units to the box",
   async function (this: object, perSecond: number, count: number, units: number) {
     for (let index = 0; index < count; index++) await send(this, perSecond, units);
   },
 );
 
 When(
-  "an account of {int} units a second uses up what it has there",
+  "an account limited to {int} units per second exhausts its units at the box",
   async function (this: object, perSecond: number) {
     while ((await send(this, perSecond, 100)).kind === "admitted");
   },
 );
 
-When("{int} units are given back", function (this: object, units: number) {
-  boxOf(this).quota.refund({ account: accountOf(1000), units, version: 1 });
+When("{int} units are refunded", function (this: object, units: number) {
+  boxContextOf(this).quota.refund({ account: accountOf(1000), units, version: 1 });
 });
 
-Then("a request of {int} units is let through", async function (this: object, units: number) {
+Then("a request of {int} units is admitted", async function (this: object, units: number) {
   assert.equal((await send(this, 1000, units)).kind, "admitted");
 });
 
 Then(
-  "it lets through between {int} and {int}",
-  function (this: object, least: number, most: number) {
-    const through = boxOf(this).decisions.filter(({ kind }) => kind === "admitted").length;
-    assert.ok(through >= least && through <= most, String(through));
+  "the box admits between {int} and {int} requests",
+  function (this: object, min: number, max: number) {
+    const admitted = boxContextOf(this).decisions.filter(({ kind }) => kind === "admitted").length;
+    assert.ok(admitted >= min && admitted <= max, String(admitted));
   },
 );
 
 Then(
-  "what it tells of the limit adds up to what it lets through, but for the last second",
+  "the grant summaries add up to the admitted units, except for the last second",
   function (this: object) {
-    const { told, decisions } = boxOf(this);
-    const through = decisions.filter(({ kind }) => kind === "admitted").length * 100;
-    const units = told.reduce((sum, allotted) => sum + allotted.units, 0);
-    assert.ok(units >= through - 10_000 && units <= through + 10_000, `${units} of ${through}`);
-    assert.ok(told.every(({ refusals, part }) => refusals > 0 && part === 1));
+    const { summaries, decisions } = boxContextOf(this);
+    const admitted = decisions.filter(({ kind }) => kind === "admitted").length * 100;
+    const units = summaries.reduce((sum, summary) => sum + summary.units, 0);
+    assert.ok(units >= admitted - 10_000 && units <= admitted + 10_000, `${units} of ${admitted}`);
+    assert.ok(summaries.every(({ refusals, part }) => refusals > 0 && part === 1));
   },
 );
 
-Then("it tells nothing of that limit", function (this: object) {
-  assert.deepEqual(boxOf(this).told, []);
+Then("no grant summary is reported", function (this: object) {
+  assert.deepEqual(boxContextOf(this).summaries, []);
 });
 
-Then("each decision took at most {int} ms", function (this: object, ms: number) {
-  assert.ok(Math.max(...boxOf(this).tookMs) <= ms);
+Then("each admission decision took at most {int} ms", function (this: object, ms: number) {
+  assert.ok(Math.max(...boxContextOf(this).durationsMs) <= ms);
 });
 
 Then(
-  "a request with {string} counts {int} under a limit of {string}",
-  (told: string, units: number, unit: AccountLimit["unit"]) => {
-    const [prompt, output] = told.split(" and ").map(Number);
-    const tokensTold = Number.isFinite(prompt);
+  "a request with prompt and output tokens {string} is charged {int} units under a limit of {string}",
+  (tokens: string, units: number, unit: AccountLimit["unit"]) => {
+    const [prompt, output] = tokens.split(" and ").map(Number);
+    const hasTokens = Number.isFinite(prompt);
     const terms: RequestTerms = {
       id: "r",
-      tokensTold,
-      promptTokens: tokensTold ? prompt : 0,
-      maxOutputTokens: tokensTold ? output : 0,
+      tokensTold: hasTokens,
+      promptTokens: hasTokens ? prompt : 0,
+      maxOutputTokens: hasTokens ? output : 0,
       parts: [],
     };
     const limit = { unit, perSecond: 1, burst: 1, plainTokens: 200 };
--- a/packages/account-quota/src/account-quota.ts
+++ b/packages/account-quota/src/account-quota.ts
@@ -1,29 +1,29 @@
 /**
- * Limits of client accounts over all boxes together, as one box keeps them: it takes units from what it has at
- * hand, and obtains more from the account's allocator.
+ * Enforces the rate limits of client accounts on one box. Requests are admitted from units that the box has
+ * obtained in advance; when these run out, it requests more from the account's allocator.
  */
 import type { Clock } from "@linkfall/kernel";
 import type { ClientAccount, Milliseconds } from "@linkfall/types";
-import type { QuotaRequest, QuotaGrant } from "./messages.js";
-import { createQuotaSource, type QuotaPeers, type QuotaTolerance } from "./quota-source.js";
 import {
   addUnits,
+  cachedRetryAfterMs,
   createLocalBudget,
-  recordRefusal,
-  recordDemand,
   type LocalBudget,
-  cachedRetryAfterMs,
   needsRefill,
-  takeUnits,
   prefetchUnits,
+  recordDemand,
+  recordRefusal,
+  takeUnits,
 } from "./local-budget.js";
+import type { QuotaGrant, QuotaRequest } from "./messages.js";
+import { createQuotaSource, type QuotaPeers, type QuotaTolerance } from "./quota-source.js";
 
 export type QuotaDecision =
   | { readonly kind: "admitted" }
-  /** The limit is used up until then. */
+  /** The limit is exhausted; retry after the given time. */
   | { readonly kind: "refused"; readonly retryAfterMs: Milliseconds };
 
-/** What a request counts, and under which configuration. */
+/** The units that a request is charged, and the configuration version that sets the limit. */
 export interface QuotaCharge {
   readonly account: ClientAccount;
   readonly units: number;
@@ -31,82 +31,86 @@
 }
 
 export interface AccountQuota {
-  /** Decides on a request, at once or after one call to another box. */
-  admit(use: QuotaCharge): Promise<QuotaDecision>;
-  /** Gives back what was taken for a request that did not run. */
-  refund(use: QuotaCharge): void;
-  /** Takes what ran beside what was admitted, such as a repeated send. */
-  chargeExtra(use: QuotaCharge): void;
-  /** Allocates for another box that has asked. */
-  allocate(ask: QuotaRequest): Promise<QuotaGrant>;
+  /** Admits or refuses a request, either locally or after a call to another box. */
+  admit(charge: QuotaCharge): Promise<QuotaDecision>;
+  /** Returns the units of an admitted request that was not executed. */
+  refund(charge: QuotaCharge): void;
+  /** Charges execution beyond what was admitted, such as a retry. The local budget may become negative. */
+  chargeExtra(charge: QuotaCharge): void;
+  /** Handles an allocation request from another box. */
+  allocate(request: QuotaRequest): Promise<QuotaGrant>;
 }
 
 const admitted: QuotaDecision = { kind: "admitted" };
 
-function toAsk({ account, version }: QuotaCharge, needed: number, ahead: number): QuotaRequest {
+function toRequest({ account, version }: QuotaCharge, needed: number, ahead: number): QuotaRequest {
   const { perSecond = 0, burst = 0 } = account.limit ?? {};
   return { account: account.name, version, rate: { perSecond, burst }, needed, ahead };
 }
 
-/** Creates the limits of one box. */
+/** Creates the quota enforcement of one box. */
 export function createAccountQuota(
   clock: Clock,
   peers: QuotaPeers,
   tolerance: QuotaTolerance,
 ): AccountQuota {
-  const stocks = new Map<string, LocalBudget>();
+  const budgets = new Map<string, LocalBudget>();
   const source = createQuotaSource(clock, peers, tolerance);
 
-  const stockOf = (account: string): LocalBudget => {
-    const known = stocks.get(account);
-    if (known) return known;
+  const budgetOf = (account: string): LocalBudget => {
+    const existing = budgets.get(account);
+    if (existing) return existing;
     const created = createLocalBudget(clock.now());
-    stocks.set(account, created);
+    budgets.set(account, created);
     return created;
   };
 
-  const refill = async (use: QuotaCharge, stock: LocalBudget): Promise<void> => {
-    stock.refilling = true;
-    const { granted } = await source.acquire(toAsk(use, 0, prefetchUnits(stock, use.units)));
-    stock.refilling = false;
-    if (granted > 0) addUnits(stock, granted, clock.now());
+  const refill = async (charge: QuotaCharge, budget: LocalBudget): Promise<void> => {
+    budget.refilling = true;
+    const { granted } = await source.acquire(
+      toRequest(charge, 0, prefetchUnits(budget, charge.units)),
+    );
+    budget.refilling = false;
+    if (granted > 0) addUnits(budget, granted, clock.now());
   };
 
-  const askFor = async (use: QuotaCharge, stock: LocalBudget): Promise<QuotaDecision> => {
-    const owed = Math.max(0, -stock.units);
-    stock.units += owed;
-    const needed = use.units + owed;
-    const grant = await source.acquire(toAsk(use, needed, prefetchUnits(stock, use.units)));
+  const acquireUnits = async (charge: QuotaCharge, budget: LocalBudget): Promise<QuotaDecision> => {
+    const debt = Math.max(0, -budget.units);
+    budget.units += debt;
+    const needed = charge.units + debt;
+    const grant = await source.acquire(
+      toRequest(charge, needed, prefetchUnits(budget, charge.units)),
+    );
     const now = clock.now();
     if (grant.granted >= needed) {
-      addUnits(stock, grant.granted - needed, now);
+      addUnits(budget, grant.granted - needed, now);
       return admitted;
     }
-    stock.units -= owed;
-    recordRefusal(stock, use.units, grant.waitMs, now);
+    budget.units -= debt;
+    recordRefusal(budget, charge.units, grant.waitMs, now);
     return { kind: "refused", retryAfterMs: grant.waitMs };
   };
 
   return {
-    async admit(use) {
-      const { account, units } = use;
+    async admit(charge) {
+      const { account, units } = charge;
       if (!account.limit) return admitted;
       const now = clock.now();
-      const stock = stockOf(account.name);
-      recordDemand(stock, units, now);
-      if (takeUnits(stock, units, now)) {
-        if (needsRefill(stock, units)) void refill(use, stock);
+      const budget = budgetOf(account.name);
+      recordDemand(budget, units, now);
+      if (takeUnits(budget, units, now)) {
+        if (needsRefill(budget, units)) void refill(charge, budget);
         return admitted;
       }
-      const retryAfterMs = cachedRetryAfterMs(stock, units, account.limit.perSecond, now);
+      const retryAfterMs = cachedRetryAfterMs(budget, units, account.limit.perSecond, now);
       if (retryAfterMs !== undefined) return { kind: "refused", retryAfterMs };
-      return askFor(use, stock);
+      return acquireUnits(charge, budget);
     },
     refund({ account, units }) {
-      if (account.limit) addUnits(stockOf(account.name), units, clock.now());
+      if (account.limit) addUnits(budgetOf(account.name), units, clock.now());
     },
     chargeExtra({ account, units }) {
-      if (account.limit) stockOf(account.name).units -= units;
+      if (account.limit) budgetOf(account.name).units -= units;
     },
     allocate: source.allocate,
   };
--- a/packages/account-quota/src/local-budget.ts
+++ b/packages/account-quota/src/local-budget.ts
@@ -1,96 +1,96 @@
-/** Units of one account that a box has at hand, and how fast it uses them. */
+/** The units of one account that a box holds locally, and the demand that determines how many it prefetches. */
 import type { Milliseconds } from "@linkfall/types";
 
-/** Changed in place by the functions of this module. */
+/** Mutated in place by the functions of this module. */
 export interface LocalBudget {
-  /** Units at hand; below 0 where more ran than was granted. */
+  /** Available units; negative if more was executed than granted. */
   units: number;
-  /** Units a second that requests of this box have asked for lately. */
+  /** Exponentially decaying average of the units per second that requests ask for. */
   demandPerSecond: number;
   demandUpdatedAt: Milliseconds;
   lastGrantAt: Milliseconds;
-  /** A call for more that no request waits for is under way. */
+  /** Whether a prefetch is in progress. */
   refilling: boolean;
-  /** Last refusal, while it still tells what the next answer would be. */
+  /** The last refusal; cleared by a grant. */
   refusal?: CachedRefusal;
 }
 
 interface CachedRefusal {
-  /** Smallest request that was refused. */
+  /** Units of the refused request; smaller requests are not covered. */
   minUnits: number;
   readonly validUntil: Milliseconds;
-  /** When a request that is refused now may come back. */
+  /** Earliest time at which the next refused request may be retried. */
   retryAt: Milliseconds;
 }
 
 const millisecondsPerSecond = 1000;
-/** Time over which use is averaged. */
-const useMs: Milliseconds = 1_000;
+/** Time constant of the demand average. */
+const demandAveragingMs: Milliseconds = 1_000;
 /**
- * Time of use that is asked for ahead. What lies unused at all boxes together may be let through later than
- * it was allotted, so this has to stay well under the share of the limit that may be exceeded, a tenth of
- * several seconds.
+ * Duration of demand that is prefetched. Prefetched units may be used later than they were allocated, so this
+ * must stay well below the tolerated overage, a tenth of several seconds.
  */
-const aheadMs: Milliseconds = 250;
-/** Units that were not used for this long are let go of. */
-const keptMs: Milliseconds = 1_000;
-/** A refusal is repeated for this long without asking again. */
-const refusalMs: Milliseconds = 200;
+const prefetchMs: Milliseconds = 250;
+/** Units are discarded when nothing has been granted for this long. */
+const unusedUnitsTtlMs: Milliseconds = 1_000;
+/** Maximum time for which a refusal is answered from the cache. */
+const maxRefusalCacheMs: Milliseconds = 200;
 
 export function createLocalBudget(now: Milliseconds): LocalBudget {
   return { units: 0, demandPerSecond: 0, demandUpdatedAt: now, lastGrantAt: now, refilling: false };
 }
 
-/** Notes that a request asks for units. */
-export function recordDemand(stock: LocalBudget, units: number, now: Milliseconds): void {
-  const decay = Math.exp(-(now - stock.demandUpdatedAt) / useMs);
-  stock.demandPerSecond = stock.demandPerSecond * decay + (units * millisecondsPerSecond) / useMs;
-  stock.demandUpdatedAt = now;
+/** Updates the demand average with the units of a request. */
+export function recordDemand(budget: LocalBudget, units: number, now: Milliseconds): void {
+  const decay = Math.exp(-(now - budget.demandUpdatedAt) / demandAveragingMs);
+  budget.demandPerSecond =
+    budget.demandPerSecond * decay + (units * millisecondsPerSecond) / demandAveragingMs;
+  budget.demandUpdatedAt = now;
 }
 
-/** Takes units if they are at hand. */
-export function takeUnits(stock: LocalBudget, units: number, now: Milliseconds): boolean {
-  if (now - stock.lastGrantAt > keptMs) stock.units = Math.min(0, stock.units);
-  if (stock.units < units) return false;
-  stock.units -= units;
+/** Takes units if enough are available; returns whether it did. */
+export function takeUnits(budget: LocalBudget, units: number, now: Milliseconds): boolean {
+  if (now - budget.lastGrantAt > unusedUnitsTtlMs) budget.units = Math.min(0, budget.units);
+  if (budget.units < units) return false;
+  budget.units -= units;
   return true;
 }
 
-export function addUnits(stock: LocalBudget, units: number, now: Milliseconds): void {
-  stock.units += units;
-  stock.lastGrantAt = now;
-  stock.refusal = undefined;
+export function addUnits(budget: LocalBudget, units: number, now: Milliseconds): void {
+  budget.units += units;
+  budget.lastGrantAt = now;
+  budget.refusal = undefined;
 }
 
-/** Units to ask for ahead; 0 where requests are so rare that each asks for itself. */
-export function prefetchUnits({ demandPerSecond: useRate }: LocalBudget, units: number): number {
-  const ahead = (useRate * aheadMs) / millisecondsPerSecond;
+/** Number of units to prefetch; 0 if demand is too low for a prefetch to save calls. */
+export function prefetchUnits({ demandPerSecond }: LocalBudget, units: number): number {
+  const ahead = (demandPerSecond * prefetchMs) / millisecondsPerSecond;
   return ahead >= 2 * units ? Math.round(ahead) : 0;
 }
 
-/** Whether less than half of what is wanted ahead is left. */
-export function needsRefill(stock: LocalBudget, units: number): boolean {
-  const ahead = prefetchUnits(stock, units);
-  return !stock.refilling && ahead > 0 && stock.units < ahead / 2;
+/** Whether to start a prefetch: less than half of its target is left, and none is in progress. */
+export function needsRefill(budget: LocalBudget, units: number): boolean {
+  const ahead = prefetchUnits(budget, units);
+  return !budget.refilling && ahead > 0 && budget.units < ahead / 2;
 }
 
-/** Keeps a refusal; `waitMs` is when the request would have been let through. */
+/** Caches a refusal; `waitMs` is the time until the request could have been granted. */
 export function recordRefusal(
-  stock: LocalBudget,
+  budget: LocalBudget,
   units: number,
   waitMs: Milliseconds,
   now: Milliseconds,
 ): void {
-  stock.refusal = {
+  budget.refusal = {
     minUnits: units,
-    validUntil: now + Math.min(waitMs, refusalMs),
+    validUntil: now + Math.min(waitMs, maxRefusalCacheMs),
     retryAt: now + waitMs,
   };
 }
 
 /**
- * Time after which a request may come back that a kept refusal covers; undefined where there is none. Each one
- * that is refused so is sent behind the one before it.
+ * Returns the time after which a request may be retried if the cached refusal covers it, else undefined. Each call
+ * moves the retry time back by the request's units, so that retries are spread out.
  */
 export function cachedRetryAfterMs(
   { refusal }: LocalBudget,
--- a/packages/account-quota/src/messages.ts
+++ b/packages/account-quota/src/messages.ts
@@ -1,31 +1,32 @@
-/** What boxes say to each other of the limits of client accounts. */
-import type { AllocationRequest, AllocationGrant } from "@linkfall/allocation";
+/** Messages between boxes about the limits of client accounts. */
+import type { AllocationGrant, AllocationRequest } from "@linkfall/allocation";
 import type { Milliseconds } from "@linkfall/types";
 
-/** How fast an account's allowance grows, in the unit of its limit. */
+/** The rate at which an account's bucket is refilled, in the unit of its limit. */
 export interface QuotaRate {
-  /** Units a second. */
+  /** Units per second. */
   readonly perSecond: number;
-  /** Most units that may be saved up. */
+  /** Capacity of the bucket, in units. */
   readonly burst: number;
 }
 
-/** A box asks the allocator of an account for a part of its limit. */
+/** Requests units of an account from its allocator. */
 export interface QuotaRequest extends AllocationRequest {
   readonly account: string;
-  /** The limit as the asking box has it, and the version of that configuration. */
+  /** The limit in the sender's configuration. */
   readonly rate: QuotaRate;
+  /** Version of the sender's configuration. */
   readonly version: number;
-  /** Units for a request that waits for the answer; 0 where none does. */
+  /** Units for a request that waits for the grant; 0 for a prefetch. */
   readonly needed: number;
-  /** Units that the box would like to have at hand for the requests that come next. */
+  /** Additional units that the sender would prefetch for upcoming requests. */
   readonly ahead: number;
 }
 
-/** The allocator's answer. */
+/** The allocator's response. */
 export interface QuotaGrant extends AllocationGrant {
-  /** Units that the box may let through; covers `needed` or is 0 where that was more than 0. */
+  /** Units granted: at least `needed`, or 0 if a positive `needed` was refused. */
   readonly granted: number;
-  /** Time until `needed` will be there, for all who were refused before as well; 0 where it was granted. */
+  /** Time until `needed` is available behind earlier refused requests; 0 if granted. */
   readonly waitMs: Milliseconds;
 }
--- a/packages/account-quota/src/quota-allocator.ts
+++ b/packages/account-quota/src/quota-allocator.ts
@@ -1,105 +1,102 @@
 /**
- * Hands out the limits of client accounts. One box allocates for each account, so that the sum over all
- * boxes is exact while its allocator is reached: whatever a box lets through has been taken from one bucket.
- *
- * Load that it answers: one account at several times its usual through many boxes at once. Boxes that count
- * for themselves and tell each other now and then let all of that through until the news has gone round.
+ * Allocates the limits of client accounts from one token bucket per account. Each account has a single allocating
+ * box; counting per box with periodic synchronization would admit several times the limit until counts converge.
  */
 import type { Clock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
-import type { QuotaRequest, QuotaGrant, QuotaRate } from "./messages.js";
+import type { QuotaGrant, QuotaRate, QuotaRequest } from "./messages.js";
 
-/** What one account may still have. */
-interface Allowance {
+/** The token bucket of one account. */
+interface AccountBucket {
   rate: QuotaRate;
-  /** Version of the configuration that `rate` is of. */
+  /** Version of the configuration that `rate` was read from. */
   version: number;
-  /** Units at hand; below 0 after a request that was larger than what was left. */
+  /** Available units; negative after a request larger than what was left. */
   level: number;
-  /** Units of requests that were refused and will probably come again. */
+  /** Units of refused requests that are expected to be retried. */
   backlog: number;
-  filledAt: Milliseconds;
+  refilledAt: Milliseconds;
 }
 
 export interface QuotaAllocator {
-  grant(ask: QuotaRequest): QuotaGrant;
-  /** Begins again with first levels: others have let requests through meanwhile, by parts of their own. */
+  grant(request: QuotaRequest): QuotaGrant;
+  /** Caps every bucket at its initial level, since isolated boxes have admitted requests from their own shares. */
   reset(): void;
 }
 
 const millisecondsPerSecond = 1000;
-/** Nothing is granted ahead from the last part of the burst: it is left for requests that wait. */
-const keptForRequests = 0.25;
-/** An account that nobody asked for in this time may have had another allocator meanwhile. */
-const restMs: Milliseconds = 2_000;
-/** Refused requests are believed to come again for this long. */
-const backlogSeconds = 4;
+/** Fraction of the burst that is never granted ahead, but reserved for waiting requests. */
+const reservedBurstFraction = 0.25;
+/** After this time without requests, another allocator may have served the account. */
+const idleResetMs: Milliseconds = 2_000;
+/** Upper bound of the backlog, in seconds at the account's rate. */
+const maxBacklogSeconds = 4;
 
-function fill(allowance: Allowance, now: Milliseconds): void {
-  const { perSecond, burst } = allowance.rate;
-  const gained = ((now - allowance.filledAt) * perSecond) / millisecondsPerSecond;
-  allowance.level = Math.min(burst, allowance.level + gained);
-  allowance.backlog = Math.max(0, allowance.backlog - gained);
-  allowance.filledAt = now;
+function refill(bucket: AccountBucket, now: Milliseconds): void {
+  const { perSecond, burst } = bucket.rate;
+  const gained = ((now - bucket.refilledAt) * perSecond) / millisecondsPerSecond;
+  bucket.level = Math.min(burst, bucket.level + gained);
+  bucket.backlog = Math.max(0, bucket.backlog - gained);
+  bucket.refilledAt = now;
 }
 
-/** Takes a limit that is not older; what was saved up stays, up to the new burst. */
-function follow(allowance: Allowance, { rate, version }: QuotaRequest): void {
-  if (version < allowance.version) return;
-  allowance.rate = rate;
-  allowance.version = version;
-  allowance.level = Math.min(allowance.level, rate.burst);
+/** Applies the limit of a request unless its version is outdated; the level is capped at the new burst. */
+function applyLimit(bucket: AccountBucket, { rate, version }: QuotaRequest): void {
+  if (version < bucket.version) return;
+  bucket.rate = rate;
+  bucket.version = version;
+  bucket.level = Math.min(bucket.level, rate.burst);
 }
 
-function refuse(allowance: Allowance, needed: number): QuotaGrant {
-  const { perSecond } = allowance.rate;
-  const missing = allowance.backlog - allowance.level;
-  allowance.backlog = Math.min(allowance.backlog + needed, perSecond * backlogSeconds);
+function refuse(bucket: AccountBucket, needed: number): QuotaGrant {
+  const { perSecond } = bucket.rate;
+  const missing = bucket.backlog - bucket.level;
+  bucket.backlog = Math.min(bucket.backlog + needed, perSecond * maxBacklogSeconds);
   return { granted: 0, waitMs: 1 + Math.ceil((missing * millisecondsPerSecond) / perSecond) };
 }
 
 /**
- * Creates an allocator that knows no account yet.
+ * Creates an allocator without any buckets.
  *
- * @param firstLevel units that an account has at first, and after a rest. An allocator cannot know what
- *   another one has granted meanwhile, so this has to stay within what may be let through beyond the limit.
+ * @param initialLevel units in a new or idle bucket. A previous allocator may have granted units that this one
+ *   has no record of, so the value must stay within the tolerated overage.
  */
 export function createQuotaAllocator(
   clock: Clock,
-  firstLevel: (rate: QuotaRate) => number,
+  initialLevel: (rate: QuotaRate) => number,
 ): QuotaAllocator {
-  const allowances = new Map<string, Allowance>();
+  const buckets = new Map<string, AccountBucket>();
 
-  const allowanceFor = ({ account, rate, version }: QuotaRequest): Allowance => {
-    const known = allowances.get(account);
-    if (known) return known;
-    const level = Math.min(rate.burst, firstLevel(rate));
-    const created = { rate, version, level, backlog: 0, filledAt: clock.now() };
-    allowances.set(account, created);
+  const bucketFor = ({ account, rate, version }: QuotaRequest): AccountBucket => {
+    const existing = buckets.get(account);
+    if (existing) return existing;
+    const level = Math.min(rate.burst, initialLevel(rate));
+    const created = { rate, version, level, backlog: 0, refilledAt: clock.now() };
+    buckets.set(account, created);
     return created;
   };
 
   return {
-    grant(ask) {
-      const allowance = allowanceFor(ask);
-      const rested = clock.now() - allowance.filledAt > restMs;
-      fill(allowance, clock.now());
-      follow(allowance, ask);
-      if (rested) allowance.level = Math.min(allowance.level, firstLevel(allowance.rate));
-      const { burst } = allowance.rate;
-      // While anything is left a request may go, and owes what is missing: large ones are not starved by
-      // small ones, and none is larger than it may ever be.
-      if (ask.needed > 0 && allowance.level <= 0) return refuse(allowance, ask.needed);
-      allowance.level -= ask.needed;
-      const spare = Math.max(0, allowance.level - burst * keptForRequests);
-      const ahead = Math.min(ask.ahead, spare);
-      allowance.level -= ahead;
-      return { granted: ask.needed + ahead, waitMs: 0 };
+    grant(request) {
+      const bucket = bucketFor(request);
+      const wasIdle = clock.now() - bucket.refilledAt > idleResetMs;
+      refill(bucket, clock.now());
+      applyLimit(bucket, request);
+      if (wasIdle) bucket.level = Math.min(bucket.level, initialLevel(bucket.rate));
+      const { burst } = bucket.rate;
+      // A request is granted while the level is positive and may overdraw the bucket. This keeps large requests
+      // from being starved by small ones, and admits requests larger than the burst.
+      if (request.needed > 0 && bucket.level <= 0) return refuse(bucket, request.needed);
+      bucket.level -= request.needed;
+      const spare = Math.max(0, bucket.level - burst * reservedBurstFraction);
+      const ahead = Math.min(request.ahead, spare);
+      bucket.level -= ahead;
+      return { granted: request.needed + ahead, waitMs: 0 };
     },
     reset() {
-      for (const allowance of allowances.values()) {
-        fill(allowance, clock.now());
-        allowance.level = Math.min(allowance.level, firstLevel(allowance.rate));
+      for (const bucket of buckets.values()) {
+        refill(bucket, clock.now());
+        bucket.level = Math.min(bucket.level, initialLevel(bucket.rate));
       }
     },
   };
--- a/packages/account-quota/src/quota-source.ts
+++ b/packages/account-quota/src/quota-source.ts
@@ -1,97 +1,97 @@
-/** Where a box gets units from: the account's allocator, the next in rank, or its own part. */
+/** Obtains units for a box from the account's allocator, the next candidate, or the box's own share of the limit. */
 import {
-  type DistributedAllocator,
   type AllocationPeers,
-  type LocalAllocator,
   createDistributedAllocator,
+  type DistributedAllocator,
+  type LocalAllocator,
 } from "@linkfall/allocation";
 import type { Clock } from "@linkfall/kernel";
-import { type GrantSummary, createGrantSummaries } from "./grant-summaries.js";
+import { createGrantSummaries, type GrantSummary } from "./grant-summaries.js";
+import type { QuotaGrant, QuotaRate, QuotaRequest } from "./messages.js";
 import { createQuotaAllocator } from "./quota-allocator.js";
-import type { QuotaRequest, QuotaGrant, QuotaRate } from "./messages.js";
 
-/** What may be let through beyond the limit in one window, over all boxes. */
+/** How far all boxes together may exceed a limit within one window. */
 export interface QuotaTolerance {
   readonly windowSeconds: number;
-  /** Share of the limit. */
+  /** Tolerated excess as a fraction of the limit. */
   readonly overage: number;
-  /** Units beside that share. */
+  /** Units tolerated in addition to `overage`. */
   readonly slack: number;
 }
 
-/** The other boxes, as far as the limits need them. */
+/** Access to the other boxes. */
 export interface QuotaPeers extends AllocationPeers<QuotaRequest, QuotaGrant> {
-  /** Part of each limit that is this box's own while it is cut off. */
+  /** Fraction of each limit that this box may use while it is isolated. */
   ownShare(): number;
-  /** Parts of the boxes that are silent, and may be serving callers by their own parts. */
+  /** Fraction of each limit that silent boxes may be using on their own. */
   silentShare(): number;
-  /** Hears of each decision that this box has taken alone, on a part of an account's limit. */
+  /** Called for each decision that this box makes from its own share of an account's limit. */
   onIsolatedDecision?(account: string, granted: number, part: number): void;
-  /** Hears, each second at most, what this box has allotted of an account's limit that runs short. */
-  onExhausted?(allotted: GrantSummary): void;
+  /** Called at most once per second with the grants of an account whose limit is exhausted. */
+  onExhausted?(summary: GrantSummary): void;
 }
 
 export type QuotaSource = DistributedAllocator<QuotaRequest, QuotaGrant>;
 
 /**
- * Part of the tolerance that a new allocator starts with: the one before it, units at hand at the boxes, and boxes
- * that do not know yet that they are cut off share the rest.
+ * Fraction of the tolerance with which a new allocator starts. The rest covers the previous allocator, units
+ * prefetched by boxes, and boxes that have not detected their isolation yet.
  */
-const firstShare = 0.22;
+const initialToleranceFraction = 0.22;
 
-/** However many boxes are silent, this part of a limit is left to those that are not. */
-const leastConnectedPart = 0.5;
+/** Minimum fraction of a limit that is available to boxes that are not silent. */
+const minConnectedShare = 0.5;
 
-const declined: QuotaGrant = { granted: 0, waitMs: 0, declined: true };
+const declinedGrant: QuotaGrant = { granted: 0, waitMs: 0, declined: true };
 
-function toleranceOf(rate: QuotaRate, tolerance: QuotaTolerance): number {
+function toleratedUnits(rate: QuotaRate, tolerance: QuotaTolerance): number {
   const limit = rate.perSecond * tolerance.windowSeconds + rate.burst;
   return limit * tolerance.overage + tolerance.slack;
 }
 
-function partOfRate({ perSecond, burst }: QuotaRate, part: number): QuotaRate {
-  return { perSecond: perSecond * part, burst: burst * part };
+function scaleRate({ perSecond, burst }: QuotaRate, share: number): QuotaRate {
+  return { perSecond: perSecond * share, burst: burst * share };
 }
 
-function createAllocators(
+function createLocalAllocator(
   clock: Clock,
   peers: QuotaPeers,
   tolerance: QuotaTolerance,
 ): LocalAllocator<QuotaRequest, QuotaGrant> {
-  const firstLevel = (rate: QuotaRate) => toleranceOf(rate, tolerance) * firstShare;
-  const shared = createQuotaAllocator(clock, firstLevel);
-  /** Used while this box is cut off; its rates are a part of the limits. */
-  const alone = createQuotaAllocator(clock, (rate) => rate.burst);
-  const allotments = createGrantSummaries(clock, (allotted) => peers.onExhausted?.(allotted));
+  const initialLevel = (rate: QuotaRate) =>
+    toleratedUnits(rate, tolerance) * initialToleranceFraction;
+  const shared = createQuotaAllocator(clock, initialLevel);
+  /** Used while this box is isolated, with rates scaled to its own share. */
+  const isolated = createQuotaAllocator(clock, (rate) => rate.burst);
+  const summaries = createGrantSummaries(clock, (summary) => peers.onExhausted?.(summary));
 
   return {
-    grantIsolated(ask) {
-      // The burst itself may have been used by the box that allocated until now.
-      const whole = { perSecond: ask.rate.perSecond, burst: firstLevel(ask.rate) };
-      const part = peers.ownShare();
-      const grant = alone.grant({ ...ask, ahead: 0, rate: partOfRate(whole, part) });
-      peers.onIsolatedDecision?.(ask.account, grant.granted, part);
+    grantIsolated(request) {
+      // The full burst may already have been granted by the previous allocator.
+      const rate = { perSecond: request.rate.perSecond, burst: initialLevel(request.rate) };
+      const share = peers.ownShare();
+      const grant = isolated.grant({ ...request, ahead: 0, rate: scaleRate(rate, share) });
+      peers.onIsolatedDecision?.(request.account, grant.granted, share);
       return grant;
     },
-    // Boxes that are silent may serve callers by their own parts, so that these are not to be had here.
-    grantShared(ask) {
-      const part = Math.max(leastConnectedPart, 1 - peers.silentShare());
-      const grant = shared.grant({ ...ask, rate: partOfRate(ask.rate, part) });
-      allotments.record(ask.account, grant, part);
+    // Excludes the shares of silent boxes, which may be admitting requests on their own.
+    grantShared(request) {
+      const share = Math.max(minConnectedShare, 1 - peers.silentShare());
+      const grant = shared.grant({ ...request, rate: scaleRate(request.rate, share) });
+      summaries.record(request.account, grant, share);
       return grant;
     },
-    // What this box knows of before it was cut off says little afterwards.
+    // Levels from before the disconnection are stale.
     onReconnected: () => shared.reset(),
-    declinedGrant: declined,
+    declinedGrant,
   };
 }
 
-/** Creates the source of one box. */
 export function createQuotaSource(
   clock: Clock,
   peers: QuotaPeers,
   tolerance: QuotaTolerance,
 ): QuotaSource {
-  const allocators = createAllocators(clock, peers, tolerance);
-  return createDistributedAllocator(clock, peers, allocators, ({ account }) => account);
+  const local = createLocalAllocator(clock, peers, tolerance);
+  return createDistributedAllocator(clock, peers, local, ({ account }) => account);
 }
--- a/packages/account-quota/src/units.ts
+++ b/packages/account-quota/src/units.ts
@@ -1,7 +1,7 @@
-/** What a request counts against the limit of its account. */
+/** Computes how many units a request is charged against the limit of its account. */
 import type { AccountLimit, RequestTerms } from "@linkfall/types";
 
-/** Units of a request: one, or its tokens, read and made. */
+/** Returns 1 for a limit in requests, and prompt plus maximum output tokens for a limit in tokens. */
 export function unitsOf(limit: AccountLimit, terms: RequestTerms): number {
   if (limit.unit === "requests") return 1;
   if (!terms.tokensTold) return limit.plainTokens;
