--- a/packages/allocation/src/index.ts
+++ b/packages/allocation/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Hands out what all boxes share, such as a limit. For each name one box allocates, so that the sum over all boxes is
- * exact while that box is reached; a box without an answer decides alone, on its own part.
+ * Allocates a resource that all boxes share, such as a rate limit. One box allocates each key, which keeps the total
+ * exact while that box is reachable; a box that reaches no allocator grants from its own share.
  */
 import type { PeerUnreachable } from "@linkfall/errors";
 import type { Clock } from "@linkfall/kernel";
@@ -8,69 +8,69 @@
 import type { Either } from "purify-ts";
 
 export interface AllocationRequest {
-  /** A box that was asked in place of the allocator passes it on: it is answered or declined, not passed on again. */
+  /** Set on a request that another box has forwarded to the allocator; such a request is not forwarded again. */
   readonly passedOn?: boolean;
 }
 
 export interface AllocationGrant {
-  /** The box may not allocate now: it is cut off from most others itself. */
+  /** The receiver may not allocate because it is isolated from the majority itself. */
   readonly declined?: boolean;
 }
 
-/** The other boxes, as far as an allocation needs them. */
-export interface AllocationPeers<Ask, Grant> {
-  /** Addresses of the boxes that may allocate for a name, in the order in which they are asked. */
-  allocators(name: string): readonly string[];
-  /** Address of this box among them. */
+/** Access to the other boxes. */
+export interface AllocationPeers<Request, Grant> {
+  /** Addresses of the boxes that may allocate a key, in order of preference. */
+  allocators(key: string): readonly string[];
+  /** Address of this box, as in `allocators`. */
   readonly self: string;
-  /** Resolves with a failure where the box does not answer. */
-  sendRequest(address: string, ask: Ask): Promise<Either<PeerUnreachable, Grant>>;
-  /** Whether this box belongs to the better part of all boxes, which allocates together. */
+  /** Sends a request to another box; resolves to a failure if there is no response. */
+  sendRequest(address: string, request: Request): Promise<Either<PeerUnreachable, Grant>>;
+  /** Whether this box is connected to the majority of boxes. */
   connected(): boolean;
 }
 
-/** What this box hands out itself. */
-export interface LocalAllocator<Ask, Grant> {
-  /** For all boxes. */
-  grantShared(ask: Ask): Grant;
-  /** For this box, from its own part. */
-  grantIsolated(ask: Ask): Grant;
-  /** This box has been cut off from most others. */
+/** Grants on behalf of this box, without calls to others. */
+export interface LocalAllocator<Request, Grant> {
+  /** Grants as the allocator for all boxes. */
+  grantShared(request: Request): Grant;
+  /** Grants to this box only, from its own share. */
+  grantIsolated(request: Request): Grant;
+  /** Called when this box has lost its connection to the majority. */
   onDisconnected?(): void;
-  /** This box is connected again: others have allocated meanwhile. */
+  /** Called when this box is connected again; other boxes have allocated in the meantime. */
   onReconnected(): void;
-  /** Answer of a box that may not allocate. */
+  /** Response of a box that may not allocate. */
   readonly declinedGrant: Grant;
 }
 
-export interface DistributedAllocator<Ask, Grant> {
-  /** Asks the first allocator that answers; this box decides alone where none does. */
-  acquire(ask: Ask): Promise<Grant>;
-  /** Allocates for another box that has asked, or asks the allocator for it. */
-  allocate(ask: Ask): Promise<Grant>;
+export interface DistributedAllocator<Request, Grant> {
+  /** Requests a grant from the first allocator that responds; falls back to this box's own share. */
+  acquire(request: Request): Promise<Grant>;
+  /** Handles the request of another box, by allocating or by forwarding it to the allocator. */
+  allocate(request: Request): Promise<Grant>;
 }
 
-/** A box that does not answer within this time is passed over: a fraction of the shortest objectives. */
-const answerMs: Milliseconds = 120;
-/** The same for a box that may first have to find out that the one before it does not answer. */
-const passedOnAnswerMs: Milliseconds = 2 * answerMs;
+/** Timeout of a request, a fraction of the shortest latency objectives. */
+const requestTimeoutMs: Milliseconds = 120;
+/** Timeout of a request to a fallback allocator, which may first try to forward it to the preferred one. */
+const fallbackTimeoutMs: Milliseconds = 2 * requestTimeoutMs;
 /**
- * A box that did not answer is not asked again for this long. Until all have asked it again, two boxes may hand out
- * one limit: this has to stay under the time in which a hot account uses up what is tolerated.
+ * Time for which an allocator that did not respond is skipped. Until every box has retried it, two boxes may allocate
+ * the same key, so this must be less than the time in which the tolerated excess is used up.
  */
-const passOverMs: Milliseconds = 800;
-/** Boxes that are asked for one request before this one decides alone. */
-const mostAsked = 2;
+const unresponsiveSkipMs: Milliseconds = 800;
+/** Number of allocators tried for one request before granting from the own share. */
+const maxAttempts = 2;
 
-/** Resolves with undefined when the answer does not come in time. */
-function within<T>(
+/** Resolves to undefined if the promise does not settle within the timeout. */
+function withTimeout<T>(
   clock: Clock,
-  limitMs: Milliseconds,
-  answer: Promise<T>,
+  timeoutMs: Milliseconds,
+  promise: Promise<T>,
 ): Promise<T | undefined> {
   return new Promise((resolve) => {
-    const cancel = clock.after(limitMs, () => resolve(undefined));
-    void answer.then((value) => {
+    const cancel = clock.after(timeoutMs, () => resolve(undefined));
+    void promise.then((value) => {
       cancel();
       resolve(value);
     });
@@ -78,69 +78,73 @@
 }
 
 /**
- * Creates the allocation of one box.
+ * Creates the allocator of one box.
  *
- * @param nameOf what an ask is for; each name has an allocator of its own
+ * @param keyOf returns the key of a request; each key is allocated separately
  */
 export function createDistributedAllocator<
-  Ask extends AllocationRequest,
+  Request extends AllocationRequest,
   Grant extends AllocationGrant,
 >(
   clock: Clock,
-  peers: AllocationPeers<Ask, Grant>,
-  allocators: LocalAllocator<Ask, Grant>,
-  nameOf: (ask: Ask) => string,
-): DistributedAllocator<Ask, Grant> {
-  const silentUntil = new Map<string, Milliseconds>();
+  peers: AllocationPeers<Request, Grant>,
+  local: LocalAllocator<Request, Grant>,
+  keyOf: (request: Request) => string,
+): DistributedAllocator<Request, Grant> {
+  const skippedUntil = new Map<string, Milliseconds>();
   let wasConnected = true;
 
-  const isConnected = (): boolean => {
+  /** Checks the connection and notifies the local allocator of a change. */
+  const checkConnected = (): boolean => {
     const connected = peers.connected();
-    if (connected && !wasConnected) allocators.onReconnected();
-    if (!connected && wasConnected) allocators.onDisconnected?.();
+    if (connected && !wasConnected) local.onReconnected();
+    if (!connected && wasConnected) local.onDisconnected?.();
     wasConnected = connected;
     return connected;
   };
 
-  const askOther = async (
+  const requestFrom = async (
     address: string,
-    ask: Ask,
-    limitMs: Milliseconds,
+    request: Request,
+    timeoutMs: Milliseconds,
   ): Promise<Grant | undefined> => {
-    const answer = await within(clock, limitMs, peers.sendRequest(address, ask));
-    const grant = answer?.toMaybe().extract();
-    if (!grant || grant.declined) silentUntil.set(address, clock.now() + passOverMs);
+    const response = await withTimeout(clock, timeoutMs, peers.sendRequest(address, request));
+    const grant = response?.toMaybe().extract();
+    if (!grant || grant.declined) skippedUntil.set(address, clock.now() + unresponsiveSkipMs);
     return grant?.declined ? undefined : grant;
   };
 
-  /** Boxes that may allocate for the name, without those that did not answer lately. */
-  const answeringFor = (name: string): readonly string[] =>
-    peers.allocators(name).filter((address) => (silentUntil.get(address) ?? 0) <= clock.now());
+  /** Allocators of the key, except those that recently failed to respond. */
+  const candidatesFor = (key: string): readonly string[] =>
+    peers.allocators(key).filter((address) => (skippedUntil.get(address) ?? 0) <= clock.now());
 
-  const obtain = async (ask: Ask): Promise<Grant> => {
-    if (!isConnected()) return allocators.grantIsolated(ask);
-    const answering = answeringFor(nameOf(ask));
-    for (const [index, address] of answering.slice(0, mostAsked).entries()) {
-      if (address === peers.self) return allocators.grantShared(ask);
-      const grant = await askOther(address, ask, index === 0 ? answerMs : passedOnAnswerMs);
+  const acquire = async (request: Request): Promise<Grant> => {
+    if (!checkConnected()) return local.grantIsolated(request);
+    const candidates = candidatesFor(keyOf(request));
+    for (const [index, address] of candidates.slice(0, maxAttempts).entries()) {
+      if (address === peers.self) return local.grantShared(request);
+      const grant = await requestFrom(
+        address,
+        request,
+        index === 0 ? requestTimeoutMs : fallbackTimeoutMs,
+      );
       if (grant) return grant;
     }
-    return allocators.grantIsolated(ask);
+    return local.grantIsolated(request);
   };
 
   /**
-   * Answers a box that has asked this one. If another box comes first here, the asking box does not reach it: the ask
-   * is passed on, so that there is one allocator as long as any two boxes reach it. Without that two boxes hand
-   * out one limit under partial cuts.
+   * Forwards the request if this box prefers another allocator, which the sender apparently cannot reach. Without
+   * this, two boxes would allocate the same key during a partial network partition.
    */
-  const allocate = async (ask: Ask): Promise<Grant> => {
-    if (!isConnected()) return allocators.declinedGrant;
-    const [first] = answeringFor(nameOf(ask));
-    if (first === undefined || first === peers.self || ask.passedOn)
-      return allocators.grantShared(ask);
-    const grant = await askOther(first, { ...ask, passedOn: true }, answerMs);
-    return grant ?? allocators.grantShared(ask);
+  const allocate = async (request: Request): Promise<Grant> => {
+    if (!checkConnected()) return local.declinedGrant;
+    const [first] = candidatesFor(keyOf(request));
+    if (first === undefined || first === peers.self || request.passedOn)
+      return local.grantShared(request);
+    const grant = await requestFrom(first, { ...request, passedOn: true }, requestTimeoutMs);
+    return grant ?? local.grantShared(request);
   };
 
-  return { acquire: obtain, allocate };
+  return { acquire, allocate };
 }
