--- a/packages/account-quota/src/account-quota.ts
+++ b/packages/account-quota/src/account-quota.ts
@@ -14,7 +14,7 @@
   recordDemand,
   recordRefusal,
   takeUnits,
-} from "./local-budget.js";
+} from "./stock.js";
 import type { QuotaGrant, QuotaRequest } from "./messages.js";
 import { createQuotaSource, type QuotaPeers, type QuotaTolerance } from "./quota-source.js";
 
--- a/packages/account-quota/src/quota-source.ts
+++ b/packages/account-quota/src/quota-source.ts
@@ -6,9 +6,9 @@
   type LocalAllocator,
 } from "@linkfall/allocation";
 import type { Clock } from "@linkfall/kernel";
-import { createGrantSummaries, type GrantSummary } from "./grant-summaries.js";
+import { createGrantSummaries, type GrantSummary } from "./allotments.js";
 import type { QuotaGrant, QuotaRate, QuotaRequest } from "./messages.js";
-import { createQuotaAllocator } from "./quota-allocator.js";
+import { createQuotaAllocator } from "./allocator.js";
 
 /** How far all boxes together may exceed a limit within one window. */
 export interface QuotaTolerance {
--- a/packages/target-limits/src/index.ts
+++ b/packages/target-limits/src/index.ts
@@ -5,16 +5,16 @@
 import { type AllocationPeers, createDistributedAllocator } from "@linkfall/allocation";
 import { type Clock, sleep } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
-import { createExhaustedTargets } from "./exhausted-targets.js";
+import { createExhaustedTargets } from "./closed-targets.js";
 import {
   type TargetStartLookup,
   createLimitRegistry,
   type LimitRegistry,
-} from "./limit-registry.js";
+} from "./limit-book.js";
 import type { PermitRequest, PermitGrant } from "./messages.js";
 import { createPermitAllocator, minPerSecond } from "./permit-allocator.js";
 
-export * from "./limit-registry.js";
+export * from "./limit-book.js";
 export * from "./messages.js";
 export { createPermitAllocator, type PermitAllocator } from "./permit-allocator.js";
 
