--- a/packages/account-quota/src/account-quota.feature
+++ b/packages/account-quota/src/account-quota.feature
@@ -3,7 +3,7 @@
   Scenario: Retry times of refused requests are spread out
     Given an allocator with a rate of 1000 units per second and a burst of 1000
     When 10 requests of 500 units arrive at the same time
-    Then 2 requests are granted
+    Then 2 are granted
     And the retry times of the refused requests are 500 ms apart, the last after 3501 ms
 
   Scenario: A request larger than the available units is granted and leaves a debt
@@ -18,15 +18,15 @@
   Scenario: An idle allocator does not resume with a full burst
     Given an allocator with a rate of 1000 units per second, a burst of 1000 and an initial level of 200
     When 5 requests of 100 units arrive at the same time
-    Then 2 requests are granted
+    Then 2 are granted
     When 5000 ms pass and 5 requests of 100 units arrive at the same time
-    Then 2 requests are granted
+    Then 2 are granted
 
   Scenario: A limit from an outdated configuration version is ignored
     Given an allocator with a rate of 1000 units per second and a burst of 1000
     When version 2 lowers the limit to 100 units per second and a burst of 100
     And 5 requests of 100 units arrive at the same time with version 1
-    Then 1 request is granted
+    Then 1 is granted
 
   Scenario: A box that reaches no allocator decides alone, within its own share
     Given a box whose allocators do not respond, with a tenth of all load as its own share
--- a/packages/account-quota/src/account-quota.steps.ts
+++ b/packages/account-quota/src/account-quota.steps.ts
@@ -105,7 +105,7 @@
 
 const grantedOf = (world: object) => contextOf(world).grants.filter(({ granted }) => granted > 0);
 
-Then(/^(\d+) requests? (?:is|are) granted$/, function (this: object, count: string) {
+Then(/^(\d+) (?:is|are) granted$/, function (this: object, count: string) {
   assert.equal(grantedOf(this).length, Number(count));
 });
 
