--- a/packages/target-limits/src/closed-targets.ts
+++ b/packages/target-limits/src/closed-targets.ts
@@ -1,50 +1,52 @@
-/** Targets whose permits are used up, as this box was told: not asked for again at once. */
+/** Caches refused permits, so that a target without permits is not requested again at once. */
 import type { Clock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 
 interface Refusal {
-  /** Longest time that a refused request could wait. */
-  readonly withinMs: Milliseconds;
-  readonly until: Milliseconds;
-  /** When a request that is refused now may come back. */
-  comeBackAt: Milliseconds;
+  /** Maximum wait of the refused request; requests that can wait longer are not covered. */
+  readonly maxWaitMs: Milliseconds;
+  readonly validUntil: Milliseconds;
+  /** Earliest time at which the next refused request may be retried. */
+  retryAt: Milliseconds;
 }
 
 export interface ExhaustedTargets {
-  /** Notes that no permit was to be had within that time; `waitMs` is when there will be one. */
-  recordRefusal(target: string, withinMs: Milliseconds, waitMs: Milliseconds): void;
-  /** Whether an ask for a permit within that time would be refused. */
-  isExhausted(target: string, withinMs: Milliseconds): boolean;
-  /** Time until a permit is due for a request that is refused now. */
+  /** Caches a refusal; `waitMs` is the time until the next permit. */
+  recordRefusal(target: string, maxWaitMs: Milliseconds, waitMs: Milliseconds): void;
+  /** Whether a cached refusal covers a permit request with this maximum wait. */
+  isExhausted(target: string, maxWaitMs: Milliseconds): boolean;
+  /** Time until the next permit that is not reserved by a refused request. */
   msUntilPermit(target: string): Milliseconds;
-  /** Notes that one more request has been told to come back when its permit is due. */
+  /** Moves the time of the next permit back by one request. */
   reserveRetry(target: string, perSecond: number): void;
   forget(target: string): void;
 }
 
 const millisecondsPerSecond = 1000;
-/** A refusal is repeated for this long without asking again. */
-const repeatMs: Milliseconds = 200;
+/** Maximum time for which a refusal is answered from the cache. */
+const maxRefusalCacheMs: Milliseconds = 200;
 
 export function createExhaustedTargets(clock: Clock): ExhaustedTargets {
   const refusals = new Map<string, Refusal>();
   return {
-    recordRefusal(target, withinMs, waitMs) {
+    recordRefusal(target, maxWaitMs, waitMs) {
       const now = clock.now();
-      const until = now + Math.min(waitMs, repeatMs);
-      refusals.set(target, { withinMs, until, comeBackAt: now + waitMs });
+      const validUntil = now + Math.min(waitMs, maxRefusalCacheMs);
+      refusals.set(target, { maxWaitMs, validUntil, retryAt: now + waitMs });
     },
-    isExhausted(target, withinMs) {
+    isExhausted(target, maxWaitMs) {
       const refusal = refusals.get(target);
-      return refusal !== undefined && clock.now() < refusal.until && withinMs <= refusal.withinMs;
+      return (
+        refusal !== undefined && clock.now() < refusal.validUntil && maxWaitMs <= refusal.maxWaitMs
+      );
     },
     msUntilPermit(target) {
       const refusal = refusals.get(target);
-      return refusal ? Math.max(0, Math.ceil(refusal.comeBackAt - clock.now())) : 0;
+      return refusal ? Math.max(0, Math.ceil(refusal.retryAt - clock.now())) : 0;
     },
     reserveRetry(target, perSecond) {
       const refusal = refusals.get(target);
-      if (refusal) refusal.comeBackAt += millisecondsPerSecond / perSecond;
+      if (refusal) refusal.retryAt += millisecondsPerSecond / perSecond;
     },
     forget: (target) => void refusals.delete(target),
   };
--- a/packages/target-limits/src/index.ts
+++ b/packages/target-limits/src/index.ts
@@ -1,120 +1,119 @@
 /**
- * Limits that targets name: what they take from all boxes together. One box hands out the permits of each target, since
- * boxes that keep a limit each for itself send it as many times over as there are boxes.
+ * Enforces the rate limits that targets announce for requests from all boxes together. One box allocates the permits of
+ * each target; if every box enforced the limit on its own, the target would receive a multiple of it.
  */
 import { type AllocationPeers, createDistributedAllocator } from "@linkfall/allocation";
 import { type Clock, sleep } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 import { createExhaustedTargets } from "./closed-targets.js";
-import {
-  type TargetStartLookup,
-  createLimitRegistry,
-  type LimitRegistry,
-} from "./limit-book.js";
-import type { PermitRequest, PermitGrant } from "./messages.js";
+import { createLimitRegistry, type LimitRegistry, type TargetStartLookup } from "./limit-book.js";
+import type { PermitGrant, PermitRequest } from "./messages.js";
 import { createPermitAllocator, minPerSecond } from "./permit-allocator.js";
 
 export * from "./limit-book.js";
 export * from "./messages.js";
 export { createPermitAllocator, type PermitAllocator } from "./permit-allocator.js";
 
-/** The other boxes, as far as the limits of targets need them. */
+/** Access to the other boxes. */
 export interface PermitPeers extends AllocationPeers<PermitRequest, PermitGrant> {
-  /** Part of each limit that is this box's own while it is cut off. */
+  /** Fraction of each limit that this box may use while it is isolated. */
   ownShare(): number;
-  /** Parts of the boxes that are silent, and may be sending by their own parts. */
+  /** Fraction of each limit that silent boxes may be using on their own. */
   silentShare(): number;
-  /** Boxes that send requests. */
+  /** Number of boxes that send requests. */
   boxCount(): number;
 }
 
 export interface TargetLimits extends LimitRegistry {
-  /** Waits for a permit to send one request; false where there is none within that time, or it has lapsed meanwhile. */
+  /**
+   * Waits for a permit to send one request. Resolves to false if none is available within the given time, or if the
+   * permit has expired while waiting.
+   */
   acquirePermit(target: string, withinMs: Milliseconds): Promise<boolean>;
-  /** Whether a request that can wait so long is known to get no permit now. */
+  /** Whether a request that can wait this long is currently refused without asking the allocator. */
   isExhausted(target: string, withinMs: Milliseconds): boolean;
-  /** Whether the target is to be tried although others are there, to learn whether its limit still holds. */
+  /** Whether to consider this target along with unlimited ones, to check whether its limit still applies. */
   isProbeDue(target: string): boolean;
-  /** When a request that gets no permit at these targets may come back; each one behind the one before it. */
+  /** Reserves the earliest retry time at one of the targets and returns the time until then. */
   retryAfterMs(targets: readonly string[]): Milliseconds;
-  /** Hands out a permit to another box that has asked. */
-  allocate(ask: PermitRequest): Promise<PermitGrant>;
+  /** Handles a permit request from another box. */
+  allocate(request: PermitRequest): Promise<PermitGrant>;
 }
 
-/** However many boxes are silent, this part of a limit is left to those that are not. */
-const leastConnectedPart = 0.5;
-/** A permit that is taken later than this is lost: this box may have slept meanwhile. */
-const lapsesMs: Milliseconds = 500;
-/** A target is not tried more often than this by one box. */
-const leastTrialMs: Milliseconds = 2_000;
+/** Minimum fraction of a limit that is available to boxes that are not silent. */
+const minConnectedShare = 0.5;
+/** Permits used later than this are void, for example after the box was suspended. */
+const permitExpiryMs: Milliseconds = 500;
+/** Minimum time between two probes of a target by one box. */
+const minProbeIntervalMs: Milliseconds = 2_000;
 const millisecondsPerSecond = 1000;
 
-const declined: PermitGrant = { granted: false, waitMs: 0, declined: true };
+const declinedGrant: PermitGrant = { granted: false, waitMs: 0, declined: true };
 
-/** Creates the limits as one box keeps them. */
+/** Creates the target limits of one box. */
 export function createTargetLimits(
   clock: Clock,
   peers: PermitPeers,
-  bornOf: TargetStartLookup,
+  startOf: TargetStartLookup,
 ): TargetLimits {
-  const book = createLimitRegistry(clock, bornOf);
-  const closed = createExhaustedTargets(clock);
+  const registry = createLimitRegistry(clock, startOf);
+  const exhausted = createExhaustedTargets(clock);
   const shared = createPermitAllocator(clock);
-  /** Used while this box is cut off; its rates are a part of the limits. */
-  const alone = createPermitAllocator(clock);
+  /** Used while this box is isolated, with rates scaled to its own share. */
+  const isolated = createPermitAllocator(clock);
 
-  const allocation = createDistributedAllocator(
+  const allocator = createDistributedAllocator(
     clock,
     peers,
     {
-      grantShared(ask) {
-        // Boxes that ask may have older words of the target than this one.
-        const perSecond = book.limitOf(ask.target) ?? ask.perSecond;
-        const part = Math.max(leastConnectedPart, 1 - peers.silentShare());
-        return shared.grant({ ...ask, perSecond }, part);
+      grantShared(request) {
+        // The sender's limit may be older than the one known here.
+        const perSecond = registry.limitOf(request.target) ?? request.perSecond;
+        const share = Math.max(minConnectedShare, 1 - peers.silentShare());
+        return shared.grant({ ...request, perSecond }, share);
       },
-      grantIsolated: (ask) => alone.grant(ask, peers.ownShare()),
-      onDisconnected: alone.reset,
+      grantIsolated: (request) => isolated.grant(request, peers.ownShare()),
+      onDisconnected: isolated.reset,
       onReconnected: shared.reset,
-      declinedGrant: declined,
+      declinedGrant,
     },
     ({ target }) => target,
   );
 
-  const rateOf = (target: string) => Math.max(minPerSecond, book.limitOf(target) ?? 0);
+  const rateOf = (target: string) => Math.max(minPerSecond, registry.limitOf(target) ?? 0);
 
   return {
-    ...book,
+    ...registry,
     async acquirePermit(target, withinMs) {
-      const perSecond = book.limitOf(target);
+      const perSecond = registry.limitOf(target);
       if (perSecond === undefined) return true;
-      const askedAt = clock.elapsed();
-      const { granted, waitMs } = await allocation.acquire({ target, perSecond, withinMs });
+      const requestedAt = clock.elapsed();
+      const { granted, waitMs } = await allocator.acquire({ target, perSecond, withinMs });
       if (!granted) {
-        closed.recordRefusal(target, withinMs, waitMs);
+        exhausted.recordRefusal(target, withinMs, waitMs);
         return false;
       }
       if (waitMs > 0) await sleep(clock, waitMs);
-      return clock.elapsed() - askedAt <= waitMs + lapsesMs;
+      return clock.elapsed() - requestedAt <= waitMs + permitExpiryMs;
     },
-    isExhausted: closed.isExhausted,
+    isExhausted: exhausted.isExhausted,
     isProbeDue(target) {
-      const everyMs = (peers.boxCount() * millisecondsPerSecond) / rateOf(target);
-      return book.msSinceConfirmed(target) >= Math.max(leastTrialMs, everyMs);
+      const intervalMs = (peers.boxCount() * millisecondsPerSecond) / rateOf(target);
+      return registry.msSinceConfirmed(target) >= Math.max(minProbeIntervalMs, intervalMs);
     },
     retryAfterMs(targets) {
-      const due = targets.map((target) => ({ target, ms: closed.msUntilPermit(target) }));
-      const [soonest] = due.sort((left, right) => left.ms - right.ms);
-      if (!soonest) return 0;
-      closed.reserveRetry(soonest.target, rateOf(soonest.target));
-      return soonest.ms;
+      const waits = targets.map((target) => ({ target, ms: exhausted.msUntilPermit(target) }));
+      const [shortest] = waits.sort((left, right) => left.ms - right.ms);
+      if (!shortest) return 0;
+      exhausted.reserveRetry(shortest.target, rateOf(shortest.target));
+      return shortest.ms;
     },
-    allocate: allocation.allocate,
+    allocate: allocator.allocate,
     forget(target) {
-      book.forget(target);
-      closed.forget(target);
+      registry.forget(target);
+      exhausted.forget(target);
       shared.forget(target);
-      alone.forget(target);
+      isolated.forget(target);
     },
   };
 }
--- a/packages/target-limits/src/limit-book.steps.ts
+++ b/packages/target-limits/src/limit-book.steps.ts
@@ -5,81 +5,84 @@
 import type { LimitNotice } from "@linkfall/types";
 import { createLimitRegistry, type LimitRegistry } from "./index.js";
 
-interface Scene {
+interface RegistryContext {
   readonly clock: VirtualClock;
-  readonly book: LimitRegistry;
+  readonly registry: LimitRegistry;
   readonly changes: string[];
 }
 
 const target = "t1";
-const sceneOf = (world: object) => notes(world).get<Scene>("limit book");
+const contextOf = (world: object) => notes(world).get<RegistryContext>("limit registry");
 
-async function hear(
+async function recordAnswer(
   world: object,
   sentAt: number,
-  at: number,
+  receivedAt: number,
   notice: LimitNotice,
   served = true,
 ): Promise<void> {
-  const { clock, book } = sceneOf(world);
-  await clock.runUntil(at);
-  book.recordAnswer({ target, notice, sentMsAgo: at - sentAt, served });
+  const { clock, registry } = contextOf(world);
+  await clock.runUntil(receivedAt);
+  registry.recordAnswer({ target, notice, sentMsAgo: receivedAt - sentAt, served });
 }
 
 const limited = (perSecond: number): LimitNotice => ({ kind: "limited", perSecond });
 
 Given(
-  "a target that named a limit of {float} a second at {int} ms",
+  "a target that announced a limit of {float} requests per second at {int} ms",
   async function (this: object, perSecond: number, at: number) {
     const clock = createVirtualClock();
-    const book = createLimitRegistry(clock, () => undefined);
+    const registry = createLimitRegistry(clock, () => undefined);
     const changes: string[] = [];
-    book.onChange((change) => changes.push(String(change.perSecond ?? "none")));
-    notes(this).set("limit book", { clock, book, changes } satisfies Scene);
-    await hear(this, at, at, limited(perSecond));
+    registry.onChange((change) => changes.push(String(change.perSecond ?? "none")));
+    notes(this).set("limit registry", { clock, registry, changes } satisfies RegistryContext);
+    await recordAnswer(this, at, at, limited(perSecond));
   },
 );
 
 When(
-  "a request that was sent at {int} ms is answered without a limit at {int} ms",
-  function (this: object, sentAt: number, at: number) {
-    return hear(this, sentAt, at, { kind: "none" });
+  "a request sent at {int} ms is answered without a limit at {int} ms",
+  function (this: object, sentAt: number, receivedAt: number) {
+    return recordAnswer(this, sentAt, receivedAt, { kind: "none" });
   },
 );
 
 When(
-  "a request that was sent at {int} ms fails without a limit at {int} ms",
-  function (this: object, sentAt: number, at: number) {
-    return hear(this, sentAt, at, { kind: "none" }, false);
+  "a request sent at {int} ms fails without a limit at {int} ms",
+  function (this: object, sentAt: number, receivedAt: number) {
+    return recordAnswer(this, sentAt, receivedAt, { kind: "none" }, false);
   },
 );
 
 When(
-  "a request that was sent at {int} ms is answered with an unreadable limit at {int} ms",
-  function (this: object, sentAt: number, at: number) {
-    return hear(this, sentAt, at, { kind: "unreadable", text: "NaN" });
+  "a request sent at {int} ms is answered with an unreadable limit at {int} ms",
+  function (this: object, sentAt: number, receivedAt: number) {
+    return recordAnswer(this, sentAt, receivedAt, { kind: "unreadable", text: "NaN" });
   },
 );
 
 When(
-  "a request that was sent at {int} ms is answered with a limit of {float} at {int} ms",
-  function (this: object, sentAt: number, perSecond: number, at: number) {
-    return hear(this, sentAt, at, limited(perSecond));
+  "a request sent at {int} ms is answered with a limit of {float} at {int} ms",
+  function (this: object, sentAt: number, perSecond: number, receivedAt: number) {
+    return recordAnswer(this, sentAt, receivedAt, limited(perSecond));
   },
 );
 
-When("the target's life ends", function (this: object) {
-  sceneOf(this).book.forget(target);
+When("the incarnation of the target ends", function (this: object) {
+  contextOf(this).registry.forget(target);
 });
 
-Then("the target takes {float} a second", function (this: object, perSecond: number) {
-  assert.equal(sceneOf(this).book.limitOf(target), perSecond);
-});
+Then(
+  "the target is limited to {float} requests per second",
+  function (this: object, perSecond: number) {
+    assert.equal(contextOf(this).registry.limitOf(target), perSecond);
+  },
+);
 
-Then("the target takes any number", function (this: object) {
-  assert.equal(sceneOf(this).book.limitOf(target), undefined);
+Then("the target is not limited", function (this: object) {
+  assert.equal(contextOf(this).registry.limitOf(target), undefined);
 });
 
-Then("the changes told are {string}", function (this: object, expected: string) {
-  assert.equal(sceneOf(this).changes.join(" "), expected);
+Then("the reported changes are {string}", function (this: object, expected: string) {
+  assert.equal(contextOf(this).changes.join(" "), expected);
 });
--- a/packages/target-limits/src/limit-book.ts
+++ b/packages/target-limits/src/limit-book.ts
@@ -1,4 +1,4 @@
-/** What one box knows of the limits that targets have named: from its own answers, and from other boxes. */
+/** Records the rate limits that targets have announced, and replicates them between boxes. */
 import { createFollowedNews } from "@linkfall/followed-news";
 import type { Clock } from "@linkfall/kernel";
 import type {
@@ -10,141 +10,139 @@
   TargetLimitWord,
 } from "@linkfall/types";
 
-/** One target that has named a limit; changed in place by the book that owns it. */
-interface Entry {
-  /** Absent once the target takes any number again. */
+/** The limit of one target. */
+interface LimitEntry {
+  /** Requests per second; undefined once the target is no longer limited. */
   perSecond?: number;
-  /** When that was first said, by the clock's `elapsed`. */
+  /** Start of the current limited period, by `Clock.elapsed`. */
   since: Milliseconds;
-  /** When the newest answer that said so was read, by the clock's `elapsed`. */
-  heardAt: Milliseconds;
-  /** Number of the last change. */
-  number: number;
+  /** Time of the newest response that confirmed the entry, by `Clock.elapsed`. */
+  confirmedAt: Milliseconds;
+  /** Sequence number of the last change. */
+  sequence: number;
 }
 
-/** What one answer of a target shows. */
+/** The limit notice of one response from a target. */
 export interface ObservedAnswer {
   readonly target: string;
   readonly notice: LimitNotice;
-  /** Time since the request was sent that it answers. */
+  /** Time since the request was sent. */
   readonly sentMsAgo: Milliseconds;
-  /** Whether the target has made the answer as it should; failures may lack what it says of itself. */
+  /** Whether the target served the request; error responses may lack the limit notice. */
   readonly served: boolean;
 }
 
-/** A change of a target's limit. */
 export interface LimitChange {
   readonly target: string;
-  /** Absent where the limit has ended. */
+  /** Requests per second; undefined if the target is no longer limited. */
   readonly perSecond?: number;
-  /** Who said so. */
+  /** Whether the change was read from a response of the target or received from another box. */
   readonly source: "target" | "box";
 }
 
 export interface LimitRegistry {
-  /** Takes what an answer says. */
+  /** Updates a target's limit from one of its responses. */
   recordAnswer(answer: ObservedAnswer): void;
-  /** Requests a second that the target takes; undefined where it takes any number. */
+  /** Requests per second that the target accepts; undefined if it is not limited. */
   limitOf(target: string): number | undefined;
-  /** Time since the target itself was last heard to name its limit; 0 where it has none. */
+  /** Time since a response last confirmed the target's limit; 0 if it is not limited. */
   msSinceConfirmed(target: string): Milliseconds;
-  /** Targets whose limits hold now. */
+  /** Targets that are currently limited. */
   limited(): readonly LimitedTarget[];
-  /** Forgets a target whose life has ended. */
+  /** Removes a target whose incarnation has ended. */
   forget(target: string): void;
-  /** What another box lacks that has followed this one to `number`. */
-  changesSince(number: number): TargetLimitWord;
-  /** Takes the word of another box. */
-  applyChanges(from: Incarnation, word: TargetLimitWord): void;
-  /** How far this box has followed another one. */
+  /** Returns the changes after a sequence number of this box, for another box to apply. */
+  changesSince(sequence: number): TargetLimitWord;
+  /** Applies changes from another box. */
+  applyChanges(from: Incarnation, changes: TargetLimitWord): void;
+  /** Sequence number up to which the changes of another box have been applied. */
   appliedSequence(other: Incarnation): number;
-  /** Calls the listener with each change. */
   onChange(listener: (change: LimitChange) => void): void;
 }
 
-/** Targets that are remembered; those whose limits have ended go first. */
-const mostEntries = 5_000;
+/** Entries without a limit are evicted first. */
+const maxEntries = 5_000;
 
-/** Start of a target's life, as far as this box knows it. */
+/** Returns the start time of a target's current incarnation, if known. */
 export type TargetStartLookup = (target: string) => Milliseconds | undefined;
 
-/** Creates a book in which no target has a limit. */
-export function createLimitRegistry(clock: Clock, bornOf: TargetStartLookup): LimitRegistry {
-  const entries = new Map<string, Entry>();
-  const followed = createFollowedNews();
+/** Creates an empty registry. */
+export function createLimitRegistry(clock: Clock, startOf: TargetStartLookup): LimitRegistry {
+  const entries = new Map<string, LimitEntry>();
+  const applied = createFollowedNews();
   const listeners: ((change: LimitChange) => void)[] = [];
-  let newest = 0;
+  let lastSequence = 0;
 
-  const makeRoom = () => {
-    if (entries.size < mostEntries) return;
-    const ended = [...entries].find(([, { perSecond }]) => perSecond === undefined);
-    const [oldest] = ended ?? [entries.keys().next().value ?? ""];
-    entries.delete(oldest);
+  const evictIfFull = () => {
+    if (entries.size < maxEntries) return;
+    const unlimited = [...entries].find(([, { perSecond }]) => perSecond === undefined);
+    const [evicted] = unlimited ?? [entries.keys().next().value ?? ""];
+    entries.delete(evicted);
   };
 
   const set = (
     target: string,
     perSecond: number | undefined,
-    heardAt: Milliseconds,
+    confirmedAt: Milliseconds,
     source: LimitChange["source"],
   ) => {
-    const known = entries.get(target);
-    if (known && known.perSecond === perSecond) {
-      known.heardAt = heardAt;
+    const entry = entries.get(target);
+    if (entry && entry.perSecond === perSecond) {
+      entry.confirmedAt = confirmedAt;
       return;
     }
-    makeRoom();
-    newest += 1;
-    const since = known?.perSecond === undefined ? heardAt : known.since;
-    entries.set(target, { perSecond, since, heardAt, number: newest });
+    evictIfFull();
+    lastSequence += 1;
+    const since = entry?.perSecond === undefined ? confirmedAt : entry.since;
+    entries.set(target, { perSecond, since, confirmedAt, sequence: lastSequence });
     for (const listener of listeners) listener({ target, perSecond, source });
   };
 
-  const isOtherLife = ({ target, born }: TargetLimitRecord) => {
-    const known = bornOf(target);
-    return born !== undefined && known !== undefined && born !== known;
+  const isOtherIncarnation = ({ target, born }: TargetLimitRecord) => {
+    const startedAt = startOf(target);
+    return born !== undefined && startedAt !== undefined && born !== startedAt;
   };
-  const takeRecord = (record: TargetLimitRecord) => {
+  const applyRecord = (record: TargetLimitRecord) => {
     const { target, perSecond, ageMs } = record;
-    if (isOtherLife(record)) return;
-    const heardAt = clock.elapsed() - ageMs;
-    const known = entries.get(target);
-    if (known ? heardAt <= known.heardAt : perSecond === undefined) return;
-    set(target, perSecond, heardAt, "box");
+    if (isOtherIncarnation(record)) return;
+    const confirmedAt = clock.elapsed() - ageMs;
+    const entry = entries.get(target);
+    if (entry ? confirmedAt <= entry.confirmedAt : perSecond === undefined) return;
+    set(target, perSecond, confirmedAt, "box");
   };
 
   return {
     recordAnswer({ target, notice, sentMsAgo, served }) {
       const now = clock.elapsed();
       if (notice.kind === "limited") return set(target, notice.perSecond, now, "target");
-      const known = entries.get(target);
-      if (known?.perSecond === undefined || notice.kind === "unreadable") return;
-      // The head of a long answer may be older than the limit.
-      if (served && now - sentMsAgo > known.heardAt) set(target, undefined, now, "target");
+      const entry = entries.get(target);
+      if (entry?.perSecond === undefined || notice.kind === "unreadable") return;
+      // The response to a request sent before the limit was confirmed may have been produced before the limit.
+      if (served && now - sentMsAgo > entry.confirmedAt) set(target, undefined, now, "target");
     },
     limitOf: (target) => entries.get(target)?.perSecond,
     msSinceConfirmed(target) {
-      const known = entries.get(target);
-      return known?.perSecond === undefined ? 0 : clock.elapsed() - known.heardAt;
+      const entry = entries.get(target);
+      return entry?.perSecond === undefined ? 0 : clock.elapsed() - entry.confirmedAt;
     },
     limited: () =>
       [...entries].flatMap(([target, { perSecond, since }]) =>
         perSecond === undefined ? [] : { target, perSecond, forMs: clock.elapsed() - since },
       ),
     forget: (target) => void entries.delete(target),
-    changesSince(number) {
-      const news = [...entries].filter(([, entry]) => entry.number > number);
-      const records = news.map(([target, { perSecond, heardAt }]) => {
-        const ageMs = Math.round(clock.elapsed() - heardAt);
-        return { target, born: bornOf(target), perSecond, ageMs };
+    changesSince(sequence) {
+      const changed = [...entries].filter(([, entry]) => entry.sequence > sequence);
+      const records = changed.map(([target, { perSecond, confirmedAt }]) => {
+        const ageMs = Math.round(clock.elapsed() - confirmedAt);
+        return { target, born: startOf(target), perSecond, ageMs };
       });
-      return { number: newest, records };
+      return { number: lastSequence, records };
     },
-    applyChanges(from, word) {
-      for (const record of word.records) takeRecord(record);
-      followed.note(from, word.number);
+    applyChanges(from, changes) {
+      for (const record of changes.records) applyRecord(record);
+      applied.note(from, changes.number);
     },
-    appliedSequence: followed.of,
+    appliedSequence: applied.of,
     onChange: (listener) => void listeners.push(listener),
   };
 }
--- a/packages/target-limits/src/messages.ts
+++ b/packages/target-limits/src/messages.ts
@@ -1,21 +1,21 @@
-/** What boxes say to each other of permits at targets that have named limits. */
-import type { AllocationRequest, AllocationGrant } from "@linkfall/allocation";
+/** Messages between boxes about permits for rate-limited targets. */
+import type { AllocationGrant, AllocationRequest } from "@linkfall/allocation";
 import type { Milliseconds } from "@linkfall/types";
 
-/** Where a box answers operators: GET lists the targets whose limits hold. */
+/** Operator API: GET lists the targets that are currently limited. */
 export const limitedTargetsPath = "/v1/limited-targets";
 
-/** A box asks the allocator of a target for a permit to send one request there. */
+/** Requests a permit to send one request to a target. */
 export interface PermitRequest extends AllocationRequest {
   readonly target: string;
-  /** The limit as the asking box knows it, in requests a second. */
+  /** The target's limit as known to the sender, in requests per second. */
   readonly perSecond: number;
-  /** Longest time that the request may wait for its permit. */
+  /** Maximum time that the request may wait for its permit. */
   readonly withinMs: Milliseconds;
 }
 
 export interface PermitGrant extends AllocationGrant {
   readonly granted: boolean;
-  /** Time until the permit; where none was granted, until one will be there for all who were refused before as well. */
+  /** Time until the permit is valid; if refused, time until a permit is free behind earlier refused requests. */
   readonly waitMs: Milliseconds;
 }
--- a/packages/target-limits/src/permit-allocator.ts
+++ b/packages/target-limits/src/permit-allocator.ts
@@ -1,76 +1,76 @@
-/** Hands out permits at targets that have named limits: one after the other, at the rate that each target takes. */
+/** Allocates permits for rate-limited targets, spaced at the rate that each target accepts. */
 import type { Clock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
-import type { PermitRequest, PermitGrant } from "./messages.js";
+import type { PermitGrant, PermitRequest } from "./messages.js";
 
-/** The permits of one target. */
-interface Permits {
-  /** Permits that may be taken now; below 0 where some were granted ahead. */
+/** The token bucket of one target. */
+interface PermitBucket {
+  /** Available permits; negative if permits were granted ahead of time. */
   level: number;
-  /** Requests that were refused and will probably come again. */
-  refused: number;
-  filledAt: Milliseconds;
+  /** Number of refused requests that are expected to be retried. */
+  backlog: number;
+  refilledAt: Milliseconds;
 }
 
 export interface PermitAllocator {
-  /** @param part part of the target's limit that is handed out here */
-  grant(ask: PermitRequest, part: number): PermitGrant;
-  /** Begins again with no permit saved up: others have handed out permits meanwhile. */
+  /** @param share fraction of the target's limit that this allocator may grant */
+  grant(request: PermitRequest, share: number): PermitGrant;
+  /** Discards saved permits, since other boxes may have granted them. */
   reset(): void;
   forget(target: string): void;
 }
 
 const millisecondsPerSecond = 1000;
-/** Permits that are not taken are saved up for this long, one at least. */
-const savedSeconds = 0.5;
-/** A target that takes less is still tried this often: nobody else would learn that it takes more again. */
+/** Capacity of a bucket in seconds at the target's rate; at least one permit. */
+const capacitySeconds = 0.5;
+/** Minimum rate at which a target is tried, so that the end of its limit is detected. */
 export const minPerSecond = 0.1;
-/** Refused requests are believed to come again for this long. */
-const refusedSeconds = 10;
+/** Upper bound of the backlog, in seconds at the target's rate. */
+const maxBacklogSeconds = 10;
 
-function fill(permits: Permits, perSecond: number, now: Milliseconds): void {
-  const gained = ((now - permits.filledAt) * perSecond) / millisecondsPerSecond;
-  const most = Math.max(1, perSecond * savedSeconds);
-  permits.level = Math.min(most, permits.level + gained);
-  permits.refused = Math.max(0, permits.refused - gained);
-  permits.filledAt = now;
+function refill(bucket: PermitBucket, perSecond: number, now: Milliseconds): void {
+  const gained = ((now - bucket.refilledAt) * perSecond) / millisecondsPerSecond;
+  const capacity = Math.max(1, perSecond * capacitySeconds);
+  bucket.level = Math.min(capacity, bucket.level + gained);
+  bucket.backlog = Math.max(0, bucket.backlog - gained);
+  bucket.refilledAt = now;
 }
 
-function refuse(permits: Permits, perSecond: number): PermitGrant {
-  const missing = 1 - permits.level + permits.refused;
-  permits.refused = Math.min(permits.refused + 1, Math.max(1, perSecond * refusedSeconds));
+function refuse(bucket: PermitBucket, perSecond: number): PermitGrant {
+  const missing = 1 - bucket.level + bucket.backlog;
+  bucket.backlog = Math.min(bucket.backlog + 1, Math.max(1, perSecond * maxBacklogSeconds));
   return { granted: false, waitMs: Math.ceil((missing * millisecondsPerSecond) / perSecond) };
 }
 
-/** Creates an allocator that has handed out nothing. */
+/** Creates an allocator without any buckets. */
 export function createPermitAllocator(clock: Clock): PermitAllocator {
-  const known = new Map<string, Permits>();
+  const buckets = new Map<string, PermitBucket>();
 
-  const permitsOf = (target: string): Permits => {
-    const permits = known.get(target);
-    if (permits) return permits;
-    // Another box may have handed out permits until now.
-    const created = { level: 0, refused: 0, filledAt: clock.now() };
-    known.set(target, created);
+  const bucketOf = (target: string): PermitBucket => {
+    const existing = buckets.get(target);
+    if (existing) return existing;
+    // Starts empty, since another box may have granted permits until now.
+    const created = { level: 0, backlog: 0, refilledAt: clock.now() };
+    buckets.set(target, created);
     return created;
   };
 
   return {
-    grant({ target, perSecond, withinMs }, part) {
-      const rate = Math.max(minPerSecond, perSecond) * part;
-      const permits = permitsOf(target);
-      fill(permits, rate, clock.now());
-      const waitMs = Math.max(0, Math.ceil(((1 - permits.level) * millisecondsPerSecond) / rate));
-      if (waitMs > withinMs) return refuse(permits, rate);
-      permits.level -= 1;
+    grant({ target, perSecond, withinMs }, share) {
+      const rate = Math.max(minPerSecond, perSecond) * share;
+      const bucket = bucketOf(target);
+      refill(bucket, rate, clock.now());
+      const waitMs = Math.max(0, Math.ceil(((1 - bucket.level) * millisecondsPerSecond) / rate));
+      if (waitMs > withinMs) return refuse(bucket, rate);
+      bucket.level -= 1;
       return { granted: true, waitMs };
     },
     reset() {
-      for (const permits of known.values()) {
-        permits.level = Math.min(0, permits.level);
-        permits.filledAt = clock.now();
+      for (const bucket of buckets.values()) {
+        bucket.level = Math.min(0, bucket.level);
+        bucket.refilledAt = clock.now();
       }
     },
-    forget: (target) => void known.delete(target),
+    forget: (target) => void buckets.delete(target),
   };
 }
--- a/packages/target-limits/src/permits.steps.ts
+++ b/packages/target-limits/src/permits.steps.ts
@@ -12,25 +12,26 @@
   type PermitPeers,
 } from "./index.js";
 
-interface Permits {
+interface AllocatorContext {
   readonly clock: VirtualClock;
   readonly allocator: PermitAllocator;
   readonly perSecond: number;
   grants: readonly PermitGrant[];
 }
 
-interface Boxes {
+interface BoxesContext {
   readonly clock: VirtualClock;
   readonly limits: readonly TargetLimits[];
-  permit?: boolean;
+  hasPermit?: boolean;
 }
 
 const target = "t1";
 const millisecondsPerSecond = 1000;
-const permitsOf = (world: object) => notes(world).get<Permits>("permits at a target");
-const boxesOf = (world: object) => notes(world).get<Boxes>("boxes with limits");
+const allocatorContextOf = (world: object) =>
+  notes(world).get<AllocatorContext>("permits at a target");
+const boxesContextOf = (world: object) => notes(world).get<BoxesContext>("boxes with limits");
 
-const alone: PermitPeers = {
+const noPeers: PermitPeers = {
   self: "b1",
   allocators: () => ["b1"],
   sendRequest: async () =>
@@ -41,18 +42,18 @@
   boxCount: () => 2,
 };
 
-function setUpBoxes(world: object, births: readonly (number | undefined)[]): Boxes {
+function createBoxes(world: object, startTimes: readonly (number | undefined)[]): BoxesContext {
   const clock = createVirtualClock();
-  const limits = births.map((born) => createTargetLimits(clock, alone, () => born));
-  const boxes: Boxes = { clock, limits };
+  const limits = startTimes.map((startedAt) => createTargetLimits(clock, noPeers, () => startedAt));
+  const boxes: BoxesContext = { clock, limits };
   notes(world).set("boxes with limits", boxes);
   return boxes;
 }
 
-const passes = ({ clock }: { readonly clock: VirtualClock }, ms: number) =>
+const advance = ({ clock }: { readonly clock: VirtualClock }, ms: number) =>
   clock.runUntil(clock.now() + ms);
 
-function hear({ limits }: Boxes, box: number, perSecond: number | undefined): void {
+function observeLimit({ limits }: BoxesContext, box: number, perSecond: number | undefined): void {
   const notice =
     perSecond === undefined
       ? ({ kind: "none" } as const)
@@ -61,7 +62,7 @@
 }
 
 Given(
-  "a target that takes {float} a second, and nothing handed out yet",
+  "a target limited to {float} requests per second, without permits granted yet",
   function (this: object, perSecond: number) {
     const clock = createVirtualClock();
     const allocator = createPermitAllocator(clock);
@@ -70,90 +71,95 @@
       allocator,
       perSecond,
       grants: [],
-    } satisfies Permits);
+    } satisfies AllocatorContext);
   },
 );
 
-When("{int} s go by at the target", async function (this: object, seconds: number) {
-  const permits = permitsOf(this);
-  // The target is known from its first ask on.
-  permits.allocator.grant({ target, perSecond: permits.perSecond, withinMs: -1 }, 1);
-  await passes(permits, seconds * millisecondsPerSecond);
+When("{int} s pass at the target", async function (this: object, seconds: number) {
+  const context = allocatorContextOf(this);
+  // Creates the target's bucket, which is refilled from then on.
+  context.allocator.grant({ target, perSecond: context.perSecond, withinMs: -1 }, 1);
+  await advance(context, seconds * millisecondsPerSecond);
 });
 
 When(
   /^(\d+) requests? asks? for a permit within (\d+) ms$/,
   function (this: object, count: string, within: string) {
-    const permits = permitsOf(this);
-    const { allocator, perSecond } = permits;
-    const ask = { target, perSecond, withinMs: Number(within) };
-    permits.grants = Array.from({ length: Number(count) }, () => allocator.grant(ask, 1));
+    const context = allocatorContextOf(this);
+    const { allocator, perSecond } = context;
+    const request = { target, perSecond, withinMs: Number(within) };
+    context.grants = Array.from({ length: Number(count) }, () => allocator.grant(request, 1));
   },
 );
 
 Then(
   /^(?:they get|it gets) (?:permits|a permit) after "([^"]*)" ms$/,
   function (this: object, expected: string) {
-    const shown = permitsOf(this).grants.map(({ granted, waitMs }) => (granted ? waitMs : "none"));
-    assert.equal(shown.join(" "), expected);
+    const delays = allocatorContextOf(this).grants.map(({ granted, waitMs }) =>
+      granted ? waitMs : "none",
+    );
+    assert.equal(delays.join(" "), expected);
   },
 );
 
-Then("they are told to come back after {string} ms", function (this: object, expected: string) {
-  const { grants } = permitsOf(this);
+Then("the retry times are {string} ms", function (this: object, expected: string) {
+  const { grants } = allocatorContextOf(this);
   assert.ok(grants.every(({ granted }) => !granted));
   assert.equal(grants.map(({ waitMs }) => waitMs).join(" "), expected);
 });
 
-Given("two boxes", function (this: object) {
-  setUpBoxes(this, [undefined, undefined]);
+Given("two boxes without target limits", function (this: object) {
+  createBoxes(this, [undefined, undefined]);
 });
 
-Given("two boxes, of which the second knows a later life of the target", function (this: object) {
-  setUpBoxes(this, [1_000, 2_000]);
-});
+Given(
+  "two boxes, the second of which has seen a later incarnation of the target",
+  function (this: object) {
+    createBoxes(this, [1_000, 2_000]);
+  },
+);
 
 Given(
-  "a box that hands out its own permits, and a target that named a limit of {float} a second",
+  "a box that is the permit allocator of a target limited to {float} requests per second",
   function (this: object, perSecond: number) {
-    hear(setUpBoxes(this, [undefined]), 0, perSecond);
+    observeLimit(createBoxes(this, [undefined]), 0, perSecond);
   },
 );
 
 When(
-  "the first box hears that a target takes {float} a second",
+  "the first box observes a limit of {float} requests per second",
   function (this: object, perSecond: number) {
-    hear(boxesOf(this), 0, perSecond);
+    observeLimit(boxesContextOf(this), 0, perSecond);
   },
 );
 
 When(
-  "{int} ms go by and the second box hears that it takes {float} a second",
+  "{int} ms pass and the second box observes a limit of {float} request(s) per second",
   async function (this: object, ms: number, perSecond: number) {
-    const boxes = boxesOf(this);
-    await passes(boxes, ms);
-    hear(boxes, 1, perSecond);
+    const boxes = boxesContextOf(this);
+    await advance(boxes, ms);
+    observeLimit(boxes, 1, perSecond);
   },
 );
 
 When(
-  "{int} ms go by and the second box hears that it takes any number",
+  "{int} ms pass and the second box observes the end of the limit",
   async function (this: object, ms: number) {
-    const boxes = boxesOf(this);
-    await passes(boxes, ms);
-    hear(boxes, 1, undefined);
+    const boxes = boxesContextOf(this);
+    await advance(boxes, ms);
+    observeLimit(boxes, 1, undefined);
   },
 );
 
-When("the boxes tell each other what they know", function (this: object) {
-  const { limits } = boxesOf(this);
+When("the boxes exchange limit changes", function (this: object) {
+  const { limits } = boxesContextOf(this);
   const [first, second] = limits;
   second.applyChanges("b1", first.changesSince(second.appliedSequence("b1")));
   first.applyChanges("b2", second.changesSince(first.appliedSequence("b2")));
 });
 
 const limitAt = (world: object, which: string) =>
-  boxesOf(world).limits[which === "first" ? 0 : 1].limitOf(target);
+  boxesContextOf(world).limits[which === "first" ? 0 : 1].limitOf(target);
 
 Then(
   /^the (first|second) box knows that the target takes ([\d.]+) a second$/,
@@ -170,27 +176,27 @@
 );
 
 When(
-  "the box sleeps for {int} s while a request waits for its permit",
+  "the box is suspended for {int} s while a request waits for its permit",
   async function (this: object, seconds: number) {
-    const boxes = boxesOf(this);
-    const asked = boxes.limits[0]
+    const boxes = boxesContextOf(this);
+    const acquired = boxes.limits[0]
       .acquirePermit(target, 1_000)
-      .then((permit) => (boxes.permit = permit));
-    await passes(boxes, 100);
+      .then((permit) => (boxes.hasPermit = permit));
+    await advance(boxes, 100);
     boxes.clock.suspend(seconds * millisecondsPerSecond);
-    await passes(boxes, 2_000);
-    await asked;
+    await advance(boxes, 2_000);
+    await acquired;
   },
 );
 
-Then("the request has no permit", function (this: object) {
-  assert.equal(boxesOf(this).permit, false);
+Then("the request is denied a permit", function (this: object) {
+  assert.equal(boxesContextOf(this).hasPermit, false);
 });
 
-When("{int} s go by at the box", function (this: object, seconds: number) {
-  return passes(boxesOf(this), seconds * millisecondsPerSecond);
+When("{int} s pass at the box", function (this: object, seconds: number) {
+  return advance(boxesContextOf(this), seconds * millisecondsPerSecond);
 });
 
 Then(/^the target is (not )?due for a trial$/, function (this: object, not: string | null) {
-  assert.equal(boxesOf(this).limits[0].isProbeDue(target), not === null);
+  assert.equal(boxesContextOf(this).limits[0].isProbeDue(target), not === null);
 });
