--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -7,7 +7,7 @@
 import { createJsonCaller } from "@linkfall/json-call";
 import { createVirtualClock, seededRandom, systemClock } from "@linkfall/kernel";
 import { ledgersOf } from "@linkfall/ledger";
-import { createOnceMemory, createTicketOffice, parseOnceId } from "@linkfall/once";
+import { createOnceMemory, createTicketIssuer, parseOnceId } from "@linkfall/once";
 import { type PoolView, planPool } from "@linkfall/placement";
 import { createLogHttp } from "@linkfall/platform-http";
 import { streams } from "@linkfall/ports";
@@ -136,11 +136,11 @@
 
 async function measureOnce(): Promise<void> {
   const clock = createVirtualClock();
-  const office = createTicketOffice(clock, "box-1@0123456789ab", "secret", 30_000);
+  const office = createTicketIssuer(clock, "box-1@0123456789ab", "secret", 30_000);
   const memory = createOnceMemory(clock, office, {
     retentionMs: 300_000,
-    entries: 100_000,
-    answerBytes: 0,
+    maxEntries: 100_000,
+    maxAnswerBytes: 0,
   });
   const { id: ticket } = office.issue("account");
   const count = 20_000;
--- a/packages/completion/src/completion.ts
+++ b/packages/completion/src/completion.ts
@@ -44,7 +44,10 @@
   const guarded = ({ fingerprint, account, model }: CompletionJob): GuardedRequest => {
     const facts = { request: fingerprint, service: model.pool, route: completionsRoute, account };
     const engines = () => [...store.desired().engines.values()];
-    return { facts, targets: () => engines().filter(({ pool }) => pool === model.pool).length };
+    return {
+      attributes: facts,
+      countTargets: () => engines().filter(({ pool }) => pool === model.pool).length,
+    };
   };
 
   const noteFailure = (
@@ -84,13 +87,14 @@
       const end = await runAttempt({ job, progress, replica, attempt, signal, take });
       if (end.kind === "complete") {
         admission.learn(job, progress.next);
-        guard.served(guarded(job));
+        guard.recordServed(guarded(job));
         return { kind: "answered" };
       }
       noteFailure(progress, replica, end);
       const { target: name, address } = replica;
       // A further engine that the request ends would take all requests at work there with it.
-      const mayGoOn = end.kind !== "lost" || (await guard.mayGoOn(guarded(job), { name, address }));
+      const mayGoOn =
+        end.kind !== "lost" || (await guard.mayRetryElsewhere(guarded(job), { name, address }));
       if (!mayGoOn) return refused(refusalAfter(job, progress, end.reason));
       const refusal = whyStop(job, progress, end.reason);
       if (refusal) return refused(refusal);
--- a/packages/entry-box/src/create-entry-box.ts
+++ b/packages/entry-box/src/create-entry-box.ts
@@ -160,7 +160,7 @@
       lifetimeMs: settings.callers.entries_lifetime_ms,
     }),
     metricsText: kernel.find(metricsName).expose,
-    heldRequests: blame.held,
+    heldRequests: blame.heldRequests,
     limitedTargets: kernel.find(targetLimitsName).limited,
     releaseRequest: blame.release,
   };
--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -109,7 +109,7 @@
     const givesOrders = lease.epoch() !== undefined;
     if (peers.mesh() || givesOrders) sumHeardLoads();
     takeTargets(parts, heartbeat);
-    if (heartbeat.blame) blame.take(status.incarnation, heartbeat.blame);
+    if (heartbeat.blame) blame.applyChanges(status.incarnation, heartbeat.blame);
     if (heartbeat.limits) targetLimits.applyChanges(status.incarnation, heartbeat.limits);
     void catchUp(status);
     if (report && lease.known()?.holder === status.incarnation) {
--- a/packages/entry-box/src/heartbeat-source.ts
+++ b/packages/entry-box/src/heartbeat-source.ts
@@ -28,7 +28,7 @@
 
 /** What this box knows of requests that end targets and the reader does not. */
 function blameFor({ kernel }: BoxParts, reader?: BoxStatus): BlameWord | undefined {
-  const word = kernel.find(crashBlameName).tell(reader?.blameFollowed ?? 0);
+  const word = kernel.find(crashBlameName).changesSince(reader?.blameFollowed ?? 0);
   return word.records.length > 0 ? word : undefined;
 }
 
@@ -67,7 +67,7 @@
       ordersForMs: lease.ordersForMs(),
       followed: followed(),
       limitsFollowed: reader && kernel.find(targetLimitsName).appliedSequence(reader.incarnation),
-      blameFollowed: reader && kernel.find(crashBlameName).followed(reader.incarnation),
+      blameFollowed: reader && kernel.find(crashBlameName).appliedSequence(reader.incarnation),
     };
   };
 
--- a/packages/forwarding/src/crash-check.ts
+++ b/packages/forwarding/src/crash-check.ts
@@ -1,11 +1,11 @@
 /** Requests that end the targets that run them: what a lost answer says of its request, and what becomes of its returns. */
-import { type RequestFacts, settleMs, type Verdict } from "@linkfall/crash-blame";
+import { type RequestAttributes, settlingMs, type Verdict } from "@linkfall/crash-blame";
 import type { TargetBelief } from "@linkfall/fleet";
 import type { ForwardContext } from "./forward-context.js";
 import type { ForwardedRequest } from "./forwarded-request.js";
 import { refuse, refusedStatus, type Step } from "./request-step.js";
 
-function factsOf(request: ForwardedRequest): RequestFacts {
+function factsOf(request: ForwardedRequest): RequestAttributes {
   const { service, route, account } = request;
   return { request: request.fingerprint(), service: service.name, route: route.name, account };
 }
@@ -13,7 +13,7 @@
 function judge({ blame, fleet }: ForwardContext, request: ForwardedRequest): Verdict {
   const { name } = request.service;
   const targets = fleet.all().filter(({ listed }) => listed.service === name).length;
-  return blame.judge(factsOf(request), targets);
+  return blame.classify(factsOf(request), targets);
 }
 
 /**
@@ -33,25 +33,25 @@
     listening,
   });
   if (listening !== "refuses") return true;
-  context.blame.targetEnded(listed.id, factsOf(request));
+  context.blame.recordTargetEnd(listed.id, factsOf(request));
   const verdict = judge(context, request);
   return verdict === "clear" || verdict === "suspect";
 }
 
 /** Notes that a target answered the request well. */
 export function noteServed({ blame }: ForwardContext, request: ForwardedRequest): void {
-  if (!blame.quiet()) blame.served(request.fingerprint());
+  if (!blame.isEmpty()) blame.recordServed(request.fingerprint());
 }
 
 /** Refuses a request that would end another target; undefined where it may go its way. */
 export function refuseGuilty(context: ForwardContext, request: ForwardedRequest): Step | undefined {
-  if (context.blame.quiet()) return undefined;
+  if (context.blame.isEmpty()) return undefined;
   switch (judge(context, request)) {
     case "guilty":
       // No time to come back: what it does to targets does not pass by itself.
       return refuse(request, refusedStatus, "held back: targets ended while they ran this request");
     case "unsettled":
-      return refuse(request, refusedStatus, "targets ended under this request", settleMs);
+      return refuse(request, refusedStatus, "targets ended under this request", settlingMs);
     case "last_try":
       request.lastTry = true;
       return undefined;
--- a/packages/once/src/tickets.ts
+++ b/packages/once/src/tickets.ts
@@ -42,21 +42,21 @@
   };
 }
 
-export interface TicketOffice {
+export interface TicketIssuer {
   issue(account: string): Ticket;
   /** Whether this box issued the ticket to this account. */
-  isGenuine(id: OnceId, account: string): boolean;
+  isValid(id: OnceId, account: string): boolean;
   /** Time until the last ticket that was issued ends; 0 when all have. */
-  longestLeft(): Milliseconds;
+  maxRemainingMs(): Milliseconds;
 }
 
 /** Creates the office of one box start, with a secret of its own. */
-export function createTicketOffice(
+export function createTicketIssuer(
   clock: Clock,
   self: Incarnation,
   secret: string,
   lifetime: Milliseconds,
-): TicketOffice {
+): TicketIssuer {
   let issued = 0;
   let lastExpiry = -Infinity;
   const sealOf = (number: number, expiresAt: Milliseconds, account: string) =>
@@ -72,11 +72,11 @@
       const seal = sealOf(issued, expiresAt, account);
       return { id: `${self}.${issued}.${expiresAt}.${seal}`, expiresInMs: lifetime };
     },
-    isGenuine(id, account) {
+    isValid(id, account) {
       const expected = Buffer.from(sealOf(id.ticketNumber, id.expiresAt, account));
       const given = Buffer.from(id.seal);
       return given.length === expected.length && timingSafeEqual(given, expected);
     },
-    longestLeft: () => Math.max(0, lastExpiry - clock.now()),
+    maxRemainingMs: () => Math.max(0, lastExpiry - clock.now()),
   };
 }
--- a/packages/operator-service/src/operator-service.ts
+++ b/packages/operator-service/src/operator-service.ts
@@ -164,7 +164,7 @@
         answer(200, { leases: [...store.state().leases.values()], held: leases.heldPools() }),
       )
       .with(["GET", "/v1/audit"], async () => answer(200, await auditAnswer()))
-      .with(["GET", heldRequestsPath], async () => answer(200, { held: blame.held() }))
+      .with(["GET", heldRequestsPath], async () => answer(200, { held: blame.heldRequests() }))
       .with(["DELETE", heldRequestsPath], async () => {
         const released = blame.release(query.get("request") ?? "");
         return answer(released ? 200 : 404, { released });
--- a/packages/plain-call/src/index.ts
+++ b/packages/plain-call/src/index.ts
@@ -31,7 +31,7 @@
 
   const guarded = ({ fingerprint, service, account }: PlainCall): GuardedRequest => {
     const facts = { request: fingerprint, service: service.name, route: service.name, account };
-    return { facts, targets: () => service.targets.length };
+    return { attributes: facts, countTargets: () => service.targets.length };
   };
 
   const open = (call: PlainCall, tried: ReadonlySet<string>): readonly ServiceTarget[] => {
@@ -94,15 +94,16 @@
         lost = lost?.mayHaveArrived ? lost : failure;
         const ended = { name: address, address };
         // A further target that the call ends would take all calls at work there with it.
-        const mayGoOn = !failure.mayHaveArrived || (await guard.mayGoOn(guarded(call), ended));
+        const mayGoOn =
+          !failure.mayHaveArrived || (await guard.mayRetryElsewhere(guarded(call), ended));
         const refusal = judgeLoss(call, lost, mayGoOn ? attempt : mostAttempts, clock.now());
         if (refusal) return refusalResponse(refusal);
         continue;
       }
       const response = sent.unsafeCoerce();
       if (!notStarted(response) || attempt >= mostAttempts) {
-        const served = () => guard.served(guarded(call));
-        const lost = () => void guard.mayGoOn(guarded(call), { name: address, address });
+        const served = () => guard.recordServed(guarded(call));
+        const lost = () => void guard.mayRetryElsewhere(guarded(call), { name: address, address });
         return passAnswer(clock, load, { address, response, startedAt, served, lost, done });
       }
       await discard(response);
