--- a/packages/token-bucket/src/index.ts
+++ b/packages/token-bucket/src/index.ts
@@ -1,63 +1,62 @@
-/** A token bucket on the injected clock. */
+/** A token bucket for rate limits, quotas and retry budgets. */
 import type { Clock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 
 const millisecondsPerSecond = 1000;
 
-/** How a bucket fills. */
 export interface BucketLimits {
-  /** Tokens a second. */
+  /** Refill rate in tokens per second. */
   readonly rate: number;
-  /** Most tokens that it holds. */
+  /** Capacity in tokens. */
   readonly burst: number;
 }
 
 export interface TokenBucket {
-  /** Takes `count` tokens if they are there. */
+  /** Takes `count` tokens (1 by default) if they are available; returns whether it did. */
   take(count?: number): boolean;
-  /** Adds tokens beside the steady rate, for budgets that grow with use. */
+  /** Adds tokens in addition to the refill, up to the capacity. */
   add(count: number): void;
-  /** Time until `count` tokens will be there, 0 when they are. */
+  /** Time until `count` tokens (1 by default) are available; `Infinity` if the bucket is not refilled. */
   msUntil(count?: number): Milliseconds;
-  /** Changes how it fills from now on; what it holds stays, up to the new burst. */
+  /** Changes the limits; tokens above the new capacity are discarded. */
   setLimits(limits: BucketLimits): void;
 }
 
-/** Creates a bucket that holds `initial` tokens, by default its whole burst. */
+/** Creates a bucket that holds `initialTokens`, by default its whole capacity. */
 export function createTokenBucket(
   clock: Clock,
-  first: BucketLimits,
-  initial = first.burst,
+  initialLimits: BucketLimits,
+  initialTokens = initialLimits.burst,
 ): TokenBucket {
-  let limits = first;
-  let tokens = initial;
-  let filledAt = clock.now();
-  const fill = () => {
+  let limits = initialLimits;
+  let tokens = initialTokens;
+  let refilledAt = clock.now();
+  const refill = () => {
     const now = clock.now();
-    const gained = ((now - filledAt) * limits.rate) / millisecondsPerSecond;
+    const gained = ((now - refilledAt) * limits.rate) / millisecondsPerSecond;
     tokens = Math.min(limits.burst, tokens + gained);
-    filledAt = now;
+    refilledAt = now;
   };
   return {
     take(count = 1) {
-      fill();
+      refill();
       if (tokens < count) return false;
       tokens -= count;
       return true;
     },
     add(count) {
-      fill();
+      refill();
       tokens = Math.min(limits.burst, tokens + count);
     },
     msUntil(count = 1) {
-      fill();
+      refill();
       if (tokens >= count) return 0;
       if (limits.rate === 0) return Infinity;
       return Math.ceil(((count - tokens) * millisecondsPerSecond) / limits.rate);
     },
-    setLimits(changed) {
-      fill();
-      limits = changed;
+    setLimits(newLimits) {
+      refill();
+      limits = newLimits;
       tokens = Math.min(limits.burst, tokens);
     },
   };
