--- a/packages/crash-blame/src/crash-blame.steps.ts
+++ b/packages/crash-blame/src/crash-blame.steps.ts
@@ -64,7 +64,7 @@
 /** A target ends: its box notes each request, and judges whether to repeat it as a send would. */
 function endAt(scene: Scene, box: string, target: string, requests: readonly string[]): void {
   const book = bookOf(scene, box);
-  for (const request of requests) book.recordTargetEnd(target, facts(request));
+  for (const request of requests) book.recordCrash(target, facts(request));
   for (const request of requests) judgeAt(scene, box, request);
 }
 
--- a/packages/crash-blame/src/index.ts
+++ b/packages/crash-blame/src/index.ts
@@ -37,7 +37,7 @@
   /** What to make of a request; one that is found guilty here is held back from then on. */
   classify(facts: RequestAttributes, targets: number): Verdict;
   /** Notes that a target ended while it ran the request. */
-  recordTargetEnd(target: string, { request, service }: RequestAttributes): void;
+  recordCrash(target: string, { request, service }: RequestAttributes): void;
   /** Notes that the request was answered well: nothing before counts against it. */
   recordServed(request: Fingerprint): void;
   /** Requests that are held back. */
@@ -103,7 +103,7 @@
       if (verdict === "guilty") hold(facts);
       return verdict;
     },
-    recordTargetEnd(target, { request, service }) {
+    recordCrash(target, { request, service }) {
       const now = clock.now();
       const end = { target, service, at: now, requests: new Set([request]) };
       if (takeEnd(state, end, now)) tellNews();
--- a/packages/crash-guard/src/index.ts
+++ b/packages/crash-guard/src/index.ts
@@ -97,7 +97,7 @@
       const listening = await ports.listens(address);
       logger.event("sendLost", { fingerprint: facts.request, target: name, listening });
       if (listening !== "refuses") return true;
-      blame.recordTargetEnd(name, facts);
+      blame.recordCrash(name, facts);
       const verdict = blame.classify(facts, targets());
       return verdict === "clear" || verdict === "suspect";
     },
--- a/packages/forwarding/src/crash-check.ts
+++ b/packages/forwarding/src/crash-check.ts
@@ -33,7 +33,7 @@
     listening,
   });
   if (listening !== "refuses") return true;
-  context.blame.recordTargetEnd(listed.id, factsOf(request));
+  context.blame.recordCrash(listed.id, factsOf(request));
   const verdict = judge(context, request);
   return verdict === "clear" || verdict === "suspect";
 }
