--- a/packages/crash-blame/src/blame-state.ts
+++ b/packages/crash-blame/src/blame-state.ts
@@ -1,137 +1,146 @@
-/** The state of a box's blame book, and how records change it. */
+/** The crash records of a box, and how records from other boxes are merged into them. */
 import type { BlameRecord, Fingerprint, HeldRequest, Milliseconds } from "@linkfall/types";
-import type { TargetEnd } from "./words.js";
+import type { TargetCrash } from "./words.js";
 
-/** A record with the number of its last change. */
-export interface Numbered<Value> {
+/** A value with the sequence number of its last change. */
+export interface Sequenced<Value> {
   readonly value: Value;
-  readonly number: number;
+  readonly sequence: number;
 }
 
 export interface BlameState {
   /** Oldest first. */
-  ends: readonly Numbered<TargetEnd>[];
-  /** When requests that stood under suspicion were last answered well. */
-  readonly served: Map<Fingerprint, Numbered<Milliseconds>>;
-  readonly held: Map<Fingerprint, Numbered<HeldRequest>>;
-  /** Number of the newest change. */
-  newest: number;
+  crashes: readonly Sequenced<TargetCrash>[];
+  /** Time at which a request with recorded crashes was last served successfully. */
+  readonly servedAt: Map<Fingerprint, Sequenced<Milliseconds>>;
+  /** Requests that are held back or have been released, least recently changed first. */
+  readonly held: Map<Fingerprint, Sequenced<HeldRequest>>;
+  lastSequence: number;
 }
 
-/** A target needs longer than this to come back, so that a second loss within it is of the same end. */
-const sameEndMs: Milliseconds = 1_000;
-/** An end says nothing any more after this time. */
-const forgetEndsMs: Milliseconds = 3_600_000;
-const mostEnds = 300;
-/** Requests that are remembered of one end: more are never at work on a target at once. */
-const mostRequests = 256;
-const mostHeld = 1_000;
+/** Losses of a target within this time belong to one crash, since a restart takes longer. */
+const sameCrashWindowMs: Milliseconds = 1_000;
+/** Crashes are discarded after this time. */
+const crashTtlMs: Milliseconds = 3_600_000;
+const maxCrashes = 300;
+/** More than the number of requests that run on a target at the same time. */
+const maxRequestsPerCrash = 256;
+const maxHeldRequests = 1_000;
 
 export function createBlameState(): BlameState {
-  return { ends: [], served: new Map(), held: new Map(), newest: 0 };
+  return { crashes: [], servedAt: new Map(), held: new Map(), lastSequence: 0 };
 }
 
-function numbered<Value>(state: BlameState, value: Value): Numbered<Value> {
-  state.newest += 1;
-  return { value, number: state.newest };
+function withNextSequence<Value>(state: BlameState, value: Value): Sequenced<Value> {
+  state.lastSequence += 1;
+  return { value, sequence: state.lastSequence };
 }
 
-function isSameEnd(one: TargetEnd, other: TargetEnd): boolean {
-  return one.target === other.target && Math.abs(one.at - other.at) <= sameEndMs;
+function isSameCrash(left: TargetCrash, right: TargetCrash): boolean {
+  return left.target === right.target && Math.abs(left.at - right.at) <= sameCrashWindowMs;
 }
 
-/** The end with what both tell of it; `known` itself where the other adds nothing. */
-function joined(known: TargetEnd, told: TargetEnd): TargetEnd {
-  const news = [...told.requests].filter((request) => !known.requests.has(request));
-  if (news.length === 0 || known.requests.size >= mostRequests) return known;
-  const requests = new Set([...known.requests, ...news].slice(0, mostRequests));
-  return { ...known, at: Math.min(known.at, told.at), requests };
+/** Merges two reports of one crash; returns `known` itself if `reported` adds no requests. */
+function mergeCrash(known: TargetCrash, reported: TargetCrash): TargetCrash {
+  const added = [...reported.requests].filter((request) => !known.requests.has(request));
+  if (added.length === 0 || known.requests.size >= maxRequestsPerCrash) return known;
+  const requests = new Set([...known.requests, ...added].slice(0, maxRequestsPerCrash));
+  return { ...known, at: Math.min(known.at, reported.at), requests };
 }
 
-/** Takes an end; returns whether it was news. */
-export function takeEnd(state: BlameState, told: TargetEnd, now: Milliseconds): boolean {
-  const index = state.ends.findIndex(({ value }) => isSameEnd(value, told));
+/** Adds or merges a crash; returns whether the state changed. */
+export function addCrash(state: BlameState, reported: TargetCrash, now: Milliseconds): boolean {
+  const index = state.crashes.findIndex(({ value }) => isSameCrash(value, reported));
   if (index < 0) {
-    const young = state.ends.filter(({ value }) => now - value.at < forgetEndsMs);
-    state.ends = [...young, numbered(state, told)].slice(-mostEnds);
+    const recent = state.crashes.filter(({ value }) => now - value.at < crashTtlMs);
+    state.crashes = [...recent, withNextSequence(state, reported)].slice(-maxCrashes);
     return true;
   }
-  const known = state.ends[index].value;
-  const both = joined(known, told);
-  if (both === known) return false;
-  state.ends = state.ends.with(index, numbered(state, both));
+  const known = state.crashes[index].value;
+  const merged = mergeCrash(known, reported);
+  if (merged === known) return false;
+  state.crashes = state.crashes.with(index, withNextSequence(state, merged));
   return true;
 }
 
-/** Takes that a request was answered well; nothing before that counts against it. */
-export function takeServed(state: BlameState, request: Fingerprint, at: Milliseconds): boolean {
-  if (at <= (state.served.get(request)?.value ?? -Infinity)) return false;
-  const before = state.ends.some(({ value }) => value.at < at && value.requests.has(request));
-  if (!before) return false;
-  state.served.set(request, numbered(state, at));
-  forgetOldest(state.served, mostEnds * mostRequests);
+/**
+ * Records that a request was served successfully, which clears it of earlier crashes. Returns whether the state
+ * changed.
+ */
+export function addServed(state: BlameState, request: Fingerprint, at: Milliseconds): boolean {
+  if (at <= (state.servedAt.get(request)?.value ?? -Infinity)) return false;
+  const hasCrash = state.crashes.some(({ value }) => value.at < at && value.requests.has(request));
+  if (!hasCrash) return false;
+  state.servedAt.set(request, withNextSequence(state, at));
+  evictOldest(state.servedAt, maxCrashes * maxRequestsPerCrash);
   return true;
 }
 
-/** Takes a word on a request that is held back or released; returns whether it was news. */
-export function takeHeld(state: BlameState, word: HeldRequest): boolean {
-  const known = state.held.get(word.request)?.value;
-  if (known && known.revision >= word.revision) return false;
-  state.held.delete(word.request);
-  state.held.set(word.request, numbered(state, word));
-  if (state.held.size > mostHeld) dropOneHeld(state);
+/** Stores a held or released request unless a newer revision is known; returns whether the state changed. */
+export function addHeldRequest(state: BlameState, heldRequest: HeldRequest): boolean {
+  const known = state.held.get(heldRequest.request)?.value;
+  if (known && known.revision >= heldRequest.revision) return false;
+  state.held.delete(heldRequest.request);
+  state.held.set(heldRequest.request, withNextSequence(state, heldRequest));
+  if (state.held.size > maxHeldRequests) evictHeldRequest(state);
   return true;
 }
 
 /**
- * Makes room: the oldest request of the account that has most of them goes, so that an account that sends many
- * different ones pushes out only its own.
+ * Evicts the oldest request of the account with the most entries, so that an account with many held requests cannot
+ * evict those of others.
  */
-function dropOneHeld(state: BlameState): void {
+function evictHeldRequest(state: BlameState): void {
   const byAccount = new Map<string, Fingerprint[]>();
   for (const { value } of state.held.values()) {
     const account = value.account ?? "";
     byAccount.set(account, [...(byAccount.get(account) ?? []), value.request]);
   }
-  const [most] = [...byAccount.values()].sort((left, right) => right.length - left.length);
-  state.held.delete(most[0]);
+  const [largest] = [...byAccount.values()].sort((left, right) => right.length - left.length);
+  state.held.delete(largest[0]);
 }
 
-function forgetOldest(map: Map<unknown, unknown>, most: number): void {
-  if (map.size > most) map.delete(map.keys().next().value);
+function evictOldest(map: Map<unknown, unknown>, maxSize: number): void {
+  if (map.size > maxSize) map.delete(map.keys().next().value);
 }
 
-/** Whether any target has ended under the request; most requests are told from suspects by this alone. */
-export function isSuspect({ ends }: BlameState, request: Fingerprint): boolean {
-  return ends.some(({ value }) => value.requests.has(request));
+/** Whether any crash is recorded for the request. */
+export function isSuspect({ crashes }: BlameState, request: Fingerprint): boolean {
+  return crashes.some(({ value }) => value.requests.has(request));
 }
 
-/** Ends that count against a request: those since it was last served, of which no request that is held back was part. */
-export function openEnds(state: BlameState, request: Fingerprint): readonly TargetEnd[] {
-  const servedAt = state.served.get(request)?.value ?? -Infinity;
-  const isHeld = (one: Fingerprint) => state.held.get(one)?.value.held === true;
-  return state.ends
+/**
+ * Returns the crashes that are relevant for judging a request. Excludes crashes with the request before it was last
+ * served, and crashes that a held request explains.
+ */
+export function unexplainedCrashes(
+  state: BlameState,
+  request: Fingerprint,
+): readonly TargetCrash[] {
+  const servedAt = state.servedAt.get(request)?.value ?? -Infinity;
+  const isHeld = (other: Fingerprint) => state.held.get(other)?.value.held === true;
+  return state.crashes
     .map(({ value }) => value)
-    .filter((end) => end.at > servedAt || !end.requests.has(request))
-    .filter((end) => ![...end.requests].some(isHeld));
+    .filter((crash) => crash.at > servedAt || !crash.requests.has(request))
+    .filter((crash) => ![...crash.requests].some(isHeld));
 }
 
-/** Everything that changed after the given number, as it is told to another box. */
-export function recordsAfter(
+/** Returns the records that changed after a sequence number, in the form sent to other boxes. */
+export function recordsSince(
   state: BlameState,
-  number: number,
+  sequence: number,
   now: Milliseconds,
 ): readonly BlameRecord[] {
-  const isNew = (entry: { readonly number: number }) => entry.number > number;
+  const isNew = (entry: { readonly sequence: number }) => entry.sequence > sequence;
   const ageMs = (at: Milliseconds) => Math.max(0, Math.round(now - at));
-  const ends = state.ends.filter(isNew).map(({ value }): BlameRecord => {
+  const crashes = state.crashes.filter(isNew).map(({ value }): BlameRecord => {
     const { target, service, at, requests } = value;
     return { kind: "end", target, service, ageMs: ageMs(at), requests: [...requests] };
   });
-  const served = [...state.served].filter(([, entry]) => isNew(entry));
+  const served = [...state.servedAt].filter(([, entry]) => isNew(entry));
   const held = [...state.held.values()].filter(isNew);
   return [
-    ...ends,
+    ...crashes,
     ...served.map(([request, { value }]): BlameRecord => {
       return { kind: "served", request, ageMs: ageMs(value) };
     }),
@@ -139,17 +148,17 @@
   ];
 }
 
-/** Takes one record of another box; returns whether it was news. */
-export function takeRecord(state: BlameState, record: BlameRecord, now: Milliseconds): boolean {
+/** Applies one record of another box; returns whether the state changed. */
+export function applyRecord(state: BlameState, record: BlameRecord, now: Milliseconds): boolean {
   switch (record.kind) {
     case "end": {
       const { target, service, ageMs, requests } = record;
-      const end = { target, service, at: now - ageMs, requests: new Set(requests) };
-      return takeEnd(state, end, now);
+      const crash = { target, service, at: now - ageMs, requests: new Set(requests) };
+      return addCrash(state, crash, now);
     }
     case "served":
-      return takeServed(state, record.request, now - record.ageMs);
+      return addServed(state, record.request, now - record.ageMs);
     case "held":
-      return takeHeld(state, record.word);
+      return addHeldRequest(state, record.word);
   }
 }
--- a/packages/crash-blame/src/held-request-schema.ts
+++ b/packages/crash-blame/src/held-request-schema.ts
@@ -1,11 +1,10 @@
-/** The form in which a request that is held back is kept, in a stream of the store or a record of the log. */
+/** Validates held requests read from a stream of the store or from a log record. */
 import { z } from "zod";
 
-/** Longest name of a request that is taken from outside. */
-const longestFingerprint = 64;
+const maxFingerprintLength = 64;
 
 export const heldRequestSchema = z.object({
-  request: z.string().min(1).max(longestFingerprint),
+  request: z.string().min(1).max(maxFingerprintLength),
   revision: z.int().positive(),
   held: z.boolean(),
   service: z.string(),
--- a/packages/crash-blame/src/held-store.ts
+++ b/packages/crash-blame/src/held-store.ts
@@ -1,4 +1,4 @@
-/** Keeps the requests that are held back in a stream of the store, so that they are known after all boxes have ended at once. */
+/** Persists held requests in a stream of the store, so that they survive a restart of all boxes. */
 import { type Clock, type Service, sleep } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
 import type { KeyedStreamPort } from "@linkfall/ports";
@@ -7,79 +7,79 @@
 import { heldRequestSchema } from "./held-request-schema.js";
 import type { CrashBlame } from "./index.js";
 
-/** Pause after the stream could not be read or written. */
-const againMs: Milliseconds = 300;
+/** Delay before a failed read or write is retried. */
+const retryDelayMs: Milliseconds = 300;
 /**
- * A box that can't read the stream serves after this time: what is held back is then known to it by other boxes' words, and
- * callers are turned away meanwhile.
+ * Time after which a box that cannot read the stream becomes ready without it. Other boxes send the held requests
+ * too, and callers would be rejected in the meantime.
  */
-const longestWaitMs: Milliseconds = 1_000;
+const maxReadWaitMs: Milliseconds = 1_000;
 
 export interface HeldRequestStore extends Service {
-  /** Whether the stream has been read, or waited for long enough. */
+  /** Whether the stream has been read, or the maximum wait has passed. */
   ready(): boolean;
 }
 
-function parseWord(text: string): Either<string, HeldRequest> {
+function parseHeldRequest(text: string): Either<string, HeldRequest> {
   try {
-    const checked = heldRequestSchema.safeParse(JSON.parse(text));
-    return checked.success ? Right(checked.data) : Left(checked.error.issues[0].message);
-  } catch (problem) {
-    return Left(String(problem));
+    const parsed = heldRequestSchema.safeParse(JSON.parse(text));
+    return parsed.success ? Right(parsed.data) : Left(parsed.error.issues[0].message);
+  } catch (error) {
+    return Left(String(error));
   }
 }
 
-/** Reads what is kept when it starts, and writes what this box decides on. */
+/** Creates a store that restores held requests when it starts, and writes this box's decisions. */
 export function createHeldRequestStore(
   blame: CrashBlame,
   stream: KeyedStreamPort,
   { clock, logger }: { readonly clock: Clock; readonly logger: Logger },
 ): HeldRequestStore {
-  /** Words that are not written yet, by request; a newer word takes the place of an older one. */
-  const unwritten = new Map<string, HeldRequest>();
+  /** The newest unwritten decision on each request. */
+  const pending = new Map<string, HeldRequest>();
   let ready = false;
   let stopped = false;
   let writing = false;
 
-  const takeRecord = (key: string, value: string) =>
-    parseWord(value)
+  const restoreRecord = (key: string, value: string) =>
+    parseHeldRequest(value)
       .ifLeft((problem) => logger.event("badRecord", { key, problem }))
       .ifRight(blame.restore);
 
   const read = async () => {
     while (!stopped) {
-      const answered = await stream.newest();
-      answered.ifRight(({ records }) => {
-        for (const { key, value } of records) if (value !== undefined) takeRecord(key, value);
+      const response = await stream.newest();
+      response.ifRight(({ records }) => {
+        for (const { key, value } of records) if (value !== undefined) restoreRecord(key, value);
         ready = true;
       });
-      if (answered.isRight()) return;
-      answered.ifLeft(({ kind }) => logger.event("heldUnread", { reason: kind }));
-      await sleep(clock, againMs);
+      if (response.isRight()) return;
+      response.ifLeft(({ kind }) => logger.event("heldUnread", { reason: kind }));
+      await sleep(clock, retryDelayMs);
     }
   };
 
-  const writeOne = async (word: HeldRequest) => {
-    const written = await stream.put(word.request, JSON.stringify(word));
+  const writeOne = async (heldRequest: HeldRequest) => {
+    const written = await stream.put(heldRequest.request, JSON.stringify(heldRequest));
     if (written.isLeft()) {
       written.ifLeft(({ kind }) =>
-        logger.event("heldNotKept", { fingerprint: word.request, reason: kind }),
+        logger.event("heldNotKept", { fingerprint: heldRequest.request, reason: kind }),
       );
-      return sleep(clock, againMs);
+      return sleep(clock, retryDelayMs);
     }
-    if (unwritten.get(word.request) === word) unwritten.delete(word.request);
+    if (pending.get(heldRequest.request) === heldRequest) pending.delete(heldRequest.request);
   };
   const write = async () => {
     if (writing) return;
     writing = true;
-    while (!stopped && unwritten.size > 0) {
-      for (const word of [...unwritten.values()]) await writeOne(word);
+    while (!stopped && pending.size > 0) {
+      for (const heldRequest of [...pending.values()]) await writeOne(heldRequest);
     }
     writing = false;
   };
 
-  blame.onDecision((word) => {
-    unwritten.set(word.request, word);
+  blame.onDecision((heldRequest) => {
+    pending.set(heldRequest.request, heldRequest);
     void write();
   });
 
@@ -87,7 +87,7 @@
     ready: () => ready,
     async start() {
       void read();
-      clock.after(longestWaitMs, () => (ready = true));
+      clock.after(maxReadWaitMs, () => (ready = true));
     },
     async stop() {
       stopped = true;
--- a/packages/crash-blame/src/index.ts
+++ b/packages/crash-blame/src/index.ts
@@ -1,19 +1,19 @@
 /**
- * Finds requests that end the targets that run them, by what all boxes have lost, and holds them back: such a
- * request returns at any box, and without a memory that all share it takes target after target with all their work.
+ * Detects requests that crash the targets that run them, and holds them back. Crashes are shared between boxes, since
+ * callers retry such a request at any box, and each retry would take down another target.
  */
 import { createFollowedNews } from "@linkfall/followed-news";
 import { type Clock, serviceName } from "@linkfall/kernel";
 import type { BlameWord, Fingerprint, HeldRequest, Incarnation } from "@linkfall/types";
 import {
+  addCrash,
+  addHeldRequest,
+  addServed,
+  applyRecord,
   createBlameState,
   isSuspect,
-  openEnds,
-  recordsAfter,
-  takeEnd,
-  takeHeld,
-  takeRecord,
-  takeServed,
+  recordsSince,
+  unexplainedCrashes,
 } from "./blame-state.js";
 import { judge, type Verdict } from "./judge.js";
 
@@ -23,7 +23,7 @@
 export { reportDecisions } from "./report-decisions.js";
 export { heldRequestsPath } from "./words.js";
 
-/** A request as operators are told of it. */
+/** Identifies a request, and describes it to operators if it is held back. */
 export interface RequestAttributes {
   readonly request: Fingerprint;
   readonly service: string;
@@ -32,107 +32,117 @@
 }
 
 export interface CrashBlame {
-  /** Whether nothing speaks against any request, so that no fingerprint is needed. */
+  /** Whether no crashes and no held requests are recorded, so that callers need not compute fingerprints. */
   isEmpty(): boolean;
-  /** What to make of a request; one that is found guilty here is held back from then on. */
-  classify(facts: RequestAttributes, targets: number): Verdict;
-  /** Notes that a target ended while it ran the request. */
+  /**
+   * Judges a request and holds it back from now on if it is guilty.
+   *
+   * @param targets number of targets of the request's service
+   */
+  classify(attributes: RequestAttributes, targets: number): Verdict;
+  /** Records that a target crashed while running the request. */
   recordCrash(target: string, { request, service }: RequestAttributes): void;
-  /** Notes that the request was answered well: nothing before counts against it. */
+  /** Records that the request was served successfully, which clears it of earlier crashes. */
   recordServed(request: Fingerprint): void;
-  /** Requests that are held back. */
   heldRequests(): readonly HeldRequest[];
-  /** Lets a request through again; false where it is not held back. */
+  /** Releases a held request; returns false if it is not held. */
   release(request: Fingerprint): boolean;
-  /** Takes a word that was kept for boxes that start. */
-  restore(word: HeldRequest): void;
-  /** What another box lacks that has followed this one to `number`. */
-  changesSince(number: number): BlameWord;
-  /** Takes the word of another box. */
-  applyChanges(from: Incarnation, word: BlameWord): void;
-  /** How far this box has followed another one. */
+  /** Restores a persisted decision. */
+  restore(heldRequest: HeldRequest): void;
+  /** Returns the changes after a sequence number of this box, for another box to apply. */
+  changesSince(sequence: number): BlameWord;
+  /** Applies changes from another box. */
+  applyChanges(from: Incarnation, changes: BlameWord): void;
+  /** Sequence number up to which the changes of another box have been applied. */
   appliedSequence(other: Incarnation): number;
-  /** Calls the listener when this box has found something to tell. */
+  /** Calls the listener on each change that originates at this box. */
   onChange(listener: () => void): void;
-  /** Calls the listener with each word that this box has decided on itself. */
-  onDecision(listener: (word: HeldRequest) => void): void;
+  /** Calls the listener when this box holds back or releases a request. */
+  onDecision(listener: (heldRequest: HeldRequest) => void): void;
 }
 
 export const crashBlameName = serviceName<CrashBlame>("crash-blame");
 
-/** Creates a book in which nothing is known. */
+/** Creates an instance without any records. */
 export function createCrashBlame(clock: Clock): CrashBlame {
   const state = createBlameState();
-  const followed = createFollowedNews();
-  const newsListeners: (() => void)[] = [];
-  const decidedListeners: ((word: HeldRequest) => void)[] = [];
+  const applied = createFollowedNews();
+  const changeListeners: (() => void)[] = [];
+  const decisionListeners: ((heldRequest: HeldRequest) => void)[] = [];
 
-  const tellNews = () => {
-    for (const listener of newsListeners) listener();
+  const notifyChange = () => {
+    for (const listener of changeListeners) listener();
   };
-  const decide = (word: HeldRequest) => {
-    takeHeld(state, word);
-    for (const listener of decidedListeners) listener(word);
-    tellNews();
+  const decide = (heldRequest: HeldRequest) => {
+    addHeldRequest(state, heldRequest);
+    for (const listener of decisionListeners) listener(heldRequest);
+    notifyChange();
   };
   const isHeld = (request: Fingerprint) => state.held.get(request)?.value.held === true;
 
-  const hold = (facts: RequestAttributes) => {
-    const ends = openEnds(state, facts.request).filter((end) => end.requests.has(facts.request));
+  const hold = (attributes: RequestAttributes) => {
+    const crashes = unexplainedCrashes(state, attributes.request).filter((crash) =>
+      crash.requests.has(attributes.request),
+    );
     decide({
-      ...facts,
-      revision: (state.held.get(facts.request)?.value.revision ?? 0) + 1,
+      ...attributes,
+      revision: (state.held.get(attributes.request)?.value.revision ?? 0) + 1,
       held: true,
-      targets: ends.map(({ target }) => target),
+      targets: crashes.map(({ target }) => target),
       since: clock.wallTime(),
     });
   };
 
   return {
-    isEmpty: () => state.ends.length === 0 && state.held.size === 0,
-    classify(facts, targets) {
-      const { request } = facts;
+    isEmpty: () => state.crashes.length === 0 && state.held.size === 0,
+    classify(attributes, targets) {
+      const { request } = attributes;
       if (isHeld(request)) return "guilty";
       if (!isSuspect(state, request)) return "clear";
       const verdict = judge({
         request,
-        ends: openEnds(state, request),
+        crashes: unexplainedCrashes(state, request),
         targets,
         now: clock.now(),
       });
-      if (verdict === "guilty") hold(facts);
+      if (verdict === "guilty") hold(attributes);
       return verdict;
     },
     recordCrash(target, { request, service }) {
       const now = clock.now();
-      const end = { target, service, at: now, requests: new Set([request]) };
-      if (takeEnd(state, end, now)) tellNews();
+      const crash = { target, service, at: now, requests: new Set([request]) };
+      if (addCrash(state, crash, now)) notifyChange();
     },
     recordServed(request) {
-      if (takeServed(state, request, clock.now())) tellNews();
+      if (addServed(state, request, clock.now())) notifyChange();
     },
     heldRequests: () =>
       [...state.held.values()].map(({ value }) => value).filter(({ held }) => held),
     release(request) {
-      const word = state.held.get(request)?.value;
-      if (!word?.held) return false;
-      // What it did before is forgiven: its targets may have been mended.
-      takeServed(state, request, clock.now());
-      decide({ ...word, revision: word.revision + 1, held: false, since: clock.wallTime() });
+      const heldRequest = state.held.get(request)?.value;
+      if (!heldRequest?.held) return false;
+      // Clears earlier crashes, since the cause may have been fixed.
+      addServed(state, request, clock.now());
+      decide({
+        ...heldRequest,
+        revision: heldRequest.revision + 1,
+        held: false,
+        since: clock.wallTime(),
+      });
       return true;
     },
-    restore: (word) => void takeHeld(state, word),
-    changesSince: (number) => ({
-      number: state.newest,
-      records: recordsAfter(state, number, clock.now()),
+    restore: (heldRequest) => void addHeldRequest(state, heldRequest),
+    changesSince: (sequence) => ({
+      number: state.lastSequence,
+      records: recordsSince(state, sequence, clock.now()),
     }),
-    applyChanges(from, word) {
+    applyChanges(from, changes) {
       const now = clock.now();
-      for (const record of word.records) takeRecord(state, record, now);
-      followed.note(from, word.number);
+      for (const record of changes.records) applyRecord(state, record, now);
+      applied.note(from, changes.number);
     },
-    appliedSequence: followed.of,
-    onChange: (listener) => void newsListeners.push(listener),
-    onDecision: (listener) => void decidedListeners.push(listener),
+    appliedSequence: applied.of,
+    onChange: (listener) => void changeListeners.push(listener),
+    onDecision: (listener) => void decisionListeners.push(listener),
   };
 }
--- a/packages/crash-blame/src/judge.ts
+++ b/packages/crash-blame/src/judge.ts
@@ -1,85 +1,86 @@
-/** Whether the ends of targets are a request's doing: a pure function of what boxes have told. */
+/** Decides whether a request causes the crashes of targets. A pure function of the recorded crashes. */
 import type { Fingerprint, Milliseconds } from "@linkfall/types";
-import type { TargetEnd } from "./words.js";
+import type { TargetCrash } from "./words.js";
 
-/** What a box makes of a request that comes. */
 export type Verdict =
-  /** Nothing speaks against it. */
+  /** No crash is attributed to the request. */
   | "clear"
-  /** A target has ended under it; it may be the cause or have been there by chance. */
+  /** A target crashed while running the request, which may be coincidence. */
   | "suspect"
-  /** Two targets or more have ended under it, and other boxes may still have something to say of the last. */
+  /** Several targets crashed while running the request, and reports from other boxes may be outstanding. */
   | "unsettled"
-  /** Two targets have ended under it, which leaves other explanations: one more send, without a repeat. */
+  /** Several crashes have other possible causes; the request may be sent once more, without retries. */
   | "last_try"
-  /** It ends what runs it. */
+  /** The request is considered the cause. */
   | "guilty";
 
 export interface Evidence {
   readonly request: Fingerprint;
-  /** Ends of targets that no request that is held back accounts for. */
-  readonly ends: readonly TargetEnd[];
-  /** Targets that its service has. */
+  /** Crashes that are not explained by a held request. */
+  readonly crashes: readonly TargetCrash[];
+  /** Number of targets of the request's service. */
   readonly targets: number;
   readonly now: Milliseconds;
 }
 
-/** Targets that end within this time of each other may have one cause, such as a loss of power. */
-const togetherMs: Milliseconds = 300;
-/** Copies of a request that callers sent at once end with their targets in one instant; its own repeats end them later. */
-const copiesMs: Milliseconds = 10;
-/** Where this share of a service's targets ends together with one, no request is to blame for that one. */
-const manyShare = 0.3;
-/** Targets that end without a request, so shortly before or after those that end with it, make it one suspect of several. */
-const unrelatedMs: Milliseconds = 10_000;
-/** In which other boxes have told of what they lost at the same moment. */
+/** Crashes within this time of each other may share a cause, such as a power failure. */
+const correlatedWindowMs: Milliseconds = 300;
+/** The same for crashes with copies of the request: copies sent in parallel crash at once, retries later. */
+const copyWindowMs: Milliseconds = 10;
+/** Fraction of a service's targets that must crash with another one for it to count as a mass failure. */
+const massFailureFraction = 0.3;
+/** Crashes without the request within this time of one with it suggest another cause. */
+const unrelatedCrashWindowMs: Milliseconds = 10_000;
+/** Time after a crash in which other boxes report the requests that they lost in it. */
 export const settlingMs: Milliseconds = 500;
-/** Ends that are enough where they are the only ones, and nothing else was there each time. */
-const fewestEnds = 2;
-/** Ends that are enough in any case. */
-const enoughEnds = 3;
+/** Number of crashes that suffice if they have no other explanation. */
+const minCrashes = 2;
+/** Number of crashes that suffice in any case. */
+const conclusiveCrashes = 3;
 
-const within = (left: TargetEnd, right: TargetEnd, ms: Milliseconds): boolean =>
+const isWithin = (left: TargetCrash, right: TargetCrash, ms: Milliseconds): boolean =>
   Math.abs(left.at - right.at) <= ms;
 
-/** Whether so many targets ended together that the request is a victim like the others. */
-function isOneOfMany({ request, ends, targets }: Evidence, end: TargetEnd): boolean {
-  const together = ends.filter((other) => {
-    const isCopy = other.requests.has(request);
-    return other !== end && within(end, other, isCopy ? copiesMs : togetherMs);
+/** Whether so many other targets crashed at the same time that the request is unlikely to be the cause. */
+function isMassFailure({ request, crashes, targets }: Evidence, crash: TargetCrash): boolean {
+  const simultaneous = crashes.filter((other) => {
+    const hasCopy = other.requests.has(request);
+    return other !== crash && isWithin(crash, other, hasCopy ? copyWindowMs : correlatedWindowMs);
   });
-  return together.length >= Math.max(1, targets * manyShare);
+  return simultaneous.length >= Math.max(1, targets * massFailureFraction);
 }
 
-/** Whether another request was at work on each of the targets. */
-function isShared(request: Fingerprint, ends: readonly TargetEnd[]): boolean {
-  const [first, ...rest] = ends;
-  const companions = [...first.requests].filter((other) => other !== request);
-  return companions.some((other) => rest.every((end) => end.requests.has(other)));
+/** Whether another request was running on every crashed target. */
+function hasCommonRequest(request: Fingerprint, crashes: readonly TargetCrash[]): boolean {
+  const [first, ...rest] = crashes;
+  const others = [...first.requests].filter((other) => other !== request);
+  return others.some((other) => rest.every((crash) => crash.requests.has(other)));
 }
 
-/** Whether two ends leave no other explanation. */
-function isClear(
+/** Whether the request is the only explanation of its crashes. */
+function isConclusive(
   request: Fingerprint,
-  ends: readonly TargetEnd[],
-  others: readonly TargetEnd[],
+  crashes: readonly TargetCrash[],
+  unrelated: readonly TargetCrash[],
 ): boolean {
-  if (isShared(request, ends)) return false;
-  return !others.some((other) => ends.some((end) => within(end, other, unrelatedMs)));
+  if (hasCommonRequest(request, crashes)) return false;
+  return !unrelated.some((other) =>
+    crashes.some((crash) => isWithin(crash, other, unrelatedCrashWindowMs)),
+  );
 }
 
 /**
- * Judges a request. A target that ends takes with it whatever it runs, so that one end makes suspects and no culprit;
- * several make one, unless many targets end together, when innocent requests meet one end after another.
+ * Judges a request by its crashes. A single crash makes every request on the target a suspect. Mass failures don't
+ * count, since innocent requests may be part of several of them.
  */
 export function judge(evidence: Evidence): Verdict {
-  const { request, ends, now } = evidence;
-  const own = ends.filter((end) => end.requests.has(request));
+  const { request, crashes, now } = evidence;
+  const own = crashes.filter((crash) => crash.requests.has(request));
   if (own.length === 0) return "clear";
-  const others = ends.filter((end) => !end.requests.has(request));
-  const telling = own.filter((end) => !isOneOfMany(evidence, end));
-  if (telling.length < fewestEnds) return "suspect";
-  if (telling.some((end) => now - end.at < settlingMs)) return "unsettled";
-  if (telling.length >= enoughEnds) return "guilty";
-  return isClear(request, telling, others) ? "guilty" : "last_try";
+  const unrelated = crashes.filter((crash) => !crash.requests.has(request));
+  const isolated = own.filter((crash) => !isMassFailure(evidence, crash));
+  if (isolated.length < minCrashes) return "suspect";
+  if (isolated.some((crash) => now - crash.at < settlingMs)) return "unsettled";
+  if (isolated.length >= conclusiveCrashes) return "guilty";
+  return isConclusive(request, isolated, unrelated) ? "guilty" : "last_try";
 }
--- a/packages/crash-blame/src/report-decisions.ts
+++ b/packages/crash-blame/src/report-decisions.ts
@@ -1,24 +1,25 @@
-/** Says in the log and in metrics what a box decides on requests that end targets. */
+/** Reports the decisions on held requests to the log and the metrics. */
 import type { Logger } from "@linkfall/logger";
 import type { Metrics } from "@linkfall/metrics";
 import type { HeldRequest } from "@linkfall/types";
 import type { CrashBlame } from "./index.js";
 
-function logDecision(logger: Logger, word: HeldRequest): void {
-  const { request, held, revision, service, route, account, targets } = word;
-  const facts = { fingerprint: request, revision, service, route, account };
-  if (held) logger.event("requestHeldBack", { ...facts, targets: targets.join(" ") });
-  else logger.event("requestReleased", facts);
+function logDecision(logger: Logger, heldRequest: HeldRequest): void {
+  const { request, held, revision, service, route, account, targets } = heldRequest;
+  const fields = { fingerprint: request, revision, service, route, account };
+  if (held) logger.event("requestHeldBack", { ...fields, targets: targets.join(" ") });
+  else logger.event("requestReleased", fields);
 }
 
+/** Logs each decision of this box and registers a gauge of the held requests. */
 export function reportDecisions(
   blame: CrashBlame,
   { logger, metrics }: { readonly logger: Logger; readonly metrics: Metrics },
 ): void {
-  blame.onDecision((word) => logDecision(logger, word));
+  blame.onDecision((heldRequest) => logDecision(logger, heldRequest));
   metrics.gauge(
     "linkfall_held_requests",
-    "Requests that are held back since targets ended under them.",
+    "Requests that are held back because targets crashed while running them.",
     () => blame.heldRequests().length,
   );
 }
--- a/packages/crash-blame/src/words.ts
+++ b/packages/crash-blame/src/words.ts
@@ -1,15 +1,15 @@
-/** What one box keeps of targets that ended, and where operators ask for what is held back. */
+/** The path of the operator API, and the record that a box keeps of a crashed target. */
 import type { Fingerprint, Milliseconds } from "@linkfall/types";
 
-/** Where a box answers operators: GET lists what is held back, DELETE with `request` in the query releases one. */
+/** Operator API: GET lists the requests that are held back, DELETE with the query parameter `request` releases one. */
 export const heldRequestsPath = "/v1/held-requests";
 
-/** A target ended while it ran requests. */
-export interface TargetEnd {
+/** The crash of a target while it was running requests. */
+export interface TargetCrash {
   readonly target: string;
   readonly service: string;
   /** By this box's clock. */
   readonly at: Milliseconds;
-  /** What it ran then, as far as boxes have told. */
+  /** Requests that were running on the target, as reported by boxes so far. */
   readonly requests: ReadonlySet<Fingerprint>;
 }
