--- a/packages/crash-guard/src/index.ts
+++ b/packages/crash-guard/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps requests that end the targets that run them away from further targets: what was lost is weighed by `crash-blame`, and
- * heartbeats and the log carry it to the other boxes.
+ * Keeps requests that crash their targets away from further targets. Crashes are judged by `crash-blame` and shared with
+ * other boxes through heartbeats and the log.
  */
 import {
   type CrashBlame,
@@ -19,17 +19,16 @@
 import { stateStoreName } from "@linkfall/state-store";
 import type { HeldRequest, Milliseconds, Refusal } from "@linkfall/types";
 
-/** The log may be away for so long; heartbeats carry the word meanwhile. */
-const keepLimitMs: Milliseconds = 60_000;
+/** Time limit for appending a decision to an unreachable log; heartbeats distribute it in the meantime. */
+const appendTimeoutMs: Milliseconds = 60_000;
 
-/** A request as the guard knows it. */
 export interface GuardedRequest {
   readonly attributes: RequestAttributes;
-  /** Number of targets that could run it, whether they are open now or not; counted only where something speaks against it. */
+  /** Number of targets that could run the request, available or not; only called if crashes are recorded. */
   countTargets(): number;
 }
 
-/** A target whose answer was lost. */
+/** A target whose response was lost. */
 export interface LostTarget {
   readonly name: string;
   /** `host:port`. */
@@ -37,17 +36,17 @@
 }
 
 export interface CrashGuard {
-  /** Why the request may not run now; undefined where it may. */
+  /** Returns why the request must not run now; undefined if it may run. */
   refusal(request: GuardedRequest): Refusal | undefined;
-  /** Looks at a target whose answer was lost, and tells whether the request may go on at another one. */
+  /** Checks whether a target whose response was lost has crashed, and whether the request may be retried at another. */
   mayRetryElsewhere(request: GuardedRequest, lost: LostTarget): Promise<boolean>;
-  /** Notes that a target answered the request well. */
+  /** Records that a target served the request successfully. */
   recordServed(request: GuardedRequest): void;
 }
 
 export const crashGuardName = serviceName<CrashGuard>("crash-guard");
 
-/** Provides what the box knows of such requests, and says in its log what it decides. */
+/** Creates and registers the crash records of the box, and reports their decisions to the log and the metrics. */
 export function provideCrashBlame(kernel: Kernel): CrashBlame {
   const blame = createCrashBlame(kernel.find(clockName));
   const logger = kernel.find(loggerName);
@@ -55,24 +54,27 @@
   return kernel.provide(crashBlameName, blame);
 }
 
-/** Keeps what is decided in the log, from which boxes that start anew learn it. */
+/** Appends this box's decisions to the log, and restores decisions from it. */
 export function persistHeldRequests(kernel: Kernel): void {
   const store = kernel.find(stateStoreName);
   const writer = kernel.find(logWriterName);
   const logger = kernel.find(loggerName);
   const blame = kernel.find(crashBlameName);
-  const keep = async (word: HeldRequest) => {
-    const appended = await writer.append((id) => ({ type: "held", id, word }), keepLimitMs);
+  const append = async (heldRequest: HeldRequest) => {
+    const appended = await writer.append(
+      (id) => ({ type: "held", id, word: heldRequest }),
+      appendTimeoutMs,
+    );
     appended.ifLeft(({ kind }) =>
-      logger.event("heldNotKept", { fingerprint: word.request, reason: kind }),
+      logger.event("heldNotKept", { fingerprint: heldRequest.request, reason: kind }),
     );
   };
-  blame.onDecision((word) => void keep(word));
+  blame.onDecision((heldRequest) => void append(heldRequest));
   store.onFold((event) => {
     if (event.type === "request_held") blame.restore(event.word);
   });
   store.onReplace(() => {
-    for (const word of store.state().heldRequests.values()) blame.restore(word);
+    for (const heldRequest of store.state().heldRequests.values()) blame.restore(heldRequest);
   });
 }
 
@@ -82,27 +84,31 @@
   const ports = kernel.find(targetPortName);
   const blame = kernel.find(crashBlameName);
   return {
-    refusal({ attributes: facts, countTargets: targets }) {
+    refusal({ attributes, countTargets }) {
       if (blame.isEmpty()) return undefined;
-      switch (blame.classify(facts, targets())) {
+      switch (blame.classify(attributes, countTargets())) {
         case "guilty":
-          return notRun("held_back", "targets ended while they ran this request");
+          return notRun("held_back", "targets crashed while running this request");
         case "unsettled":
-          return notRun("held_back", "targets ended under this request", settlingMs);
+          return notRun(
+            "held_back",
+            "targets crashed while running this request; the cause is not established yet",
+            settlingMs,
+          );
         default:
           return undefined;
       }
     },
-    async mayRetryElsewhere({ attributes: facts, countTargets: targets }, { name, address }) {
+    async mayRetryElsewhere({ attributes, countTargets }, { name, address }) {
       const listening = await ports.listens(address);
-      logger.event("sendLost", { fingerprint: facts.request, target: name, listening });
+      logger.event("sendLost", { fingerprint: attributes.request, target: name, listening });
       if (listening !== "refuses") return true;
-      blame.recordCrash(name, facts);
-      const verdict = blame.classify(facts, targets());
+      blame.recordCrash(name, attributes);
+      const verdict = blame.classify(attributes, countTargets());
       return verdict === "clear" || verdict === "suspect";
     },
-    recordServed({ attributes: facts }) {
-      if (!blame.isEmpty()) blame.recordServed(facts.request);
+    recordServed({ attributes }) {
+      if (!blame.isEmpty()) blame.recordServed(attributes.request);
     },
   };
 }
