--- a/packages/once/src/tickets.ts
+++ b/packages/once/src/tickets.ts
@@ -17,7 +17,7 @@
   readonly ticketNumber: number;
   /** End of the ticket on the owner's own clock. */
   readonly expiresAt: Milliseconds;
-  readonly seal: string;
+  readonly signature: string;
   /** The caller's own part. */
   readonly suffix: string;
 }
@@ -37,7 +37,7 @@
     owner,
     ticketNumber: Number(number),
     expiresAt: Number(expires),
-    seal,
+    signature: seal,
     suffix,
   };
 }
@@ -74,7 +74,7 @@
     },
     isValid(id, account) {
       const expected = Buffer.from(sealOf(id.ticketNumber, id.expiresAt, account));
-      const given = Buffer.from(id.seal);
+      const given = Buffer.from(id.signature);
       return given.length === expected.length && timingSafeEqual(given, expected);
     },
     maxRemainingMs: () => Math.max(0, lastExpiry - clock.now()),
