--- a/packages/once/src/once-memory.ts
+++ b/packages/once/src/once-memory.ts
@@ -1,4 +1,4 @@
-/** The owner's memory of not repeatable requests. */
+/** Deduplicates non-repeatable requests at the box that owns them, and replays their responses. */
 import { invariant } from "@linkfall/errors";
 import type { Clock } from "@linkfall/kernel";
 import type { CallerResponse } from "@linkfall/ports";
@@ -7,134 +7,146 @@
 import { type SharedResponse, shareResponse } from "./shared-answer.js";
 import type { OnceId, TicketIssuer } from "./tickets.js";
 
-/** Limits of the memory. */
 export interface OnceLimits {
+  /** Time for which a request is remembered after its ticket has expired. */
   readonly retentionMs: Milliseconds;
+  /** Maximum number of remembered requests. */
   readonly maxEntries: number;
+  /** Maximum size of the stored responses. */
   readonly maxAnswerBytes: number;
 }
 
 interface OnceEntry {
-  readonly forgetAt: Milliseconds;
-  /** Its answer; given up to save memory, while the entry itself stays. */
-  answer?: Promise<SharedResponse>;
-  /** The answer once it has ended, while its bytes are counted. */
-  held?: SharedResponse;
+  readonly expiresAt: Milliseconds;
+  /** Removed when the stored response is evicted; the entry itself remains. */
+  response?: Promise<SharedResponse>;
+  /** The finished response, while it counts towards the stored bytes. */
+  stored?: SharedResponse;
 }
 
 export interface OnceMemory {
   /**
-   * Runs `execute` for the first request with this identifier; every other one gets the same answer.
-   * A request that was not run is forgotten, so it may be tried again.
+   * Calls `execute` for the first request with this identifier, and replays its response to all others. A request whose
+   * outcome is "not_run" is forgotten and may be retried.
    */
   run(id: OnceId, account: string, execute: () => Promise<CallerResponse>): Promise<CallerResponse>;
-  /** Requests that are remembered. */
+  /** Number of remembered requests. */
   size(): number;
 }
 
-/** Creates an empty memory. */
 export function createOnceMemory(
   clock: Clock,
-  office: TicketIssuer,
+  tickets: TicketIssuer,
   limits: OnceLimits,
 ): OnceMemory {
   const entries = new Map<string, OnceEntry>();
-  /** Entries whose ended answers are held, oldest first. */
-  const holding = new Set<OnceEntry>();
-  let heldBytes = 0;
+  /** Entries with a stored response, oldest first. */
+  const storedEntries = new Set<OnceEntry>();
+  let storedBytes = 0;
 
   const keyOf = (id: OnceId) => `${id.ticketNumber}.${id.expiresAt}/${id.suffix}`;
 
-  /** Entries stand nearly in the order of their time; the few out of it go a little later. */
-  const forgetOld = () => {
+  /** Stops at the first unexpired entry. Entries are only roughly ordered by expiry, so some are removed later. */
+  const removeExpired = () => {
     const now = clock.now();
     for (const [key, entry] of entries) {
-      if (entry.forgetAt > now) return;
+      if (entry.expiresAt > now) return;
       entries.delete(key);
-      release(entry);
+      discardStored(entry);
     }
   };
 
-  const release = (entry: OnceEntry) => {
-    if (!holding.delete(entry)) return;
-    heldBytes -= entry.held?.sizeBytes() ?? 0;
-    entry.held = undefined;
+  const discardStored = (entry: OnceEntry) => {
+    if (!storedEntries.delete(entry)) return;
+    storedBytes -= entry.stored?.sizeBytes() ?? 0;
+    entry.stored = undefined;
   };
 
-  /** Gives up the oldest answers; that their requests ran stays remembered. */
-  const trimAnswers = () => {
-    for (const entry of holding) {
-      if (heldBytes <= limits.maxAnswerBytes) return;
-      release(entry);
-      entry.answer = undefined;
+  /** Evicts the oldest responses; their requests remain remembered. */
+  const evictResponses = () => {
+    for (const entry of storedEntries) {
+      if (storedBytes <= limits.maxAnswerBytes) return;
+      discardStored(entry);
+      entry.response = undefined;
     }
   };
 
-  const keepWhenFinished = async (key: string, entry: OnceEntry) => {
-    const answer = await entry.answer;
-    await answer?.finished;
-    if (!answer || entries.get(key) !== entry) return;
-    entry.held = answer;
-    holding.add(entry);
-    heldBytes += answer.sizeBytes();
-    trimAnswers();
+  const storeWhenFinished = async (key: string, entry: OnceEntry) => {
+    const response = await entry.response;
+    await response?.finished;
+    if (!response || entries.get(key) !== entry) return;
+    entry.stored = response;
+    storedEntries.add(entry);
+    storedBytes += response.sizeBytes();
+    evictResponses();
   };
 
-  const begin = async (
+  const runFirst = async (
     key: string,
     id: OnceId,
     execute: () => Promise<CallerResponse>,
   ): Promise<CallerResponse> => {
-    const answer = execute().then(shareResponse);
+    const response = execute().then(shareResponse);
     const entry: OnceEntry = {
-      forgetAt: id.expiresAt + limits.retentionMs,
-      answer,
+      expiresAt: id.expiresAt + limits.retentionMs,
+      response,
     };
     invariant(!entries.has(key), "runs-at-most-once", () => key);
     entries.set(key, entry);
-    const first = (await answer).createReader();
+    const first = (await response).createReader();
     if (outcomeOf(first) === "not_run") entries.delete(key);
-    else void keepWhenFinished(key, entry);
+    else void storeWhenFinished(key, entry);
     return first;
   };
 
-  const repeat = async (entry: OnceEntry): Promise<CallerResponse> => {
-    if (!entry.answer) {
+  const replay = async (entry: OnceEntry): Promise<CallerResponse> => {
+    if (!entry.response) {
       return refusalResponse(
-        outcomeUnknown("answer_not_kept", "it ran; its answer is no longer held"),
+        outcomeUnknown("answer_not_kept", "the request ran, but its response is no longer stored"),
       );
     }
-    const answer = await entry.answer;
-    const response = answer.createReader();
+    const shared = await entry.response;
+    const response = shared.createReader();
     return { ...response, headers: { ...response.headers, "linkfall-repeated": "true" } };
   };
 
   return {
     async run(id, account, execute) {
-      forgetOld();
-      if (!office.isValid(id, account)) {
-        return refusalResponse(notRun("ticket_invalid", "the ticket is not one of this account"));
+      removeExpired();
+      if (!tickets.isValid(id, account)) {
+        return refusalResponse(
+          notRun("ticket_invalid", "the ticket was not issued to this account by this box"),
+        );
       }
       const key = keyOf(id);
-      const known = entries.get(key);
-      if (known) return repeat(known);
+      const existing = entries.get(key);
+      if (existing) return replay(existing);
       const now = clock.now();
       if (now >= id.expiresAt + limits.retentionMs) {
         return refusalResponse(
-          outcomeUnknown("ticket_expired", "too long ago to know whether it ran"),
+          outcomeUnknown(
+            "ticket_expired",
+            "the ticket expired too long ago to determine whether the request ran",
+          ),
         );
       }
-      // Within the retention an identifier that is not remembered has not run.
+      // Entries are retained past the ticket's expiry, so a request without one has not run.
       if (now >= id.expiresAt) {
-        return refusalResponse(notRun("ticket_expired", "ask /v1/entries for a new ticket", 0));
+        return refusalResponse(
+          notRun("ticket_expired", "the ticket has expired; request a new one from /v1/entries", 0),
+        );
       }
       if (entries.size >= limits.maxEntries) {
-        const wait = Math.max(0, ([...entries.values()][0]?.forgetAt ?? now) - now);
+        const waitMs = Math.max(0, ([...entries.values()][0]?.expiresAt ?? now) - now);
         return refusalResponse(
-          notRun("once_memory_full", "too many requests are remembered", wait),
+          notRun(
+            "once_memory_full",
+            "the maximum number of remembered requests is reached",
+            waitMs,
+          ),
         );
       }
-      return begin(key, id, execute);
+      return runFirst(key, id, execute);
     },
     size: () => entries.size,
   };
--- a/packages/once/src/once.steps.ts
+++ b/packages/once/src/once.steps.ts
@@ -25,9 +25,9 @@
   "the owner of a ticket of account {string} with room for 2 requests",
   function (this: object, account: string) {
     const clock = createVirtualClock();
-    const office = createTicketIssuer(clock, "b@aa", "secret", lifetimeMs);
-    const memory = createOnceMemory(clock, office, limits);
-    notes(this).set("owner", { clock, memory, ticket: office.issue(account).id, runs: 0 });
+    const tickets = createTicketIssuer(clock, "b@aa", "secret", lifetimeMs);
+    const memory = createOnceMemory(clock, tickets, limits);
+    notes(this).set("owner", { clock, memory, ticket: tickets.issue(account).id, runs: 0 });
   },
 );
 
@@ -37,7 +37,7 @@
   return id;
 }
 
-/** Parts that come one after the other, 10 ms apart. */
+/** Yields the texts as body parts, 10 ms apart. */
 async function* slowParts(clock: VirtualClock, texts: readonly string[]): AsyncGenerator<BodyPart> {
   for (const text of texts) {
     await new Promise<void>((resolve) => clock.after(10, resolve));
@@ -59,21 +59,24 @@
   return text;
 }
 
-When("the same request comes 3 times, the last after it has ended", async function (this: object) {
-  const owner = ownerOf(this);
-  const early = [run(owner, "r"), run(owner, "r")].map(async (each) => readAll(await each));
-  await owner.clock.runUntil(100);
-  const late = readAll(await run(owner, "r"));
-  notes(this).set("texts", await Promise.all([...early, late]));
-});
+When(
+  "the same request arrives 3 times, the last time after it has finished",
+  async function (this: object) {
+    const owner = ownerOf(this);
+    const early = [run(owner, "r"), run(owner, "r")].map(async (each) => readAll(await each));
+    await owner.clock.runUntil(100);
+    const late = readAll(await run(owner, "r"));
+    notes(this).set("texts", await Promise.all([...early, late]));
+  },
+);
 
-Then("it ran once and all 3 got the whole answer", function (this: object) {
+Then("it ran once and all 3 got the complete response", function (this: object) {
   assert.equal(ownerOf(this).runs, 1);
   assert.deepEqual(notes(this).get("texts"), Array(3).fill("whole answer"));
 });
 
 When(
-  "a caller reads half of an answer and goes, and the request comes again",
+  "a caller disconnects halfway through the response, and the request arrives again",
   async function (this: object) {
     const owner = ownerOf(this);
     const first = await run(owner, "r");
@@ -87,12 +90,12 @@
   },
 );
 
-Then("it ran once and the repeat got the whole answer", function (this: object) {
+Then("it ran once and the retry got the complete response", function (this: object) {
   assert.equal(ownerOf(this).runs, 1);
   assert.deepEqual(notes(this).get("texts"), ["whole answer"]);
 });
 
-When("a request is refused as not run and comes again", async function (this: object) {
+When("a request is refused as not run and arrives again", async function (this: object) {
   const owner = ownerOf(this);
   const execute = async () => {
     owner.runs += 1;
@@ -107,20 +110,20 @@
 });
 
 When(
-  "account {string} sends a request under the ticket",
+  "account {string} sends a request with the ticket",
   async function (this: object, account: string) {
     notes(this).set("answer", await run(ownerOf(this), "r", [], account));
   },
 );
 
-When("a request comes under a ticket with another seal", async function (this: object) {
+When("a request arrives with a forged ticket signature", async function (this: object) {
   const owner = ownerOf(this);
   const id = { ...idOf(owner, "r"), seal: "0".repeat(24) };
   notes(this).set("answer", await owner.memory.run(id, "one", async () => jsonResponse({})));
 });
 
 When(
-  "a request comes for the first time after the ticket has ended",
+  "a request arrives for the first time after its ticket has expired",
   async function (this: object) {
     const owner = ownerOf(this);
     await owner.clock.runUntil(lifetimeMs + 1);
@@ -128,13 +131,13 @@
   },
 );
 
-When("a request comes after the time for which runs are remembered", async function (this: object) {
+When("a request arrives after the retention time", async function (this: object) {
   const owner = ownerOf(this);
   await owner.clock.runUntil(lifetimeMs + retentionMs + 1);
   notes(this).set("answer", await run(owner, "r"));
 });
 
-When("3 different requests come", async function (this: object) {
+When("3 different requests arrive", async function (this: object) {
   const owner = ownerOf(this);
   await run(owner, "r1");
   await run(owner, "r2");
@@ -142,7 +145,7 @@
 });
 
 When(
-  "an answer larger than the memory for answers has ended and the request comes again",
+  "a response larger than the response memory has finished and its request arrives again",
   async function (this: object) {
     const owner = ownerOf(this);
     await run(owner, "r", ["x".repeat(101)]);
--- a/packages/once/src/shared-answer.ts
+++ b/packages/once/src/shared-answer.ts
@@ -1,39 +1,39 @@
-/** An answer that is read to its end whether or not its caller stays, and that others may read too. */
+/** Buffers a response that is read to its end even if the caller disconnects, and that further callers can read. */
 import type { BodyPart, CallerResponse } from "@linkfall/ports";
 
 export interface SharedResponse {
-  /** A response of its own for one more reader, from the first byte on. */
+  /** Creates a response for another reader, starting at the first byte. */
   createReader(): CallerResponse;
-  /** Resolves when the last part is in. */
+  /** Resolves when the body has ended. */
   readonly finished: Promise<void>;
-  /** Bytes held. */
+  /** Number of buffered bytes. */
   sizeBytes(): number;
-  /** Whether the body came to its end whole. */
+  /** Whether the body has ended without an error. */
   isComplete(): boolean;
 }
 
-/** Begins to read the answer at once. */
+/** Starts reading the response immediately. */
 export function shareResponse(response: CallerResponse): SharedResponse {
   const parts: BodyPart[] = [];
   let done = false;
   let size = 0;
-  let wake: () => void = () => undefined;
-  let changed = new Promise<void>((resolve) => (wake = resolve));
+  let resolveChanged: () => void = () => undefined;
+  let changed = new Promise<void>((resolve) => (resolveChanged = resolve));
 
-  const announce = () => {
-    const wakeReaders = wake;
-    changed = new Promise<void>((resolve) => (wake = resolve));
-    wakeReaders();
+  const notifyReaders = () => {
+    const notify = resolveChanged;
+    changed = new Promise<void>((resolve) => (resolveChanged = resolve));
+    notify();
   };
   const add = (part: BodyPart) => {
     parts.push(part);
     size += part.map((bytes) => bytes.length).orDefault(0);
-    announce();
+    notifyReaders();
   };
   const readAll = async (body: AsyncIterable<BodyPart>) => {
     for await (const part of body) add(part);
     done = true;
-    announce();
+    notifyReaders();
   };
 
   async function* read(): AsyncGenerator<BodyPart> {
@@ -45,11 +45,11 @@
   }
 
   if (response.body instanceof Uint8Array) {
-    const whole = response.body;
+    const bytes = response.body;
     return {
       createReader: () => response,
       finished: Promise.resolve(),
-      sizeBytes: () => whole.length,
+      sizeBytes: () => bytes.length,
       isComplete: () => true,
     };
   }
