--- a/packages/once/src/once.steps.ts
+++ b/packages/once/src/once.steps.ts
@@ -118,7 +118,7 @@
 
 When("a request arrives with a forged ticket signature", async function (this: object) {
   const owner = ownerOf(this);
-  const id = { ...idOf(owner, "r"), seal: "0".repeat(24) };
+  const id = { ...idOf(owner, "r"), signature: "0".repeat(24) };
   notes(this).set("answer", await owner.memory.run(id, "one", async () => jsonResponse({})));
 });
 
