--- a/packages/request-fingerprint/src/index.ts
+++ b/packages/request-fingerprint/src/index.ts
@@ -1,9 +1,9 @@
-/** Names a request by its content, so that its return is known under whatever identifier it comes. */
+/** Computes fingerprints of requests from their content, so that retries are recognized under any request identifier. */
 import { createHash } from "node:crypto";
 
-/** What a request has in common with its returns. Headers may differ from one to the next. */
+/** The content that a request shares with its retries. Headers are excluded, since they may differ between retries. */
 export interface RequestContent {
-  /** Name of the client account; absent where no key was needed. */
+  /** Name of the client account; undefined for a request without a key. */
   readonly account?: string;
   readonly method: string;
   readonly host: string;
@@ -12,12 +12,12 @@
   readonly body: Uint8Array;
 }
 
-/** Hexadecimal digits of a fingerprint: two different requests share 64 bits by no accident. */
+/** Hexadecimal digits of a fingerprint; 64 bits make accidental collisions negligible. */
 const fingerprintDigits = 16;
 
 /**
- * The fingerprint of a request. Parts are told apart by their lengths, so that no account can compose the
- * fingerprint of another one's request.
+ * Returns the fingerprint of a request as hexadecimal digits. The fields before the body are encoded unambiguously, so
+ * that no account can construct a request with the fingerprint of another account's request.
  */
 export function fingerprintOf({ account, method, host, path, body }: RequestContent): string {
   const hash = createHash("sha256");
--- a/packages/request-fingerprint/src/request-fingerprint.feature
+++ b/packages/request-fingerprint/src/request-fingerprint.feature
@@ -1,10 +1,10 @@
-Feature: A request is known by its content
+Feature: Fingerprints identify requests by their content
 
-  Scenario: A return has the fingerprint of the request, whatever the case of its host
-    Then "a POST app.example /x hello" and "a POST APP.example /x hello" have one fingerprint
+  Scenario: A retry has the fingerprint of the request, regardless of the case of its host
+    Then "a POST app.example /x hello" and "a POST APP.example /x hello" have the same fingerprint
 
-  Scenario Outline: Another <part> makes another request
-    Then "a POST app.example /x hello" and "<other>" have two fingerprints
+  Scenario Outline: A different <part> results in a different fingerprint
+    Then "a POST app.example /x hello" and "<other>" have different fingerprints
 
     Examples:
       | part    | other                        |
@@ -15,5 +15,5 @@
       | path    | a POST app.example /xh ello  |
       | body    | a POST app.example /x hello2 |
 
-  Scenario: Random requests share a fingerprint only with themselves
-    Then among random requests only equal ones have one fingerprint
+  Scenario: Different random requests have different fingerprints
+    Then among random requests only equal ones have the same fingerprint
--- a/packages/request-fingerprint/src/request-fingerprint.steps.ts
+++ b/packages/request-fingerprint/src/request-fingerprint.steps.ts
@@ -3,38 +3,38 @@
 import fc from "fast-check";
 import { fingerprintOf, type RequestContent } from "./index.js";
 
-/** Reads "account method host path body"; "-" stands for no account. */
+/** Parses "account method host path body", with "-" for a request without an account. */
 function contentOf(text: string): RequestContent {
   const [account, method, host, path, body] = text.split(" ");
-  const named = account === "-" ? undefined : account;
-  return { account: named, method, host, path, body: Buffer.from(body) };
+  const accountName = account === "-" ? undefined : account;
+  return { account: accountName, method, host, path, body: Buffer.from(body) };
 }
 
-Then("{string} and {string} have one fingerprint", (one: string, other: string) => {
+Then("{string} and {string} have the same fingerprint", (one: string, other: string) => {
   assert.equal(fingerprintOf(contentOf(one)), fingerprintOf(contentOf(other)));
 });
 
-Then("{string} and {string} have two fingerprints", (one: string, other: string) => {
+Then("{string} and {string} have different fingerprints", (one: string, other: string) => {
   assert.notEqual(fingerprintOf(contentOf(one)), fingerprintOf(contentOf(other)));
 });
 
-Then("among random requests only equal ones have one fingerprint", () => {
-  // Few different characters, so that parts of different lengths often make the same text together.
-  const word = fc.string({ unit: fc.constantFrom("a", "/", "\n"), maxLength: 3 });
-  const content = fc.record({
-    account: fc.option(word, { nil: undefined }),
-    method: word,
-    host: word,
-    path: word,
-    body: word.map((text) => Buffer.from(text)),
+Then("among random requests only equal ones have the same fingerprint", () => {
+  // Few distinct characters, so that different fields often have the same concatenation.
+  const text = fc.string({ unit: fc.constantFrom("a", "/", "\n"), maxLength: 3 });
+  const requests = fc.record({
+    account: fc.option(text, { nil: undefined }),
+    method: text,
+    host: text,
+    path: text,
+    body: text.map((body) => Buffer.from(body)),
   });
   const seen = new Map<string, string>();
   fc.assert(
-    fc.property(content, (request) => {
+    fc.property(requests, (request) => {
       const fingerprint = fingerprintOf(request);
-      const text = JSON.stringify({ ...request, body: request.body.toString() });
-      assert.equal(seen.get(fingerprint) ?? text, text);
-      seen.set(fingerprint, text);
+      const content = JSON.stringify({ ...request, body: request.body.toString() });
+      assert.equal(seen.get(fingerprint) ?? content, content);
+      seen.set(fingerprint, content);
     }),
     { seed: 3, numRuns: 5_000 },
   );
