--- a/packages/account-keys/src/account-keys.feature
+++ b/packages/account-keys/src/account-keys.feature
@@ -1,4 +1,4 @@
-Feature: A key belongs to one client account
+Feature: API keys identify client accounts
 
   Scenario Outline: <key> belongs to <account>
     Given client accounts "a" with keys "k1 k2" and "b" with keys "k3 k1"
@@ -13,5 +13,5 @@
       | k   | nobody  |
       |     | nobody  |
 
-  Scenario: Keys are not told by their fingerprints
-    Then no fingerprint of 200 random keys holds 3 characters of its key in a row
+  Scenario: Fingerprints do not reveal keys
+    Then no fingerprint of 200 random keys contains 3 consecutive characters of its key
--- a/packages/account-keys/src/account-keys.steps.ts
+++ b/packages/account-keys/src/account-keys.steps.ts
@@ -6,10 +6,16 @@
 
 Given(
   "client accounts {string} with keys {string} and {string} with keys {string}",
-  function (this: object, one: string, keys: string, other: string, otherKeys: string) {
+  function (
+    this: object,
+    firstName: string,
+    firstKeys: string,
+    secondName: string,
+    secondKeys: string,
+  ) {
     const accounts = [
-      { name: one, keys: keys.split(" ") },
-      { name: other, keys: otherKeys.split(" ") },
+      { name: firstName, keys: firstKeys.split(" ") },
+      { name: secondName, keys: secondKeys.split(" ") },
     ];
     notes(this).set("table", createKeyTable(accounts));
   },
@@ -21,14 +27,14 @@
 });
 
 Then(
-  "no fingerprint of {int} random keys holds {int} characters of its key in a row",
+  "no fingerprint of {int} random keys contains {int} consecutive characters of its key",
   (runs: number, length: number) => {
     const keys = fc.string({ minLength: 20, maxLength: 20, unit: "grapheme-ascii" });
     fc.assert(
       fc.property(keys, (key) => {
-        const shown = keyFingerprint(key);
+        const fingerprint = keyFingerprint(key);
         for (let at = 0; at + length <= key.length; at++) {
-          assert.ok(!shown.includes(key.slice(at, at + length)));
+          assert.ok(!fingerprint.includes(key.slice(at, at + length)));
         }
       }),
       { seed: 7, numRuns: runs },
--- a/packages/account-keys/src/index.ts
+++ b/packages/account-keys/src/index.ts
@@ -1,15 +1,15 @@
 /**
- * Finds the client account that holds a key. Keys are kept as digests: a lookup takes the same time for
- * every wrong key, and nothing that is logged or dumped can be used as a key.
+ * Looks up client accounts by API key. Keys are stored as digests, so that lookups are not vulnerable to timing attacks
+ * and logs or memory dumps contain no usable keys.
  */
 import { createHash } from "node:crypto";
 import type { ClientAccount } from "@linkfall/types";
 
-/** Hexadecimal digits of a digest that stand for a key in logs. */
+/** Length of the digest prefix that identifies a key in logs. */
 const fingerprintDigits = 8;
 
 export interface KeyTable {
-  /** The account that holds the key; undefined for a key that nobody holds. */
+  /** Returns the account that owns the key; undefined for an unknown key. */
   find(key: string): ClientAccount | undefined;
 }
 
@@ -17,12 +17,12 @@
   return createHash("sha256").update(key, "utf8").digest("hex");
 }
 
-/** A short name of a key for logs, from which the key cannot be told. */
+/** Returns a short identifier of a key for logs that does not reveal the key. */
 export function keyFingerprint(key: string): string {
   return digestOf(key).slice(0, fingerprintDigits);
 }
 
-/** Builds the table of a configuration. A key that two accounts claim belongs to the first of them. */
+/** Creates the lookup table of a configuration. A key listed by several accounts belongs to the first one. */
 export function createKeyTable(accounts: readonly ClientAccount[]): KeyTable {
   const byDigest = new Map<string, ClientAccount>();
   for (const account of accounts) {
