--- a/packages/account-keys/src/index.ts
+++ b/packages/account-keys/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Looks up client accounts by API key. Keys are stored as digests, so that lookups are not vulnerable to timing attacks
- * and logs or memory dumps contain no usable keys.
+ * Looks up client accounts by API key. Keys are stored as digests, so that a lookup takes the same time for every
+ * unknown key, and logs or memory dumps contain no usable keys.
  */
 import { createHash } from "node:crypto";
 import type { ClientAccount } from "@linkfall/types";
--- a/packages/usage-report/src/index.ts
+++ b/packages/usage-report/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * Usage goes where it is needed and nowhere else: demand for a pool's models to the pool's holder,
- * and the rate of a client account to the one box that rendezvous hashing names for it, which adds
- * up what all boxes report and tells them the sum. A broadcast would grow with models times boxes.
+ * Reports the usage measured by each box to the boxes that need it. Demand for models is sent to the lease holder of
+ * their pool. Request rates of a client account are sent to its aggregator, a box selected by rendezvous hashing, which
+ * responds with the total over all boxes. The cost of a broadcast would grow with the product of models and boxes.
  */
 import { settingsName } from "@linkfall/config";
 import { createDemandMeter, type DemandMeter } from "@linkfall/demand-meter";
@@ -21,39 +21,39 @@
 import { stateStoreName } from "@linkfall/state-store";
 import type { AccountRate, DemandSample, Incarnation, Milliseconds, Model } from "@linkfall/types";
 
-/** A report or a sum that has not come anew for so many periods no longer counts. */
-const lifePeriods = 5;
+/** Number of report intervals after which reports and totals expire. */
+const expiryIntervals = 5;
 
 export interface UsageReports {
-  /** Counts one request. */
+  /** Counts one request of an account, and its tokens towards the demand for a model. */
   recordRequest(account: string, model?: string, tokens?: number): void;
-  /** This box's own rate of an account, in requests a second. */
+  /** Rate of an account at this box, in requests per second. */
   ownRate(account: string): number;
-  /** The account's rate over all boxes as its home last told it; undefined when it has not. */
+  /** Rate of an account over all boxes, in requests per second; undefined if no recent total is known. */
   totalRate(account: string): number | undefined;
-  /** Demand of every box that has reported to this one, its own first. */
+  /** Demand measured by this box, followed by that of each box that has reported to it. */
   demand(): readonly (readonly DemandSample[])[];
-  /** Takes the report of a peer. */
+  /** Handles the report of a peer; returns the totals of the accounts in it. */
   receive(report: UsageReport): UsageTotals;
 }
 
 export const usageReportsName = serviceName<UsageReports>("usage-reports");
 
-interface Held<T> {
+interface Timestamped<T> {
   readonly value: T;
-  readonly at: Milliseconds;
+  readonly receivedAt: Milliseconds;
 }
 
-/** Drops what came before a time. */
-function sweep<T>(entries: Map<string, Held<T>>, oldest: Milliseconds): void {
-  for (const [key, held] of entries) if (held.at < oldest) entries.delete(key);
+/** Removes entries received before the given time. */
+function removeExpired<T>(entries: Map<string, Timestamped<T>>, minReceivedAt: Milliseconds): void {
+  for (const [key, { receivedAt }] of entries) if (receivedAt < minReceivedAt) entries.delete(key);
 }
 
 function toRates(meter: DemandMeter): readonly AccountRate[] {
   return meter.own().map(({ model, requestsPerSecond }) => ({ account: model, requestsPerSecond }));
 }
 
-/** Creates the reports of one box; its life cycle is the reporting. */
+/** Creates the usage reports of one box, which are sent from `start` to `stop`. */
 export function createUsageReports(kernel: Kernel): UsageReports & Service {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
@@ -61,54 +61,54 @@
   const peers = kernel.find(peerPortName);
   const leases = kernel.find(leaseHolderName);
   const self = kernel.find(incarnationName);
-  const everyMs = kernel.find(settingsName).membership.usage_ms;
-  const oldest = () => clock.now() - lifePeriods * everyMs;
+  const intervalMs = kernel.find(settingsName).membership.usage_ms;
+  const minReceivedAt = () => clock.now() - expiryIntervals * intervalMs;
   const models = createDemandMeter(clock);
   const accounts = createDemandMeter(clock);
-  /** Reports of boxes, by incarnation: what this box is the home or the holder for. */
-  const reports = new Map<string, Held<UsageReport>>();
-  const totals = new Map<string, Held<number>>();
+  /** Reports received as lease holder or aggregator, by incarnation of the sender. */
+  const reports = new Map<string, Timestamped<UsageReport>>();
+  const totals = new Map<string, Timestamped<number>>();
 
   const holderOf = (model: string): Incarnation | undefined => {
     const pool = store.desired().models.get(model)?.pool;
     return pool === undefined ? undefined : store.state().leases.get(pool)?.holder;
   };
 
-  /** The pool of the account's first model; most of its requests come to that pool's boxes. */
+  /** The pool of the account's first model by name, whose boxes receive most of its requests. */
   const mainPoolOf = (account: string): string | undefined => {
-    const own = [...store.desired().models.values()].filter(({ accounts }) =>
+    const candidates = [...store.desired().models.values()].filter(({ accounts }) =>
       accounts.includes(account),
     );
-    return own.reduce<Model | undefined>(
+    return candidates.reduce<Model | undefined>(
       (first, model) => (first === undefined || model.name < first.name ? model : first),
       undefined,
     )?.pool;
   };
 
-  /** One box for each account: of its main pool's, so that a box reports to few others. */
-  const homeOf = (account: string): Incarnation => {
+  /** The box that aggregates an account's rates, chosen from its main pool to limit the number of peers. */
+  const aggregatorOf = (account: string): Incarnation => {
     const serving = membership.serving();
     const pool = mainPoolOf(account);
     const boxes = pool === undefined ? undefined : leases.boxesOf(pool);
     const candidates = serving.filter((entry) => boxes?.includes(entry.box) ?? true);
-    const names = candidates.map((entry) => entry.incarnation);
-    return rankNodes(account, names)[0] ?? self;
+    const incarnations = candidates.map((entry) => entry.incarnation);
+    return rankNodes(account, incarnations)[0] ?? self;
   };
 
-  /** What goes to each box. */
+  /** The reports to send, by destination. */
   const reportsByBox = (): ReadonlyMap<Incarnation, UsageReport> => {
     const byBox = new Map<Incarnation, { demand: DemandSample[]; accounts: AccountRate[] }>();
-    const of = (box: Incarnation) => {
+    const reportTo = (box: Incarnation) => {
       const report = byBox.get(box) ?? { demand: [], accounts: [] };
       byBox.set(box, report);
       return report;
     };
-    for (const sample of models.own()) of(holderOf(sample.model) ?? self).demand.push(sample);
-    for (const rate of toRates(accounts)) of(homeOf(rate.account)).accounts.push(rate);
+    for (const sample of models.own()) reportTo(holderOf(sample.model) ?? self).demand.push(sample);
+    for (const rate of toRates(accounts)) reportTo(aggregatorOf(rate.account)).accounts.push(rate);
     return new Map([...byBox].map(([box, report]) => [box, { from: self, ...report }]));
   };
 
-  const sumOf = (account: string) =>
+  const totalOf = (account: string) =>
     [...reports.values()].reduce((sum, { value }) => {
       const rate = value.accounts.find((entry) => entry.account === account);
       return sum + (rate?.requestsPerSecond ?? 0);
@@ -116,31 +116,31 @@
 
   const receive = (report: UsageReport): UsageTotals => {
     const now = clock.now();
-    sweep(reports, oldest());
-    reports.set(report.from, { value: report, at: now });
-    return report.accounts.map(({ account }) => ({ account, requestsPerSecond: sumOf(account) }));
+    removeExpired(reports, minReceivedAt());
+    reports.set(report.from, { value: report, receivedAt: now });
+    return report.accounts.map(({ account }) => ({ account, requestsPerSecond: totalOf(account) }));
   };
 
-  const takeTotals = (told: UsageTotals) => {
-    for (const { account, requestsPerSecond } of told) {
-      totals.set(account, { value: requestsPerSecond, at: clock.now() });
+  const applyTotals = (received: UsageTotals) => {
+    for (const { account, requestsPerSecond } of received) {
+      totals.set(account, { value: requestsPerSecond, receivedAt: clock.now() });
     }
   };
 
   const sendTo = async (box: Incarnation, report: UsageReport) => {
-    if (box === self) return takeTotals(receive(report));
+    if (box === self) return applyTotals(receive(report));
     const entry = membership.find(box);
     if (!entry) return;
-    const answer = await peers.reportUsage(entry.peerAddress, report);
-    answer.ifRight(takeTotals);
+    const response = await peers.reportUsage(entry.peerAddress, report);
+    response.ifRight(applyTotals);
   };
 
-  const round = () => {
-    sweep(totals, oldest());
+  const sendReports = () => {
+    removeExpired(totals, minReceivedAt());
     for (const [box, report] of reportsByBox()) void sendTo(box, report);
   };
 
-  const loop = repeatEvery(clock, kernel.find(randomName), everyMs, round);
+  const loop = repeatEvery(clock, kernel.find(randomName), intervalMs, sendReports);
   return {
     recordRequest(account, model, tokens = 0) {
       accounts.note(account, 0);
@@ -151,7 +151,7 @@
     totalRate: (account) => totals.get(account)?.value,
     demand() {
       const others = [...reports].filter(([box]) => box !== self);
-      return [models.own(), ...others.map(([, held]) => held.value.demand)];
+      return [models.own(), ...others.map(([, { value }]) => value.demand)];
     },
     receive,
     start: loop.start,
