--- a/packages/usage-report/src/index.ts
+++ b/packages/usage-report/src/index.ts
@@ -46,7 +46,7 @@
 
 /** Removes entries received before the given time. */
 function removeExpired<T>(entries: Map<string, Timestamped<T>>, minReceivedAt: Milliseconds): void {
-  for (const [key, { receivedAt }] of entries) if (receivedAt < minReceivedAt) entries.delete(key);
+  for (const [key, entry] of entries) if (entry.receivedAt < minReceivedAt) entries.delete(key);
 }
 
 function toRates(meter: DemandMeter): readonly AccountRate[] {
@@ -151,7 +151,7 @@
     totalRate: (account) => totals.get(account)?.value,
     demand() {
       const others = [...reports].filter(([box]) => box !== self);
-      return [models.own(), ...others.map(([, { value }]) => value.demand)];
+      return [models.own(), ...others.map(([, report]) => report.value.demand)];
     },
     receive,
     start: loop.start,
