--- a/packages/crash-blame/src/blame-state.ts
+++ b/packages/crash-blame/src/blame-state.ts
@@ -1,6 +1,6 @@
 /** The crash records of a box, and how records from other boxes are merged into them. */
 import type { BlameRecord, Fingerprint, HeldRequest, Milliseconds } from "@linkfall/types";
-import type { TargetCrash } from "./words.js";
+import type { TargetCrash } from "./target-crash.js";
 
 /** A value with the sequence number of its last change. */
 export interface Sequenced<Value> {
--- a/packages/crash-blame/src/index.ts
+++ b/packages/crash-blame/src/index.ts
@@ -21,7 +21,7 @@
 export { createHeldRequestStore, type HeldRequestStore } from "./held-store.js";
 export { settlingMs, type Verdict } from "./judge.js";
 export { reportDecisions } from "./report-decisions.js";
-export { heldRequestsPath } from "./words.js";
+export { heldRequestsPath } from "./target-crash.js";
 
 /** Identifies a request, and describes it to operators if it is held back. */
 export interface RequestAttributes {
--- a/packages/crash-blame/src/judge.ts
+++ b/packages/crash-blame/src/judge.ts
@@ -1,6 +1,6 @@
 /** Decides whether a request causes the crashes of targets. A pure function of the recorded crashes. */
 import type { Fingerprint, Milliseconds } from "@linkfall/types";
-import type { TargetCrash } from "./words.js";
+import type { TargetCrash } from "./target-crash.js";
 
 export type Verdict =
   /** No crash is attributed to the request. */
--- a/packages/once/src/once-memory.ts
+++ b/packages/once/src/once-memory.ts
@@ -4,7 +4,7 @@
 import type { CallerResponse } from "@linkfall/ports";
 import { notRun, outcomeOf, outcomeUnknown, refusalResponse } from "@linkfall/refusals";
 import type { Milliseconds } from "@linkfall/types";
-import { type SharedResponse, shareResponse } from "./shared-answer.js";
+import { type SharedResponse, shareResponse } from "./shared-response.js";
 import type { OnceId, TicketIssuer } from "./tickets.js";
 
 export interface OnceLimits {
