--- a/packages/account-quota/src/allotments.ts
+++ b/packages/account-quota/src/allotments.ts
@@ -10,7 +10,7 @@
   readonly units: number;
   readonly grants: number;
   readonly refusals: number;
-  /** Fraction of the limit that is available to boxes that are not silent. */
+  /** Fraction of the limit that is available to connected boxes. */
   readonly part: number;
 }
 
--- a/packages/account-quota/src/quota-source.ts
+++ b/packages/account-quota/src/quota-source.ts
@@ -23,7 +23,7 @@
 export interface QuotaPeers extends AllocationPeers<QuotaRequest, QuotaGrant> {
   /** Fraction of each limit that this box may use while it is isolated. */
   ownShare(): number;
-  /** Fraction of each limit that silent boxes may be using on their own. */
+  /** Fraction of each limit that boxes without recent heartbeats may be using on their own. */
   silentShare(): number;
   /** Called for each decision that this box makes from its own share of an account's limit. */
   onIsolatedDecision?(account: string, granted: number, part: number): void;
@@ -39,7 +39,7 @@
  */
 const initialToleranceFraction = 0.22;
 
-/** Minimum fraction of a limit that is available to boxes that are not silent. */
+/** Minimum fraction of a limit that remains for connected boxes, however many are silent. */
 const minConnectedShare = 0.5;
 
 const declinedGrant: QuotaGrant = { granted: 0, waitMs: 0, declined: true };
--- a/packages/crash-guard/src/index.ts
+++ b/packages/crash-guard/src/index.ts
@@ -24,7 +24,7 @@
 
 export interface GuardedRequest {
   readonly attributes: RequestAttributes;
-  /** Number of targets that could run the request, available or not; only called if crashes are recorded. */
+  /** Number of targets that could run the request, available or not; only called if crashes or held requests are recorded. */
   countTargets(): number;
 }
 
--- a/packages/target-limits/src/index.ts
+++ b/packages/target-limits/src/index.ts
@@ -18,7 +18,7 @@
 export interface PermitPeers extends AllocationPeers<PermitRequest, PermitGrant> {
   /** Fraction of each limit that this box may use while it is isolated. */
   ownShare(): number;
-  /** Fraction of each limit that silent boxes may be using on their own. */
+  /** Fraction of each limit that boxes without recent heartbeats may be using on their own. */
   silentShare(): number;
   /** Number of boxes that send requests. */
   boxCount(): number;
@@ -40,7 +40,7 @@
   allocate(request: PermitRequest): Promise<PermitGrant>;
 }
 
-/** Minimum fraction of a limit that is available to boxes that are not silent. */
+/** Minimum fraction of a limit that remains for connected boxes, however many are silent. */
 const minConnectedShare = 0.5;
 /** Permits used later than this are void, for example after the box was suspended. */
 const permitExpiryMs: Milliseconds = 500;
