--- a/packages/box/src/create-box.ts
+++ b/packages/box/src/create-box.ts
@@ -41,7 +41,7 @@
   peerPortName,
   targetPortName,
 } from "@linkfall/ports";
-import { createReplicas, replicasName } from "@linkfall/replicas";
+import { createReplicaFinder, replicaFinderName } from "@linkfall/replicas";
 import { createReportRelay, reportRelayName } from "@linkfall/report-relay";
 import { createSnapshotWriter } from "@linkfall/snapshot-writer";
 import { createStateStore, stateStoreName } from "@linkfall/state-store";
@@ -118,7 +118,7 @@
   kernel.provide(ticketOfficeName, office);
   kernel.provide(inFlightName, createInFlight(callers.max_in_flight));
   kernel.provide(targetLoadName, createTargetLoad(kernel));
-  kernel.provide(replicasName, createReplicas(kernel));
+  kernel.provide(replicaFinderName, createReplicaFinder(kernel));
   kernel.provide(crashGuardName, createCrashGuard(kernel));
   kernel.provide(completionsName, createCompletions(kernel));
   kernel.provide(plainCallsName, createPlainCalls(kernel));
@@ -132,7 +132,7 @@
     heartbeat: membership.receive,
     fetchState: membership.stateForPeer,
     reportUsage: kernel.find(usageReportsName).receive,
-    readReports: kernel.find(reportRelayName).receive,
+    readReports: kernel.find(reportRelayName).answerRequest,
     forward: (request) => callers.handle(request, true),
   };
 }
--- a/packages/completion/src/admission.ts
+++ b/packages/completion/src/admission.ts
@@ -2,7 +2,7 @@
 import { settingsName } from "@linkfall/config";
 import { clockName, type Kernel, randomName, sleep } from "@linkfall/kernel";
 import { notRun } from "@linkfall/refusals";
-import { type Replica, replicasName } from "@linkfall/replicas";
+import { type Replica, replicaFinderName } from "@linkfall/replicas";
 import { chooseTarget, estimateRun } from "@linkfall/routing";
 import { targetLoadName } from "@linkfall/target-load";
 import type { Milliseconds, Refusal } from "@linkfall/types";
@@ -27,7 +27,7 @@
 export function createAdmission(kernel: Kernel): Admission {
   const clock = kernel.find(clockName);
   const random = kernel.find(randomName);
-  const replicas = kernel.find(replicasName);
+  const replicas = kernel.find(replicaFinderName);
   const load = kernel.find(targetLoadName);
   const settings = kernel.find(settingsName).routing;
   /** Generated tokens as a share of those that were asked for, by model. */
@@ -54,7 +54,7 @@
 
   const serving = (job: CompletionJob, progress: Progress) =>
     replicas
-      .serving(job.model, job.adapter)
+      .findServing(job.model, job.adapter)
       .filter((replica) => !progress.failedTargets.has(replica.target));
 
   /** Waits only while a copy is seen to be loading; otherwise the refusal comes at once. */
@@ -64,7 +64,7 @@
   ): Promise<readonly Replica[]> => {
     for (;;) {
       const open = serving(job, progress);
-      const worthWaiting = replicas.isComing(job.model, job.adapter) && !job.gone.aborted;
+      const worthWaiting = replicas.isLoading(job.model, job.adapter) && !job.gone.aborted;
       const inTime = clock.now() + replicaPollMs < job.deadlineAt;
       if (open.length > 0 || !worthWaiting || !inTime) return open;
       await sleep(clock, replicaPollMs);
--- a/packages/crash-blame/src/index.ts
+++ b/packages/crash-blame/src/index.ts
@@ -2,7 +2,7 @@
  * Detects requests that crash the targets that run them, and holds them back. Crashes are shared between boxes, since
  * callers retry such a request at any box, and each retry would take down another target.
  */
-import { createFollowedNews } from "@linkfall/followed-news";
+import { createReceivedUpdates } from "@linkfall/followed-news";
 import { type Clock, serviceName } from "@linkfall/kernel";
 import type { BlameWord, Fingerprint, HeldRequest, Incarnation } from "@linkfall/types";
 import {
@@ -66,7 +66,7 @@
 /** Creates an instance without any records. */
 export function createCrashBlame(clock: Clock): CrashBlame {
   const state = createBlameState();
-  const applied = createFollowedNews();
+  const applied = createReceivedUpdates();
   const changeListeners: (() => void)[] = [];
   const decisionListeners: ((heldRequest: HeldRequest) => void)[] = [];
 
@@ -139,9 +139,9 @@
     applyChanges(from, changes) {
       const now = clock.now();
       for (const record of changes.records) applyRecord(state, record, now);
-      applied.note(from, changes.number);
+      applied.record(from, changes.number);
     },
-    appliedSequence: applied.of,
+    appliedSequence: applied.latestFrom,
     onChange: (listener) => void changeListeners.push(listener),
     onDecision: (listener) => void decisionListeners.push(listener),
   };
--- a/packages/entry-box/src/provide-limits.ts
+++ b/packages/entry-box/src/provide-limits.ts
@@ -35,7 +35,7 @@
     },
     (target) => fleet.find(target)?.born,
   );
-  fleet.onLifeEnded(limits.forget);
+  fleet.onIncarnationEnded(limits.forget);
   const tell = createTeller(parts);
   limits.onChange((change) => {
     logChange(parts, change);
--- a/packages/forwarding/src/crash-check.ts
+++ b/packages/forwarding/src/crash-check.ts
@@ -1,6 +1,6 @@
 /** Requests that end the targets that run them: what a lost answer says of its request, and what becomes of its returns. */
 import { type RequestAttributes, settlingMs, type Verdict } from "@linkfall/crash-blame";
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import type { ForwardContext } from "./forward-context.js";
 import type { ForwardedRequest } from "./forwarded-request.js";
 import { refuse, refusedStatus, type Step } from "./request-step.js";
@@ -23,7 +23,7 @@
 export async function mayGoOnAfterLoss(
   context: ForwardContext,
   request: ForwardedRequest,
-  { listed }: TargetBelief,
+  { listed }: TargetView,
 ): Promise<boolean> {
   const listening = await context.lostTargets.look(listed.address);
   context.logger.event("sendLost", {
--- a/packages/forwarding/src/forward-context.ts
+++ b/packages/forwarding/src/forward-context.ts
@@ -1,7 +1,7 @@
 /** What the steps of a request share: services of its box, and the limits of its way. */
 import type { CrashBlame } from "@linkfall/crash-blame";
 import type { Random } from "@linkfall/kernel";
-import type { DemandMeter, Wanted } from "@linkfall/model-demand";
+import type { ModelDemandMeter, RequestedWeights } from "@linkfall/model-demand";
 import type { RetryBudget } from "@linkfall/retry-budget";
 import type { Milliseconds, Route } from "@linkfall/types";
 import type { ForwardedRequest } from "./forwarded-request.js";
@@ -29,7 +29,7 @@
 }
 
 export interface ForwardContext extends SendContext {
-  readonly demand: DemandMeter;
+  readonly demand: ModelDemandMeter;
   readonly random: Random;
   readonly budget: RetryBudget;
   readonly blame: CrashBlame;
@@ -46,7 +46,7 @@
   /** Boxes that share the retry budget. */
   boxes(): number;
   /** Time until weights are expected to be there; undefined when nothing is known. */
-  expectedWeightsMs(wanted: Wanted): Milliseconds | undefined;
+  expectedWeightsMs(wanted: RequestedWeights): Milliseconds | undefined;
 }
 
 /** Time in which a send may still bring the caller its answer, or the next part of it. */
--- a/packages/forwarding/src/forward.ts
+++ b/packages/forwarding/src/forward.ts
@@ -1,5 +1,5 @@
 /** The way of one request: pick a target or wait for weights, send, and go on while that may help. */
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import { sleep } from "@linkfall/kernel";
 import type { RequestDemand } from "@linkfall/model-demand";
 import type { Milliseconds } from "@linkfall/types";
@@ -51,7 +51,7 @@
 async function afterLoss(
   context: ForwardContext,
   request: ForwardedRequest,
-  target: TargetBelief,
+  target: TargetView,
   reason: string,
 ): Promise<Step> {
   request.runs += 1;
@@ -84,7 +84,7 @@
 async function afterSend(
   context: ForwardContext,
   request: ForwardedRequest,
-  target: TargetBelief,
+  target: TargetView,
   end: AttemptEnd,
 ): Promise<Step> {
   switch (end.kind) {
@@ -129,8 +129,8 @@
     request: request.terms.id,
     target: target.listed.id,
     expectedMs: Math.round(choice.expectedMs),
-    own: target.own.inFlight,
-    ofOthers: target.others.inFlight,
+    own: target.ownLoad.inFlight,
+    ofOthers: target.otherBoxesLoad.inFlight,
     alternatives: others,
     send: request.sends + 1,
   });
@@ -195,7 +195,7 @@
   { route, service, terms }: ForwardedRequest,
 ): RequestDemand {
   const { perTokenMs } = costs.of(service.name, "");
-  return { objectiveMs: route.objectiveMs, readingMs: probablyUnread(terms) * perTokenMs };
+  return { objectiveMs: route.objectiveMs, prefillMs: probablyUnread(terms) * perTokenMs };
 }
 
 /** Takes a request to its end; the caller has its final answer when this resolves. */
@@ -209,7 +209,7 @@
   if (guilty?.go === "end") return guilty.end;
   const asksForWeights = terms.model !== undefined && service.engine !== undefined;
   const endDemand = asksForWeights
-    ? context.demand.begins(wantedOf(request), demandOf(context, request))
+    ? context.demand.recordRequest(wantedOf(request), demandOf(context, request))
     : () => undefined;
   let taken = await step(context, request);
   while (taken.go === "on") taken = await step(context, request);
--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -1,5 +1,5 @@
 /** One request on its way through a box. */
-import type { Wanted } from "@linkfall/model-demand";
+import type { RequestedWeights } from "@linkfall/model-demand";
 import type { RawHeaders } from "@linkfall/ports";
 import type { Milliseconds, RequestTerms, Route, RoutedService } from "@linkfall/types";
 import type { AnswerSink } from "./answer-sink.js";
@@ -59,7 +59,7 @@
     };
 
 /** What a request asks for, in the demand meter's terms. */
-export function wantedOf(request: ForwardedRequest): Wanted {
+export function wantedOf(request: ForwardedRequest): RequestedWeights {
   const { model = "", adapter } = request.terms;
   return { service: request.service.name, model, adapter };
 }
--- a/packages/forwarding/src/forwarding.steps.ts
+++ b/packages/forwarding/src/forwarding.steps.ts
@@ -12,7 +12,7 @@
 import { loggerName, recordingLogger } from "@linkfall/logger";
 import { createTargetLimits, type PermitPeers } from "@linkfall/target-limits";
 import { createMetrics } from "@linkfall/metrics";
-import { createDemandMeter } from "@linkfall/model-demand";
+import { createModelDemandMeter } from "@linkfall/model-demand";
 import type { RawHeaders, RequestCodec } from "@linkfall/ports";
 import { createRetryBudget } from "@linkfall/retry-budget";
 import type { Milliseconds, Route, RoutedService } from "@linkfall/types";
@@ -105,8 +105,8 @@
   kernel.provide(clockName, clock);
   kernel.provide(loggerName, logger);
   const fleet = createFleet(kernel, {
-    lapse: { graceMs: 1_600, share: 0.3 },
-    ejection: { failuresInARow: 3, firstMs: 1_000, longestMs: 8_000 },
+    lapse: { graceMs: 1_600, minShare: 0.3 },
+    ejection: { consecutiveFailures: 3, initialMs: 1_000, maxMs: 8_000 },
   });
   const waiter = createChangeWaiter(clock);
   fleet.onChange(waiter.wake);
@@ -121,7 +121,7 @@
     targetLimits: createTargetLimits(clock, oneBox, (id) => fleet.find(id)?.born),
     codec,
     fleet,
-    demand: createDemandMeter(clock),
+    demand: createModelDemandMeter(clock),
     waiter,
     domain: "d1",
     tellOfWait: () => undefined,
@@ -171,7 +171,7 @@
   const stopsAt = () => scenes.get(this)?.stopsAt ?? Infinity;
   const { fleet, context } = contextOf(clock, expected, stopsAt);
   const models = [{ name: model, version: 1, adapters: [] }];
-  fleet.takeList([
+  fleet.applyList([
     { id: "e1", service: "engines", address, domain: "d1", slots: 8, leaving: false, models },
   ]);
   const route = { name: "none" } as Route;
@@ -280,7 +280,7 @@
     const { clock, fleet } = sceneOf(this);
     await clock.runUntil(ms);
     const models = [{ name, version: 1, adapters: [adapter] }];
-    fleet.takeHoldings("e1", { sequence: 1, models });
+    fleet.applyRelayedHoldings("e1", { sequence: 1, models });
     await clock.runUntil(ms + settleMs);
   },
 );
@@ -291,7 +291,7 @@
     const { clock, fleet } = sceneOf(this);
     await clock.runUntil(ms);
     const models = [{ name: model, version: 1, adapters: [] }];
-    fleet.takeHoldings("e1", { sequence: 1, models });
+    fleet.applyRelayedHoldings("e1", { sequence: 1, models });
     await clock.runUntil(ms + settleMs);
   },
 );
@@ -310,7 +310,7 @@
   "the engine takes {int} connections and other boxes have {int} there",
   function (this: object, most: number, inFlight: number) {
     assert.equal(service.maxConnections, most);
-    sceneOf(this).fleet.takeOthers(new Map([["e1", { inFlight, promptTokens: 0 }]]));
+    sceneOf(this).fleet.setOtherBoxesLoads(new Map([["e1", { inFlight, promptTokens: 0 }]]));
   },
 );
 
@@ -319,7 +319,7 @@
 
 Given("the engine has {int} ms of prompts to read", function (this: object, ms: number) {
   const { fleet } = sceneOf(this);
-  fleet.takeOthers(new Map([["e1", { inFlight: 4, promptTokens: ms * tokensPerMs }]]));
+  fleet.setOtherBoxesLoads(new Map([["e1", { inFlight: 4, promptTokens: ms * tokensPerMs }]]));
   sceneOf(this).queueMs = ms;
 });
 
--- a/packages/forwarding/src/hold-for-weights.ts
+++ b/packages/forwarding/src/hold-for-weights.ts
@@ -65,7 +65,7 @@
     );
   }
   if (left <= 0) return outOfTime(request);
-  const endWait = context.demand.waits(wanted);
+  const endWait = context.demand.recordWait(wanted);
   noteHeld(context, request, expected);
   const from = context.clock.now();
   await context.waiter.next(Math.min(left, lookAgainMs), request.sink);
--- a/packages/forwarding/src/limited-targets.ts
+++ b/packages/forwarding/src/limited-targets.ts
@@ -1,5 +1,5 @@
 /** Requests whose targets have named limits: a permit for each send, or a refusal with the time of the next one. */
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import type { Milliseconds } from "@linkfall/types";
 import { longestQueueMs, replicaComingMs } from "./admission.js";
 import { type ForwardContext, timeLeft } from "./forward-context.js";
@@ -11,7 +11,7 @@
 function mayStillBeSent(
   context: ForwardContext,
   request: ForwardedRequest,
-  target: TargetBelief,
+  target: TargetView,
 ): boolean {
   if (request.sink.gone()) return false;
   if (timeLeft(context, request) <= context.forwardLimits.leastTimeMs) return false;
--- a/packages/forwarding/src/pick.ts
+++ b/packages/forwarding/src/pick.ts
@@ -1,5 +1,5 @@
 /** Which target a request goes to now, or what it has to wait for. */
-import { holds, type TargetBelief } from "@linkfall/fleet";
+import { hasModelLoaded, type TargetView } from "@linkfall/fleet";
 import { topNodes } from "@linkfall/rendezvous";
 import type { Milliseconds, RequestTerms } from "@linkfall/types";
 import { type Candidate, type Choice, chooseTarget } from "@linkfall/target-choice";
@@ -18,7 +18,7 @@
 export type Pick =
   | {
       readonly kind: "target";
-      readonly target: TargetBelief;
+      readonly target: TargetView;
       readonly choice: Choice;
       /** Other targets that could serve the request. */
       readonly others: number;
@@ -66,7 +66,7 @@
 /** Boxes that know only their own sends meet at the same target for the same shared parts. */
 function homeOf(
   { terms }: ForwardedRequest,
-  holding: readonly TargetBelief[],
+  holding: readonly TargetView[],
 ): PrefixHome | undefined {
   const shared = terms.parts.slice(0, -1);
   if (shared.length === 0 || holding.length < 2) return undefined;
@@ -81,20 +81,20 @@
 }
 
 function toCandidate(
-  belief: TargetBelief,
+  belief: TargetView,
   request: ForwardedRequest,
   domain: string,
   { costs, pace }: TargetMeters,
   home: PrefixHome | undefined,
 ): Candidate {
   const { terms } = request;
-  const known = belief.prefixes.kept({ weights: weightsOf(terms), parts: terms.parts });
+  const known = belief.prefixIndex.kept({ weights: weightsOf(terms), parts: terms.parts });
   const kept = belief.listed.id === home?.target ? Math.max(known, home.tokens) : known;
   return {
     id: belief.listed.id,
     slots: belief.listed.slots,
-    inFlight: belief.own.inFlight + belief.others.inFlight,
-    queuedTokens: belief.own.promptTokens + belief.others.promptTokens,
+    inFlight: belief.ownLoad.inFlight + belief.otherBoxesLoad.inFlight,
+    queuedTokens: belief.ownLoad.promptTokens + belief.otherBoxesLoad.promptTokens,
     unreadTokens: Math.max(0, terms.promptTokens - kept),
     pauseMs: pace.recentMs(belief.listed.id),
     sameDomain: belief.listed.domain === domain,
@@ -102,20 +102,25 @@
   };
 }
 
-function holdsWeights(belief: TargetBelief, request: ForwardedRequest, now: Milliseconds): boolean {
+function holdsWeights(belief: TargetView, request: ForwardedRequest, now: Milliseconds): boolean {
   const { model, adapter } = request.terms;
   if (!request.service.engine || model === undefined) return true;
-  return holds(belief, model, adapter, now);
+  return hasModelLoaded(belief, model, adapter, now);
 }
 
 /** Whether a target holds the model of a request for one of its adapters. */
-function holdsModel(belief: TargetBelief, { terms }: ForwardedRequest, now: Milliseconds): boolean {
+function holdsModel(belief: TargetView, { terms }: ForwardedRequest, now: Milliseconds): boolean {
   const { model, adapter } = terms;
-  return model !== undefined && adapter !== undefined && holds(belief, model, undefined, now);
+  return (
+    model !== undefined && adapter !== undefined && hasModelLoaded(belief, model, undefined, now)
+  );
 }
 
 /** Whether the target takes one more connection; each request at work there has one of its own. */
-function takesConnection({ own, others }: TargetBelief, { service }: ForwardedRequest): boolean {
+function takesConnection(
+  { ownLoad: own, otherBoxesLoad: others }: TargetView,
+  { service }: ForwardedRequest,
+): boolean {
   return own.inFlight + others.inFlight < service.maxConnections;
 }
 
@@ -123,14 +128,14 @@
 export function isServing(
   { fleet, clock }: ForwardContext,
   request: ForwardedRequest,
-  target: TargetBelief,
+  target: TargetView,
 ): boolean {
-  const usable = fleet.usable(request.service.name);
+  const usable = fleet.usableTargets(request.service.name);
   return usable.includes(target) && holdsWeights(target, request, clock.now());
 }
 
 interface ChosenTarget {
-  readonly target: TargetBelief;
+  readonly target: TargetView;
   readonly choice: Choice;
 }
 
@@ -138,7 +143,7 @@
 function choose(
   context: ForwardContext,
   request: ForwardedRequest,
-  targets: readonly TargetBelief[],
+  targets: readonly TargetView[],
   home: PrefixHome | undefined,
 ): ChosenTarget | undefined {
   const { domain, random } = context;
@@ -149,7 +154,7 @@
 }
 
 /** Whether a limited target is to be tried although others are there, to learn whether its limit still holds. */
-function isTrial({ targetLimits }: ForwardContext, { listed: { id } }: TargetBelief): boolean {
+function isTrial({ targetLimits }: ForwardContext, { listed: { id } }: TargetView): boolean {
   return targetLimits.isProbeDue(id) && !targetLimits.isExhausted(id, 0);
 }
 
@@ -160,11 +165,11 @@
 function pickAmong(
   context: ForwardContext,
   request: ForwardedRequest,
-  open: readonly TargetBelief[],
-  holding: readonly TargetBelief[],
+  open: readonly TargetView[],
+  holding: readonly TargetView[],
 ): Pick {
   const { targetLimits } = context;
-  const isLimited = ({ listed }: TargetBelief) => targetLimits.limitOf(listed.id) !== undefined;
+  const isLimited = ({ listed }: TargetView) => targetLimits.limitOf(listed.id) !== undefined;
   const unlimited = holding.filter((belief) => !isLimited(belief));
   // Shared prompts gather where many requests can follow them.
   const home = homeOf(request, unlimited);
@@ -192,7 +197,7 @@
 /** Picks a target for the request. */
 export function pickTarget(context: ForwardContext, request: ForwardedRequest): Pick {
   const now = context.clock.now();
-  const usable = context.fleet.usable(request.service.name);
+  const usable = context.fleet.usableTargets(request.service.name);
   if (usable.length === 0) return { kind: "no_target" };
   const holding = usable.filter((belief) => holdsWeights(belief, request, now));
   if (holding.length === 0) {
--- a/packages/forwarding/src/send-to-target.ts
+++ b/packages/forwarding/src/send-to-target.ts
@@ -1,5 +1,5 @@
 /** One send of a request to a picked target, with what it teaches about the target. */
-import type { Fleet, TargetBelief, TargetLoad } from "@linkfall/fleet";
+import type { Fleet, TargetView, TargetLoad } from "@linkfall/fleet";
 import type { Clock } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
 import type { AnswerFacts, RequestCodec } from "@linkfall/ports";
@@ -67,7 +67,7 @@
 function isFull({ fleet }: SendContext, id: string): boolean {
   const belief = fleet.find(id);
   if (!belief) return false;
-  return belief.own.inFlight + belief.others.inFlight >= belief.listed.slots;
+  return belief.ownLoad.inFlight + belief.otherBoxesLoad.inFlight >= belief.listed.slots;
 }
 
 /** Notes in the fleet what the end of a send says about its target. */
@@ -75,18 +75,18 @@
   const { fleet } = context;
   switch (end.kind) {
     case "answered":
-      if (end.head.status >= failedStatus) fleet.failed(id, `status ${end.head.status}`);
-      else fleet.succeeded(id);
+      if (end.head.status >= failedStatus) fleet.recordFailure(id, `status ${end.head.status}`);
+      else fleet.recordSuccess(id);
       return;
     case "streamed":
-      return fleet.succeeded(id);
+      return fleet.recordSuccess(id);
     case "not_sent":
-      if (end.reason.includes(refusedConnection)) return fleet.unreachable(id, end.reason);
-      return fleet.failed(id, end.reason);
+      if (end.reason.includes(refusedConnection)) return fleet.recordUnreachable(id, end.reason);
+      return fleet.recordFailure(id, end.reason);
     case "lost":
-      return fleet.failed(id, end.reason);
+      return fleet.recordFailure(id, end.reason);
     case "silent":
-      return fleet.failed(id, "silent");
+      return fleet.recordFailure(id, "silent");
     case "not_run":
       if (end.retryAfterMs !== undefined) fleet.backOff(id, end.retryAfterMs);
       if (request.terms.model === undefined) return;
@@ -94,9 +94,11 @@
       // to bring them in: it may say so before anybody else does.
       // An adapter on its way is told of before it is there for certain.
       if (end.misdirected && request.terms.adapter === undefined) {
-        fleet.deny(id, weightsOf(request.terms));
-      } else if (end.misdirected) fleet.deny(id, weightsOf(request.terms), adapterUnderWayMs);
-      else if (!isFull(context, id)) fleet.deny(id, weightsOf(request.terms), orderUnderWayMs);
+        fleet.recordModelRefusal(id, weightsOf(request.terms));
+      } else if (end.misdirected)
+        fleet.recordModelRefusal(id, weightsOf(request.terms), adapterUnderWayMs);
+      else if (!isFull(context, id))
+        fleet.recordModelRefusal(id, weightsOf(request.terms), orderUnderWayMs);
       return;
     case "gone":
       return;
@@ -106,7 +108,7 @@
 /** Notes what an answer says of its target's limit. */
 function noteLimit(
   { fleet, logger, targetLimits }: SendContext,
-  target: TargetBelief,
+  target: TargetView,
   sentMsAgo: Milliseconds,
   status: number,
   { limit, notRun }: AnswerFacts,
@@ -137,19 +139,19 @@
   const { terms, route } = request;
   const weights = weightsOf(terms);
   const query = { weights, parts: terms.parts };
-  const unread = Math.max(0, terms.promptTokens - target.prefixes.kept(query));
-  const queuedBefore = target.own.promptTokens + target.others.promptTokens;
+  const unread = Math.max(0, terms.promptTokens - target.prefixIndex.kept(query));
+  const queuedBefore = target.ownLoad.promptTokens + target.otherBoxesLoad.promptTokens;
   const sentAt = clock.now();
   let reading = true;
 
-  target.own = add(target.own, 1, unread);
-  target.prefixes.note(query);
+  target.ownLoad = add(target.ownLoad, 1, unread);
+  target.prefixIndex.note(query);
   request.tried.add(listed.id);
   request.sends += 1;
   const endReading = () => {
     if (!reading) return;
     reading = false;
-    target.own = add(target.own, 0, -unread);
+    target.ownLoad = add(target.ownLoad, 0, -unread);
   };
 
   const remainingMs = Math.floor(request.endsAt - sentAt - limits.deadlineMarginMs);
@@ -202,7 +204,7 @@
   });
   endReading();
   if (end.kind === "not_sent" || (end.kind === "gone" && !end.written)) request.unwritten += 1;
-  target.own = add(target.own, -1, 0);
+  target.ownLoad = add(target.ownLoad, -1, 0);
   if (end.kind === "streamed" || end.kind === "answered") {
     context.costs.answered(request.service.name, listed.id, clock.now() - sentAt);
   }
--- a/packages/target-limits/src/limit-book.ts
+++ b/packages/target-limits/src/limit-book.ts
@@ -1,5 +1,5 @@
 /** Records the rate limits that targets have announced, and replicates them between boxes. */
-import { createFollowedNews } from "@linkfall/followed-news";
+import { createReceivedUpdates } from "@linkfall/followed-news";
 import type { Clock } from "@linkfall/kernel";
 import type {
   Incarnation,
@@ -69,7 +69,7 @@
 /** Creates an empty registry. */
 export function createLimitRegistry(clock: Clock, startOf: TargetStartLookup): LimitRegistry {
   const entries = new Map<string, LimitEntry>();
-  const applied = createFollowedNews();
+  const applied = createReceivedUpdates();
   const listeners: ((change: LimitChange) => void)[] = [];
   let lastSequence = 0;
 
@@ -140,9 +140,9 @@
     },
     applyChanges(from, changes) {
       for (const record of changes.records) applyRecord(record);
-      applied.note(from, changes.number);
+      applied.record(from, changes.number);
     },
-    appliedSequence: applied.of,
+    appliedSequence: applied.latestFrom,
     onChange: (listener) => void listeners.push(listener),
   };
 }
--- a/packages/target-watch/src/index.ts
+++ b/packages/target-watch/src/index.ts
@@ -125,14 +125,14 @@
   };
 
   const watched = () => {
-    const held = leases.heldPools().map((lease) => lease.pool);
+    const held = leases.heldLeases().map((lease) => lease.pool);
     const pools = new Set([...leases.servedPools(), ...held]);
     return [...pools].flatMap((pool) => store.desired().enginesByPool.get(pool) ?? []);
   };
 
   const readersOf = ({ name, pool }: Engine): readonly string[] => {
     if (settings.report_readers === 0) return [];
-    return topNodes(name, leases.boxesOf(pool), settings.report_readers);
+    return topNodes(name, leases.boxesServing(pool), settings.report_readers);
   };
 
   const isFresh = (watched: WatchedReport | undefined, limit: Milliseconds) =>
--- a/packages/usage-report/src/index.ts
+++ b/packages/usage-report/src/index.ts
@@ -89,7 +89,7 @@
   const aggregatorOf = (account: string): Incarnation => {
     const serving = membership.serving();
     const pool = mainPoolOf(account);
-    const boxes = pool === undefined ? undefined : leases.boxesOf(pool);
+    const boxes = pool === undefined ? undefined : leases.boxesServing(pool);
     const candidates = serving.filter((entry) => boxes?.includes(entry.box) ?? true);
     const incarnations = candidates.map((entry) => entry.incarnation);
     return rankNodes(account, incarnations)[0] ?? self;
