--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -109,8 +109,8 @@
     const givesOrders = lease.epoch() !== undefined;
     if (peers.mesh() || givesOrders) sumHeardLoads();
     takeTargets(parts, heartbeat);
-    if (heartbeat.blame) blame.take(status.incarnation, heartbeat.blame);
-    if (heartbeat.limits) targetLimits.take(status.incarnation, heartbeat.limits);
+    if (heartbeat.blame) blame.applyChanges(status.incarnation, heartbeat.blame);
+    if (heartbeat.limits) targetLimits.applyChanges(status.incarnation, heartbeat.limits);
     void catchUp(status);
     if (report && lease.observedLease()?.holder === status.incarnation) {
       takeReport(parts, knowledge, report);
--- a/packages/entry-box/src/heartbeat-source.ts
+++ b/packages/entry-box/src/heartbeat-source.ts
@@ -29,13 +29,13 @@
 
 /** What this box knows of requests that end targets and the reader does not. */
 function blameFor({ kernel }: BoxParts, reader?: BoxStatus): BlameWord | undefined {
-  const word = kernel.find(crashBlameName).tell(reader?.blameFollowed ?? 0);
+  const word = kernel.find(crashBlameName).changesSince(reader?.blameFollowed ?? 0);
   return word.records.length > 0 ? word : undefined;
 }
 
 /** What this box knows of targets' limits and the reader does not. */
 function limitsFor({ kernel }: BoxParts, reader?: BoxStatus): TargetLimitWord | undefined {
-  const word = kernel.find(targetLimitsName).tell(reader?.limitsFollowed ?? 0);
+  const word = kernel.find(targetLimitsName).changesSince(reader?.limitsFollowed ?? 0);
   return word.records.length > 0 ? word : undefined;
 }
 
@@ -67,8 +67,8 @@
       lease: known,
       ordersForMs: lease.remainingLeaseMs(),
       followed: followed(),
-      limitsFollowed: reader && kernel.find(targetLimitsName).followed(reader.incarnation),
-      blameFollowed: reader && kernel.find(crashBlameName).followed(reader.incarnation),
+      limitsFollowed: reader && kernel.find(targetLimitsName).appliedSequence(reader.incarnation),
+      blameFollowed: reader && kernel.find(crashBlameName).appliedSequence(reader.incarnation),
     };
   };
 
--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -72,7 +72,7 @@
     demand: () => sumDemand([demand.read(), ...peers.statuses().map((status) => status.demand)]),
     maxRequestsPerSecond: targetLimits.limitOf,
     onLimitReported: (target, notice) =>
-      targetLimits.hear({ target, notice, sentMsAgo: 0, served: false }),
+      targetLimits.recordAnswer({ target, notice, sentMsAgo: 0, served: false }),
     notifyPeers() {
       fleet.setWithheldModels(giver.pendingEvictions());
       // In a large deployment all others hear of it in their next round.
--- a/packages/pool-control/src/pool-session.ts
+++ b/packages/pool-control/src/pool-session.ts
@@ -76,7 +76,7 @@
 
   const plan = (): Plan => {
     const nextPlan = planPool(
-      viewBuilder.build(demandMoveLimiter.waitFor() === 0 ? 1 : 0, isCoolingDown),
+      viewBuilder.build(demandMoveLimiter.msUntil() === 0 ? 1 : 0, isCoolingDown),
     );
     if (nextPlan.unplaceable.length > 0 && unplaceable.length === 0) {
       logger.event("unplaceable", { pool: lease.pool, models: nextPlan.unplaceable.join(",") });
--- a/packages/pool-control/src/store-load-limiter.ts
+++ b/packages/pool-control/src/store-load-limiter.ts
@@ -30,7 +30,7 @@
   const bucket = createTokenBucket(clock, { rate: pool.loadsPerSecond, burst: burstOf(pool) }, 0);
   return {
     tryAcquire(current, activeLoads) {
-      bucket.limit({ rate: current.loadsPerSecond, burst: burstOf(current) });
+      bucket.setLimits({ rate: current.loadsPerSecond, burst: burstOf(current) });
       return activeLoads < current.loadsAtOnce && bucket.take();
     },
   };
--- a/packages/target-limits/src/index.ts
+++ b/packages/target-limits/src/index.ts
@@ -1,112 +1,119 @@
 /**
- * Limits that targets name: what they take from all boxes together. One box hands out the permits of each target, since
- * boxes that keep a limit each for itself send it as many times over as there are boxes.
+ * Enforces the rate limits that targets announce for requests from all boxes together. One box allocates the permits of
+ * each target; if every box enforced the limit on its own, the target would receive a multiple of it.
  */
-import { type AllocationPeers, createAllocation } from "@linkfall/allocation";
+import { type AllocationPeers, createDistributedAllocator } from "@linkfall/allocation";
 import { type Clock, sleep } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
-import { createClosedTargets } from "./closed-targets.js";
-import { type BornOf, createLimitBook, type LimitBook } from "./limit-book.js";
-import type { PermitAsk, PermitGrant } from "./messages.js";
-import { createPermitAllocator, leastPerSecond } from "./permit-allocator.js";
+import { createExhaustedTargets } from "./closed-targets.js";
+import { createLimitRegistry, type LimitRegistry, type TargetStartLookup } from "./limit-book.js";
+import type { PermitGrant, PermitRequest } from "./messages.js";
+import { createPermitAllocator, minPerSecond } from "./permit-allocator.js";
 
 export * from "./limit-book.js";
 export * from "./messages.js";
 export { createPermitAllocator, type PermitAllocator } from "./permit-allocator.js";
 
-/** The other boxes, as far as the limits of targets need them. */
-export interface PermitPeers extends AllocationPeers<PermitAsk, PermitGrant> {
-  /** Part of each limit that is this box's own while it is cut off. */
-  ownPart(): number;
-  /** Parts of the boxes that are silent, and may be sending by their own parts. */
-  silentPart(): number;
-  /** Boxes that send requests. */
-  boxes(): number;
+/** Access to the other boxes. */
+export interface PermitPeers extends AllocationPeers<PermitRequest, PermitGrant> {
+  /** Fraction of each limit that this box may use while it is isolated. */
+  ownShare(): number;
+  /** Fraction of each limit that boxes without recent heartbeats may be using on their own. */
+  silentShare(): number;
+  /** Number of boxes that send requests. */
+  boxCount(): number;
 }
 
-export interface TargetLimits extends LimitBook {
-  /** Waits for a permit to send one request; false where there is none within that time, or it has lapsed meanwhile. */
-  takePermit(target: string, withinMs: Milliseconds): Promise<boolean>;
-  /** Whether a request that can wait so long is known to get no permit now. */
-  isClosed(target: string, withinMs: Milliseconds): boolean;
-  /** Whether the target is to be tried although others are there, to learn whether its limit still holds. */
-  isTrialDue(target: string): boolean;
-  /** When a request that gets no permit at these targets may come back; each one behind the one before it. */
-  comeBackMs(targets: readonly string[]): Milliseconds;
-  /** Hands out a permit to another box that has asked. */
-  allocate(ask: PermitAsk): Promise<PermitGrant>;
+export interface TargetLimits extends LimitRegistry {
+  /**
+   * Waits for a permit to send one request. Resolves to false if none is available within the given time, or if the
+   * permit has expired while waiting.
+   */
+  acquirePermit(target: string, withinMs: Milliseconds): Promise<boolean>;
+  /** Whether a request that can wait this long is currently refused without asking the allocator. */
+  isExhausted(target: string, withinMs: Milliseconds): boolean;
+  /** Whether to consider this target along with unlimited ones, to check whether its limit still applies. */
+  isProbeDue(target: string): boolean;
+  /** Reserves the earliest retry time at one of the targets and returns the time until then. */
+  retryAfterMs(targets: readonly string[]): Milliseconds;
+  /** Handles a permit request from another box. */
+  allocate(request: PermitRequest): Promise<PermitGrant>;
 }
 
-/** However many boxes are silent, this part of a limit is left to those that are not. */
-const leastConnectedPart = 0.5;
-/** A permit that is taken later than this is lost: this box may have slept meanwhile. */
-const lapsesMs: Milliseconds = 500;
-/** A target is not tried more often than this by one box. */
-const leastTrialMs: Milliseconds = 2_000;
+/** Minimum fraction of a limit that remains for connected boxes, however many are silent. */
+const minConnectedShare = 0.5;
+/** Permits used later than this are void, for example after the box was suspended. */
+const permitExpiryMs: Milliseconds = 500;
+/** Minimum time between two probes of a target by one box. */
+const minProbeIntervalMs: Milliseconds = 2_000;
 const millisecondsPerSecond = 1000;
 
-const declined: PermitGrant = { granted: false, waitMs: 0, declined: true };
+const declinedGrant: PermitGrant = { granted: false, waitMs: 0, declined: true };
 
-/** Creates the limits as one box keeps them. */
-export function createTargetLimits(clock: Clock, peers: PermitPeers, bornOf: BornOf): TargetLimits {
-  const book = createLimitBook(clock, bornOf);
-  const closed = createClosedTargets(clock);
+/** Creates the target limits of one box. */
+export function createTargetLimits(
+  clock: Clock,
+  peers: PermitPeers,
+  startOf: TargetStartLookup,
+): TargetLimits {
+  const registry = createLimitRegistry(clock, startOf);
+  const exhausted = createExhaustedTargets(clock);
   const shared = createPermitAllocator(clock);
-  /** Used while this box is cut off; its rates are a part of the limits. */
-  const alone = createPermitAllocator(clock);
+  /** Used while this box is isolated, with rates scaled to its own share. */
+  const isolated = createPermitAllocator(clock);
 
-  const allocation = createAllocation(
+  const allocator = createDistributedAllocator(
     clock,
     peers,
     {
-      shared(ask) {
-        // Boxes that ask may have older words of the target than this one.
-        const perSecond = book.limitOf(ask.target) ?? ask.perSecond;
-        const part = Math.max(leastConnectedPart, 1 - peers.silentPart());
-        return shared.grant({ ...ask, perSecond }, part);
+      grantShared(request) {
+        // The sender's limit may be older than the one known here.
+        const perSecond = registry.limitOf(request.target) ?? request.perSecond;
+        const share = Math.max(minConnectedShare, 1 - peers.silentShare());
+        return shared.grant({ ...request, perSecond }, share);
       },
-      alone: (ask) => alone.grant(ask, peers.ownPart()),
-      onCutOff: alone.restart,
-      onReconnected: shared.restart,
-      declined,
+      grantIsolated: (request) => isolated.grant(request, peers.ownShare()),
+      onDisconnected: isolated.reset,
+      onReconnected: shared.reset,
+      declinedGrant,
     },
     ({ target }) => target,
   );
 
-  const rateOf = (target: string) => Math.max(leastPerSecond, book.limitOf(target) ?? 0);
+  const rateOf = (target: string) => Math.max(minPerSecond, registry.limitOf(target) ?? 0);
 
   return {
-    ...book,
-    async takePermit(target, withinMs) {
-      const perSecond = book.limitOf(target);
+    ...registry,
+    async acquirePermit(target, withinMs) {
+      const perSecond = registry.limitOf(target);
       if (perSecond === undefined) return true;
-      const askedAt = clock.elapsed();
-      const { granted, waitMs } = await allocation.obtain({ target, perSecond, withinMs });
+      const requestedAt = clock.elapsed();
+      const { granted, waitMs } = await allocator.acquire({ target, perSecond, withinMs });
       if (!granted) {
-        closed.refused(target, withinMs, waitMs);
+        exhausted.recordRefusal(target, withinMs, waitMs);
         return false;
       }
       if (waitMs > 0) await sleep(clock, waitMs);
-      return clock.elapsed() - askedAt <= waitMs + lapsesMs;
+      return clock.elapsed() - requestedAt <= waitMs + permitExpiryMs;
     },
-    isClosed: closed.isClosed,
-    isTrialDue(target) {
-      const everyMs = (peers.boxes() * millisecondsPerSecond) / rateOf(target);
-      return book.unheardMs(target) >= Math.max(leastTrialMs, everyMs);
+    isExhausted: exhausted.isExhausted,
+    isProbeDue(target) {
+      const intervalMs = (peers.boxCount() * millisecondsPerSecond) / rateOf(target);
+      return registry.msSinceConfirmed(target) >= Math.max(minProbeIntervalMs, intervalMs);
     },
-    comeBackMs(targets) {
-      const due = targets.map((target) => ({ target, ms: closed.dueMs(target) }));
-      const [soonest] = due.sort((left, right) => left.ms - right.ms);
-      if (!soonest) return 0;
-      closed.noteComeBack(soonest.target, rateOf(soonest.target));
-      return soonest.ms;
+    retryAfterMs(targets) {
+      const waits = targets.map((target) => ({ target, ms: exhausted.msUntilPermit(target) }));
+      const [shortest] = waits.sort((left, right) => left.ms - right.ms);
+      if (!shortest) return 0;
+      exhausted.reserveRetry(shortest.target, rateOf(shortest.target));
+      return shortest.ms;
     },
-    allocate: allocation.allocate,
+    allocate: allocator.allocate,
     forget(target) {
-      book.forget(target);
-      closed.forget(target);
+      registry.forget(target);
+      exhausted.forget(target);
       shared.forget(target);
-      alone.forget(target);
+      isolated.forget(target);
     },
   };
 }
