--- a/packages/entry-box/src/account-admission.ts
+++ b/packages/entry-box/src/account-admission.ts
@@ -1,6 +1,6 @@
 /** Takes a request from the limit of its account, and settles it when the request has its end. */
 import { type AccountQuota, type QuotaUse, unitsOf } from "@linkfall/account-quota";
-import type { ForwardedRequest, RequestEnd } from "@linkfall/forwarding";
+import type { ForwardedRequest, RequestOutcome } from "@linkfall/forwarding";
 import type { ClientAccount, Milliseconds, RequestTerms } from "@linkfall/types";
 
 export type AccountAdmission =
@@ -25,8 +25,8 @@
 export function settleQuota(
   quota: AccountQuota,
   use: QuotaUse | undefined,
-  { runs, sends, unwritten }: ForwardedRequest,
-  end: RequestEnd,
+  { possibleRuns: runs, sends, unwrittenSends: unwritten }: ForwardedRequest,
+  end: RequestOutcome,
 ): void {
   if (!use) return;
   const neverRan = runs === 0 && (end.outcome === "refused" || sends === unwritten);
--- a/packages/entry-box/src/forward-context.ts
+++ b/packages/entry-box/src/forward-context.ts
@@ -6,9 +6,9 @@
   type ChangeWaiter,
   createChangeWaiter,
   createForwardMetrics,
-  createLastTries,
-  createLostTargets,
-  createStreamPace,
+  createFinalAttempts,
+  createTargetProbe,
+  createStreamGapMeter,
   createWorkCostMeter,
   type ForwardContext,
 } from "@linkfall/forwarding";
@@ -50,7 +50,7 @@
 /** A waiter that wakes its requests when what is believed of targets has changed. */
 export function createFleetWaiter({ kernel, ports }: BoxParts): ChangeWaiter {
   const waiter = createChangeWaiter(ports.clock);
-  kernel.find(fleetName).onChange(waiter.wake);
+  kernel.find(fleetName).onChange(waiter.wakeAll);
   return waiter;
 }
 
@@ -68,45 +68,45 @@
     logger,
     metrics: createForwardMetrics(kernel.find(metricsName)),
     blame: kernel.find(crashBlameName),
-    lastTries: createLastTries(),
-    lostTargets: createLostTargets(clock, (address) => isListening(clock, address, lookMs)),
+    finalAttempts: createFinalAttempts(),
+    targetProbe: createTargetProbe(clock, (address) => isListening(clock, address, lookMs)),
     targetLimits: kernel.find(targetLimitsName),
     codec: ports.requests,
     fleet: kernel.find(fleetName),
     demand,
-    waiter,
+    changeWaiter: waiter,
     domain: settings.box.domain,
-    tellOfWait: createDemandAnnouncer(parts),
-    takes: parts.stop.takes,
-    boxes: () => boxesWithCallers(parts),
+    announceDemand: createDemandAnnouncer(parts),
+    acceptsRoute: parts.stop.takes,
+    boxCount: () => boxesWithCallers(parts),
     expectedWeightsMs: receiver.expectedWeightsMs,
-    budget: createRetryBudget(clock, {
+    retryBudget: createRetryBudget(clock, {
       ratio: retries.ratio,
       slack: retries.slack,
       windowMs: retries.window_ms,
     }),
-    pace: createStreamPace(clock),
-    costs: createWorkCostMeter({
+    streamGaps: createStreamGapMeter(clock),
+    workCosts: createWorkCostMeter({
       perTokenMs: forwarding.first_token_cost_us / microsecondsPerMillisecond,
       perRequestMs: forwarding.first_request_cost_ms,
-      perAnswerMs: forwarding.first_answer_cost_ms,
+      perResponseMs: forwarding.first_answer_cost_ms,
       crossDomainMs: forwarding.cross_domain_ms,
     }),
-    limits: {
+    sendLimits: {
       connectMs: forwarding.connect_ms,
-      leastSilentMs: forwarding.least_silent_ms,
-      silentObjectives: forwarding.silent_objectives,
-      silentExpected: forwarding.silent_expected,
+      minIdleTimeoutMs: forwarding.least_silent_ms,
+      idleTimeoutObjectives: forwarding.silent_objectives,
+      idleTimeoutExpectedFactor: forwarding.silent_expected,
       deadlineMarginMs: forwarding.deadline_margin_ms,
     },
     forwardLimits: {
-      leastTimeMs: forwarding.least_time_ms,
-      mostSends: forwarding.most_sends,
-      againMs: forwarding.again_ms,
-      replicaGainMs: forwarding.replica_gain_ms,
-      hopelessShare: forwarding.hopeless_share,
-      queueObjectives: forwarding.queue_objectives,
-      comeBackMs: forwarding.come_back_ms,
+      minTimeLeftMs: forwarding.least_time_ms,
+      maxSends: forwarding.most_sends,
+      retryPauseMs: forwarding.again_ms,
+      minReplicaGainMs: forwarding.replica_gain_ms,
+      maxQueueShare: forwarding.hopeless_share,
+      maxQueueObjectives: forwarding.queue_objectives,
+      defaultRetryAfterMs: forwarding.come_back_ms,
     },
   };
 }
--- a/packages/entry-box/src/front.ts
+++ b/packages/entry-box/src/front.ts
@@ -1,7 +1,7 @@
 /** The address where callers connect: reads requests within the limits and hands them on. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
-import { type AnswerSink, createAnswerSink, ownHeaders } from "@linkfall/forwarding";
+import { type ResponseSink, createResponseSink, localReplyHeaders } from "@linkfall/forwarding";
 import type { CallerLimits, Milliseconds } from "@linkfall/types";
 import { readBody } from "./read-body.js";
 
@@ -12,7 +12,7 @@
   readonly host: string;
   readonly headers: readonly string[];
   readonly body: Buffer;
-  readonly sink: AnswerSink;
+  readonly sink: ResponseSink;
   readonly arrivedAt: Milliseconds;
 }
 
@@ -83,7 +83,7 @@
     lastAt = arrivedAt;
     const limits = input.limits() ?? defaultLimits;
     applyLimits(server, limits);
-    const sink = createAnswerSink(response, input.closing);
+    const sink = createResponseSink(response, input.closing);
     const path = message.url ?? "";
     if (!path.startsWith("/")) return refuseUnread(response, 400);
     const body = await readBody(message, limits.maxBodyBytes);
@@ -130,6 +130,6 @@
 }
 
 /** Answers a request that no target gets. */
-export function answerOwn(sink: AnswerSink, status: number, retryAfterMs?: Milliseconds): void {
-  sink.whole(status, ownHeaders(retryAfterMs), Buffer.from("{}\n"));
+export function answerOwn(sink: ResponseSink, status: number, retryAfterMs?: Milliseconds): void {
+  sink.send(status, localReplyHeaders(retryAfterMs), Buffer.from("{}\n"));
 }
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -5,7 +5,7 @@
   type ForwardContext,
   type ForwardedRequest,
   forwardRequest,
-  type RequestEnd,
+  type RequestOutcome,
 } from "@linkfall/forwarding";
 import type { Metrics } from "@linkfall/metrics";
 import type { RequestCodec } from "@linkfall/ports";
@@ -56,23 +56,23 @@
     account: account?.name,
     fingerprint: fingerprintLater({ ...request, account: account?.name }),
     priority: account?.priority ?? route.priority,
-    awaitedUntil: request.arrivedAt + Math.min(heldMs, route.patienceMs ?? heldMs),
-    endsAt: request.arrivedAt + heldMs,
-    position: { lastId: terms.resumeAfter },
-    tried: new Set(),
-    runs: 0,
+    responseStartDueAt: request.arrivedAt + Math.min(heldMs, route.patienceMs ?? heldMs),
+    deadlineAt: request.arrivedAt + heldMs,
+    streamPosition: { lastEventId: terms.resumeAfter },
+    triedTargets: new Set(),
+    possibleRuns: 0,
     sends: 0,
-    unwritten: 0,
-    longestGapMs: 0,
-    held: false,
-    lastTry: false,
+    unwrittenSends: 0,
+    maxStreamGapMs: 0,
+    waitedForWeights: false,
+    isFinalAttempt: false,
   };
 }
 
 function record(
   context: HandleContext,
   request: ForwardedRequest,
-  end: RequestEnd,
+  end: RequestOutcome,
   units: number | undefined,
 ): void {
   const { clock, logger } = context.forward;
@@ -95,13 +95,13 @@
     reason: reason === "" ? undefined : reason,
     retryAfterMs: end.outcome === "refused" ? end.retryAfterMs : undefined,
     sends: request.sends,
-    runs: request.runs,
-    held: request.held,
-    firstMs: request.firstAt && Math.round(request.firstAt - request.arrivedAt),
+    runs: request.possibleRuns,
+    held: request.waitedForWeights,
+    firstMs: request.firstByteAt && Math.round(request.firstByteAt - request.arrivedAt),
     objectiveMs: request.route.objectiveMs,
-    gapMs: request.longestGapMs > 0 ? Math.round(request.longestGapMs) : undefined,
+    gapMs: request.maxStreamGapMs > 0 ? Math.round(request.maxStreamGapMs) : undefined,
     ms: tookMs,
-    leftMs: Math.round(request.endsAt - clock.now()),
+    leftMs: Math.round(request.deadlineAt - clock.now()),
     configuration: context.feed.inForce()?.configuration.version,
   });
 }
--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -114,7 +114,7 @@
     void catchUp(status);
     if (report && lease.known()?.holder === status.incarnation) {
       takeReport(parts, knowledge, report);
-      waiter.wake();
+      waiter.wakeAll();
     }
     if (givesOrders && hasWaiting(status)) giver.hurry();
   });
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,12 +1,12 @@
-export * from "./answer-sink.js";
+export * from "./response-sink.js";
 export * from "./attempt.js";
-export { createLastTries, type LastTries } from "./crash-check.js";
+export { createFinalAttempts, type FinalAttempts } from "./crash-check.js";
 export * from "./forward-metrics.js";
 export * from "./forward-context.js";
 export * from "./forward.js";
 export * from "./forwarded-request.js";
 export * from "./lost-targets.js";
-export * from "./pick.js";
+export * from "./pick-target.js";
 export * from "./send-to-target.js";
 export * from "./stream-pace.js";
 export * from "./wait-for-change.js";
--- a/packages/prefix-index/src/index.ts
+++ b/packages/prefix-index/src/index.ts
@@ -10,7 +10,7 @@
 
 export interface PrefixIndex {
   /** Leading tokens of the prompt that the engine probably keeps. */
-  kept(query: PrefixQuery): number;
+  cachedTokens(query: PrefixQuery): number;
   /** Notes that the engine has read the prompt. */
   note(query: PrefixQuery): void;
   /** Forgets everything of a model and its adapters. */
@@ -49,7 +49,7 @@
   };
 
   return {
-    kept(query) {
+    cachedTokens(query) {
       let tokens = 0;
       for (const key of chainKeys(query)) {
         const entry = entries.get(key);
--- a/packages/prefix-index/src/prefix-index.steps.ts
+++ b/packages/prefix-index/src/prefix-index.steps.ts
@@ -33,5 +33,5 @@
 });
 
 Then("{string} is kept for {int} tokens", function (this: object, text: string, tokens: number) {
-  assert.equal(indexOf(this).kept(query(text)), tokens);
+  assert.equal(indexOf(this).cachedTokens(query(text)), tokens);
 });
