--- a/packages/entry-box/src/forward-context.ts
+++ b/packages/entry-box/src/forward-context.ts
@@ -82,7 +82,7 @@
     expectedWeightsMs: receiver.expectedWeightsMs,
     retryBudget: createRetryBudget(clock, {
       ratio: retries.ratio,
-      slack: retries.slack,
+      baseRetries: retries.slack,
       windowMs: retries.window_ms,
     }),
     streamGaps: createStreamGapMeter(clock),
@@ -93,7 +93,7 @@
       crossDomainMs: forwarding.cross_domain_ms,
     }),
     sendLimits: {
-      connectMs: forwarding.connect_ms,
+      connectTimeoutMs: forwarding.connect_ms,
       minIdleTimeoutMs: forwarding.least_silent_ms,
       idleTimeoutObjectives: forwarding.silent_objectives,
       idleTimeoutExpectedFactor: forwarding.silent_expected,
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -10,7 +10,7 @@
 import type { Metrics } from "@linkfall/metrics";
 import type { RequestCodec } from "@linkfall/ports";
 import { fingerprintOf, type RequestContent } from "@linkfall/request-fingerprint";
-import { shareFor } from "@linkfall/route-table";
+import { selectShare } from "@linkfall/route-table";
 import type { ClientAccount, Milliseconds, RequestTerms, Route } from "@linkfall/types";
 import { admitToQuota, settleQuota } from "./account-admission.js";
 import { answerOwn, type FrontRequest } from "./front.js";
@@ -45,7 +45,7 @@
   account: ClientAccount | undefined,
   { configuration }: ConfigurationInForce,
 ): ForwardedRequest | undefined {
-  const service = configuration.services.get(shareFor(route, terms.id).service);
+  const service = configuration.services.get(selectShare(route, terms.id).service);
   if (!service) return undefined;
   const heldMs = Math.min(terms.deadlineMs ?? route.timeoutMs, route.timeoutMs);
   return {
--- a/packages/fleet/src/belief.ts
+++ b/packages/fleet/src/belief.ts
@@ -124,7 +124,7 @@
 function dropGone(belief: TargetBelief, before: Holdings, after: Holdings): void {
   const names = new Set(after.models.map((model) => model.name));
   for (const model of before.models) {
-    if (!names.has(model.name)) belief.prefixes.drop(model.name);
+    if (!names.has(model.name)) belief.prefixes.dropModel(model.name);
   }
   belief.denied.clear();
 }
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -5,7 +5,7 @@
 import type { Clock } from "@linkfall/kernel";
 import type { AnswerFacts, RawHeaders, RequestCodec } from "@linkfall/ports";
 import {
-  type AnswerHead,
+  type ResponseHead,
   type Exchange,
   type ExchangeRequest,
   openExchange,
@@ -26,7 +26,7 @@
       readonly retryAfterMs?: Milliseconds;
     }
   /** A whole answer, not yet passed on. */
-  | { readonly kind: "answered"; readonly head: AnswerHead; readonly body: Buffer }
+  | { readonly kind: "answered"; readonly head: ResponseHead; readonly body: Buffer }
   /** A whole answer that has been passed on. */
   | { readonly kind: "streamed" }
   /** It may have run; `begun` tells whether the caller has got bytes of it. */
@@ -84,7 +84,7 @@
   const splitter = createEventSplitter();
   const buffered: Buffer[] = [];
   let bufferedBytes = 0;
-  let head: AnswerHead | undefined;
+  let head: ResponseHead | undefined;
   let facts: AnswerFacts | undefined;
   let forwarding = false;
   let lastBytesAt: Milliseconds | undefined;
@@ -113,11 +113,11 @@
     exchange.pause();
     sink.onDrain(() => exchange.resume());
   };
-  const startForwarding = (answer: AnswerHead) => {
+  const startForwarding = (answer: ResponseHead) => {
     forwarding = true;
     if (!sink.headersSent()) sink.writeHead(answer.status, input.codec.forCaller(answer.headers));
   };
-  const forwardEvents = (answer: AnswerHead, bytes: Buffer) => {
+  const forwardEvents = (answer: ResponseHead, bytes: Buffer) => {
     for (const event of splitter.push(bytes)) {
       if (!isNewer(event, position)) continue;
       if (!forwarding) startForwarding(answer);
@@ -125,7 +125,7 @@
       forward(event.bytes);
     }
   };
-  const bufferOrForward = (answer: AnswerHead, bytes: Buffer) => {
+  const bufferOrForward = (answer: ResponseHead, bytes: Buffer) => {
     if (forwarding) return forward(bytes);
     buffered.push(bytes);
     bufferedBytes += bytes.length;
@@ -136,7 +136,7 @@
 
   const isStream = () => input.streaming && head?.status === okStatus;
 
-  const handleHead = (answer: AnswerHead) => {
+  const handleHead = (answer: ResponseHead) => {
     restartIdleTimer();
     const read = input.codec.readAnswer(answer.status, answer.headers);
     if (read.requestId !== undefined && read.requestId !== input.requestId) {
@@ -187,14 +187,14 @@
     settle({ kind: "silent", begun: responseStarted() }),
   );
   const openedAt = clock.now();
-  const beforeBytes = () => lookForCaller(clock.now, sink.isCallerGone, openedAt);
+  const beforeWrite = () => lookForCaller(clock.now, sink.isCallerGone, openedAt);
   const exchange: Exchange = openExchange(
     clock,
-    { ...input.request, beforeBytes },
+    { ...input.request, beforeWrite: beforeWrite },
     {
       onHead: handleHead,
       onBytes: handleBytes,
-      onWhole: handleComplete,
+      onComplete: handleComplete,
       onFailure: handleFailure,
     },
   );
--- a/packages/forwarding/src/forward.ts
+++ b/packages/forwarding/src/forward.ts
@@ -38,7 +38,7 @@
 }
 
 function takeFromRetryBudget(context: ForwardContext, request: ForwardedRequest): boolean {
-  const granted = context.retryBudget.take(request.service.name, context.boxCount());
+  const granted = context.retryBudget.tryTake(request.service.name, context.boxCount());
   context.metrics.retryRequested(request.service.name, granted);
   return granted;
 }
@@ -228,7 +228,7 @@
   request: ForwardedRequest,
 ): Promise<RequestOutcome> {
   const { terms, service } = request;
-  context.retryBudget.request(service.name);
+  context.retryBudget.recordRequest(service.name);
   const refusal = refuseCrashingRequest(context, request);
   if (refusal?.go === "end") return refusal.end;
   const needsWeights = terms.model !== undefined && service.engine !== undefined;
--- a/packages/forwarding/src/forwarding.steps.ts
+++ b/packages/forwarding/src/forwarding.steps.ts
@@ -130,7 +130,7 @@
       const at = expected.get(model);
       return at === undefined ? undefined : Math.max(0, at - clock.now());
     },
-    retryBudget: createRetryBudget(clock, { ratio: 0.2, slack: 10, windowMs: 10_000 }),
+    retryBudget: createRetryBudget(clock, { ratio: 0.2, baseRetries: 10, windowMs: 10_000 }),
     streamGaps: createStreamGapMeter(clock),
     workCosts: createWorkCostMeter({
       perTokenMs: 0.02,
@@ -139,7 +139,7 @@
       crossDomainMs: 8,
     }),
     sendLimits: {
-      connectMs: 400,
+      connectTimeoutMs: 400,
       minIdleTimeoutMs: 600,
       idleTimeoutObjectives: 2,
       idleTimeoutExpectedFactor: 4,
--- a/packages/forwarding/src/send-to-target.ts
+++ b/packages/forwarding/src/send-to-target.ts
@@ -12,7 +12,7 @@
 
 /** Limits of one send. */
 export interface SendLimits {
-  readonly connectMs: Milliseconds;
+  readonly connectTimeoutMs: Milliseconds;
   /** Shortest time without a byte before another target is tried. */
   readonly minIdleTimeoutMs: Milliseconds;
   /** Silence that is borne, as a multiple of the route's objective. */
@@ -152,7 +152,7 @@
   let isPrefilling = true;
 
   target.own = addLoad(target.own, 1, uncachedTokens);
-  target.prefixes.note(query);
+  target.prefixes.record(query);
   request.triedTargets.add(listed.id);
   request.sends += 1;
   const endPrefill = () => {
@@ -183,7 +183,7 @@
         resumeAfter: request.streamPosition.lastEventId,
       }),
       body: request.body,
-      connectMs: limits.connectMs,
+      connectTimeoutMs: limits.connectTimeoutMs,
     },
     onResponseHead: (status, facts) =>
       recordLimit(context, target, clock.now() - sentAt, status, facts),
--- a/packages/raw-exchange/src/raw-exchange.steps.ts
+++ b/packages/raw-exchange/src/raw-exchange.steps.ts
@@ -71,12 +71,12 @@
       path: "/",
       headers: ["Host", "example"],
       body: Buffer.alloc(0),
-      connectMs: 5_000,
+      connectTimeoutMs: 5_000,
     };
     openExchange(systemClock(), request, {
       onHead: () => undefined,
       onBytes: (chunk) => void (bytes += chunk.length),
-      onWhole: () => resolve({ bytes }),
+      onComplete: () => resolve({ bytes }),
       onFailure: (failure) => resolve({ failure }),
     });
   });
@@ -111,7 +111,7 @@
 const silent = {
   onHead: () => undefined,
   onBytes: () => undefined,
-  onWhole: () => undefined,
+  onComplete: () => undefined,
   onFailure: () => undefined,
 };
 
@@ -126,7 +126,7 @@
         path: "/",
         headers: ["Host", "example"],
         body: Buffer.alloc(megabytes * megabyte),
-        connectMs: 5_000,
+        connectTimeoutMs: 5_000,
       },
       silent,
     );
--- a/packages/replicas/src/index.ts
+++ b/packages/replicas/src/index.ts
@@ -1,7 +1,7 @@
 /** Finds the engines that can serve a model now. */
 import { clockName, type Kernel, serviceName } from "@linkfall/kernel";
 import { settingsName } from "@linkfall/config";
-import { type Candidate, type EngineLoad, estimateWait, loadOf } from "@linkfall/routing";
+import { type Candidate, type EngineLoad, estimateWaitMs, loadPerSlot } from "@linkfall/routing";
 import { stateStoreName } from "@linkfall/state-store";
 import { targetLoadName } from "@linkfall/target-load";
 import { targetWatchName, type WatchedReport } from "@linkfall/target-watch";
@@ -93,14 +93,14 @@
       running: watched.report.running,
       queued: watched.report.queued,
       concurrency: engine.concurrency,
-      sentSince: load.sentSince(engine.name, watched.requestedAt),
-      serviceMs: load.serviceMs(engine.name),
+      unreportedRequests: load.unreportedRequests(engine.name, watched.requestedAt),
+      meanServiceMs: load.meanServiceMs(engine.name),
     };
     return {
       target: engine.name,
       address: engine.address,
-      load: loadOf(engineLoad),
-      waitMs: estimateWait(engineLoad),
+      load: loadPerSlot(engineLoad),
+      waitMs: estimateWaitMs(engineLoad),
       artifact: offer.artifact,
       adapterArtifact: offer.adapterArtifact,
     };
@@ -121,7 +121,7 @@
         .map((engine) => offerOf(engine, model, adapter))
         .filter((offer) => offer !== undefined);
       const current = prefer(offers, (offer) => offer.isCurrent);
-      const kept = load.ejection().keep(current, (offer) => offer.engine.name, now);
+      const kept = load.ejection().selectAvailable(current, (offer) => offer.engine.name, now);
       return kept.map(toReplica);
     },
     isComing(model, adapter) {
--- a/packages/report-relay/src/report-relay.steps.ts
+++ b/packages/report-relay/src/report-relay.steps.ts
@@ -32,7 +32,7 @@
   report,
   requestedAt,
   receivedAt: requestedAt,
-  way: "read",
+  source: "read",
 });
 
 /** One box asks another; with `lost` the answer does not come. */
--- a/packages/report-relay/src/report-relay.ts
+++ b/packages/report-relay/src/report-relay.ts
@@ -43,7 +43,7 @@
   /** The pools whose engines each other box reads for this one. */
   const poolsByReader = (): ReadonlyMap<string, ReadonlySet<string>> => {
     const byReader = new Map<string, Set<string>>();
-    for (const engine of watch.watched()) {
+    for (const engine of watch.watchedEngines()) {
       for (const reader of watch.readersOf(engine)) {
         const pools = byReader.get(reader) ?? new Set();
         byReader.set(reader, pools.add(engine.pool));
--- a/packages/retry-budget/src/retry-budget.steps.ts
+++ b/packages/retry-budget/src/retry-budget.steps.ts
@@ -10,7 +10,7 @@
   "{int} boxes that share {int} retries and a fifth of their requests over 10 s",
   function (this: object, boxes: number, slack: number) {
     const clock = createVirtualClock();
-    const bound = { ratio: 0.2, slack, windowMs: 10_000 };
+    const bound = { ratio: 0.2, baseRetries: slack, windowMs: 10_000 };
     const budgets = Array.from({ length: boxes }, () => createRetryBudget(clock, bound));
     notes(this).set("fleet", { clock, budgets, slack });
   },
@@ -31,9 +31,9 @@
     const requests: number[] = [];
     for (let step = 0; step < rate * seconds; step++) {
       for (const budget of budgets) {
-        budget.request(service);
+        budget.recordRequest(service);
         requests.push(clock.now());
-        while (budget.take(service, budgets.length)) retries.push(clock.now());
+        while (budget.tryTake(service, budgets.length)) retries.push(clock.now());
       }
       await clock.runUntil(clock.now() + 1_000 / rate);
     }
@@ -57,6 +57,6 @@
 Then("one box may retry at most {int} times at once", function (this: object, most: number) {
   const { budgets } = fleetOf(this);
   let taken = 0;
-  while (budgets[0].take(service, budgets.length)) taken += 1;
+  while (budgets[0].tryTake(service, budgets.length)) taken += 1;
   assert.ok(taken >= 1 && taken <= most);
 });
