--- a/packages/target-choice/src/index.ts
+++ b/packages/target-choice/src/index.ts
@@ -1,52 +1,52 @@
-/** Chooses the target that is expected to answer first: a pure function over what one box believes. */
+/** Chooses the target with the earliest expected response: a pure function over one box's view of its targets. */
 import type { Random } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 
-/** One target as the choice sees it. */
+/** A target that could serve a request. */
 export interface Candidate {
   readonly id: string;
   readonly slots: number;
-  /** Requests of all boxes there. */
+  /** Requests in flight at the target, from all boxes. */
   readonly inFlight: number;
-  /** Prompt tokens there that are still to be read, of all boxes. */
+  /** Prompt tokens queued for prefill at the target, from all boxes. */
   readonly queuedPromptTokens: number;
-  /** Prompt tokens of this request that the target would have to read. */
+  /** Prompt tokens of this request that are not in the target's prefix cache. */
   readonly uncachedTokens: number;
-  /** Time that its streams wait from one event to the next now; 0 where this is not known. */
+  /** Recent gap between events of the target's streams; 0 if unknown. */
   readonly streamGapMs: Milliseconds;
   readonly sameDomain: boolean;
   readonly costs: WorkCosts;
 }
 
-/** What one unit of work costs, as measured. */
+/** Estimated costs of the parts of a request at a target. */
 export interface WorkCosts {
-  /** Reading one prompt token. */
+  /** Prefill of one prompt token. */
   readonly perTokenMs: Milliseconds;
-  /** Until the first bytes on a target with a free place, beside the reading. */
+  /** Time to the first bytes on a target with a free slot, without the prefill. */
   readonly perRequestMs: Milliseconds;
-  /** A whole answer: for so long a place is taken. */
+  /** Duration of a complete response, during which it occupies a slot. */
   readonly perResponseMs: Milliseconds;
-  /** Reaching another failure domain. */
+  /** Network latency to a target in another failure domain. */
   readonly crossDomainMs: Milliseconds;
 }
 
-/** A target with the time until it is expected to begin its answer. */
+/** The chosen target and the expected time until its response starts. */
 export interface Choice {
   readonly id: string;
   readonly expectedStartMs: Milliseconds;
 }
 
-/** Candidates within this of the best are as good as the best; the pick among them is random. */
+/** Candidates whose cost is within this of the best are chosen from at random. */
 const tieMs: Milliseconds = 2;
-/** How much the requests that share a batch slow each other. */
+/** Delay caused by a full batch, as a fraction of the response duration. */
 const batchSlowdown = 0.1;
 
-/** Time until the target is expected to begin its answer. */
+/** Expected time until the target starts its response. */
 export function estimateStartMs(candidate: Candidate): Milliseconds {
   const { costs } = candidate;
   const prefillMs = (candidate.queuedPromptTokens + candidate.uncachedTokens) * costs.perTokenMs;
   const freeSlots = Math.max(0, candidate.slots - candidate.inFlight);
-  // With no place free, places become free one by one while answers end.
+  // Without a free slot, the request waits for the requests ahead of it to complete.
   const slotWaitRounds =
     freeSlots > 0 ? 0 : (candidate.inFlight - candidate.slots + 1) / candidate.slots;
   const batchDelayMs = (candidate.inFlight / candidate.slots) * batchSlowdown * costs.perResponseMs;
@@ -60,16 +60,16 @@
   );
 }
 
-/** The target that is expected to answer first; `undefined` without candidates. */
+/** Chooses the candidate with the lowest cost; returns `undefined` without candidates. */
 export function chooseTarget(candidates: readonly Candidate[], random: Random): Choice | undefined {
   if (candidates.length === 0) return undefined;
-  // Pauses tell of prompts that the target reads for other boxes, and each further prompt lengthens them.
+  // Stream gaps reveal prefills for other boxes that this box's view does not include yet.
   const ranked = candidates.map((candidate) => {
-    const expected = estimateStartMs(candidate);
-    return { id: candidate.id, expectedMs: expected, costMs: expected + candidate.streamGapMs };
+    const startMs = estimateStartMs(candidate);
+    return { id: candidate.id, startMs, costMs: startMs + candidate.streamGapMs };
   });
   const best = Math.min(...ranked.map(({ costMs }) => costMs));
   const tied = ranked.filter(({ costMs }) => costMs <= best + tieMs);
-  const { id, expectedMs: chosenMs } = tied[random.below(tied.length)];
-  return { id, expectedStartMs: chosenMs };
+  const { id, startMs } = tied[random.below(tied.length)];
+  return { id, expectedStartMs: startMs };
 }
