--- a/packages/pool-control/src/pool-context.ts
+++ b/packages/pool-control/src/pool-context.ts
@@ -2,7 +2,7 @@
 import { clockName, type Kernel } from "@linkfall/kernel";
 import { type HeldLease, leaseHolderName } from "@linkfall/lease-holder";
 import { stateStoreName } from "@linkfall/state-store";
-import { targetWatchName, type WatchedReport } from "@linkfall/target-watch";
+import { targetWatchName, type EngineReportRecord } from "@linkfall/target-watch";
 import type { Engine, Milliseconds, Order, Pool } from "@linkfall/types";
 import { createOrderBook, type OrderBook } from "./order-book.js";
 
@@ -15,7 +15,7 @@
   engines(): readonly Engine[];
   engineNamed(name: string): Engine | undefined;
   /** The report of an engine, if it was asked for after this session began. */
-  reportOf(engine: string): WatchedReport | undefined;
+  reportOf(engine: string): EngineReportRecord | undefined;
   /** Whether the lease is still this session's, as far as this box has read. */
   isCurrent(): boolean;
   /** Whether it has not run out by this box's clock either. */
--- a/packages/pool-control/src/pool-view.ts
+++ b/packages/pool-control/src/pool-view.ts
@@ -5,7 +5,7 @@
 import { ledgersOf } from "@linkfall/ledger";
 import type { EngineView, ModelView, PoolView } from "@linkfall/placement";
 import { stateStoreName } from "@linkfall/state-store";
-import { targetWatchName, type WatchedReport } from "@linkfall/target-watch";
+import { targetWatchName, type EngineReportRecord } from "@linkfall/target-watch";
 import type { Engine } from "@linkfall/types";
 import { usageReportsName } from "@linkfall/usage-report";
 import type { Fences } from "./fences.js";
@@ -24,7 +24,7 @@
    */
   view(spareMoves: number, coolingDown: (model: string) => boolean): PoolView;
   /** Takes a report of one of the pool's engines. */
-  takeReport(watched: WatchedReport): void;
+  takeReport(watched: EngineReportRecord): void;
 }
 
 /** Creates the viewer of a session. */
--- a/packages/replicas/src/index.ts
+++ b/packages/replicas/src/index.ts
@@ -4,7 +4,7 @@
 import { type Candidate, type EngineLoad, estimateWaitMs, loadPerSlot } from "@linkfall/routing";
 import { stateStoreName } from "@linkfall/state-store";
 import { targetLoadName } from "@linkfall/target-load";
-import { targetWatchName, type WatchedReport } from "@linkfall/target-watch";
+import { targetWatchName, type EngineReportRecord } from "@linkfall/target-watch";
 import {
   type Adapter,
   adapterArtifact,
@@ -36,7 +36,7 @@
 /** What one engine offers for a request. */
 interface Offer {
   readonly engine: Engine;
-  readonly watched: WatchedReport;
+  readonly watched: EngineReportRecord;
   readonly artifact: string;
   readonly adapterArtifact?: string;
   readonly isCurrent: boolean;
--- a/packages/report-relay/src/outgoing.ts
+++ b/packages/report-relay/src/outgoing.ts
@@ -1,6 +1,6 @@
 /** What this box tells others of the engines that it reads itself. */
 import type { RelayedReport, ReportsRequest } from "@linkfall/ports";
-import type { WatchedReport } from "@linkfall/target-watch";
+import type { EngineReportRecord } from "@linkfall/target-watch";
 import type { Milliseconds, ReportLoad, ReportPlacement } from "@linkfall/types";
 
 /** A placement that was seen, and how many there were before it. */
@@ -13,13 +13,13 @@
 export interface OutgoingReports {
   /** The answer to a box that holds some placements of this one's numbering. */
   answer(
-    reports: readonly WatchedReport[],
+    reports: readonly EngineReportRecord[],
     held: ReportsRequest["held"],
     now: Milliseconds,
   ): readonly RelayedReport[];
 }
 
-function split({ report }: WatchedReport): { load: ReportLoad; placement: ReportPlacement } {
+function split({ report }: EngineReportRecord): { load: ReportLoad; placement: ReportPlacement } {
   const { engineIncarnation, fence, role, residents, settledOrders, ...load } = report;
   return { load, placement: { engineIncarnation, fence, role, residents, settledOrders } };
 }
--- a/packages/report-relay/src/report-relay.steps.ts
+++ b/packages/report-relay/src/report-relay.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Then, When } from "@cucumber/cucumber";
 import type { RelayedReport } from "@linkfall/ports";
-import type { WatchedReport } from "@linkfall/target-watch";
+import type { EngineReportRecord } from "@linkfall/target-watch";
 import { notes } from "@linkfall/test-support";
 import type { EngineReport, Milliseconds } from "@linkfall/types";
 import fc from "fast-check";
@@ -28,7 +28,7 @@
   settledOrders: [],
 });
 
-const watched = (report: EngineReport, requestedAt: Milliseconds): WatchedReport => ({
+const watched = (report: EngineReport, requestedAt: Milliseconds): EngineReportRecord => ({
   report,
   requestedAt,
   receivedAt: requestedAt,
@@ -40,7 +40,7 @@
   from: OutgoingReports,
   start: string,
   to: IncomingReports,
-  report: WatchedReport,
+  report: EngineReportRecord,
   lost = false,
 ): readonly EngineReport[] {
   const held = to.heldFrom() === start ? to.held() : [];
--- a/packages/report-relay/src/report-relay.ts
+++ b/packages/report-relay/src/report-relay.ts
@@ -89,11 +89,11 @@
     receive(request) {
       const pools = new Set(request.pools);
       const held = request.heldFrom === self ? request.held : [];
-      const reports = watch.ownReports().filter(({ pool }) => pools.has(pool));
+      const reports = watch.polledReports().filter(({ pool }) => pools.has(pool));
       return {
         from: self,
         reports: outgoing.answer(
-          reports.map(({ watched }) => watched),
+          reports.map(({ record: watched }) => watched),
           held,
           clock.now(),
         ),
--- a/packages/target-watch/src/index.ts
+++ b/packages/target-watch/src/index.ts
@@ -24,7 +24,7 @@
 const maxRelayedAgeShare = 0.5;
 
 /** The newest report of an engine. */
-export interface WatchedReport {
+export interface EngineReportRecord {
   readonly report: EngineReport;
   /** When it was asked for, by this box's clock. */
   readonly requestedAt: Milliseconds;
@@ -36,13 +36,13 @@
 export type ReportSource = "read" | "relayed";
 
 /** A report that this box has read itself. */
-export interface OwnReport {
+export interface PolledReport {
   readonly pool: string;
-  readonly watched: WatchedReport;
+  readonly record: EngineReportRecord;
 }
 
 export interface TargetWatch {
-  reportOf(engine: string): WatchedReport | undefined;
+  reportOf(engine: string): EngineReportRecord | undefined;
   /**
    * Takes a report that came by another way, such as the answer to a raised fence.
    *
@@ -52,13 +52,13 @@
   /** Names of the boxes that read an engine for its pool; none where every box reads every engine. */
   readersOf(engine: Engine): readonly string[];
   /** What this box may pass on: fresh reports that it has read itself. */
-  ownReports(): readonly OwnReport[];
+  polledReports(): readonly PolledReport[];
   /** Whether a target is leaving, whatever the way it was learnt by. */
   isLeaving(target: { readonly name?: string; readonly address: string }): boolean;
   /** Engines that this box watches. */
   watchedEngines(): readonly Engine[];
   /** Called for each report that was taken. */
-  onReport(listener: (report: WatchedReport) => void): void;
+  onReport(listener: (report: EngineReportRecord) => void): void;
 }
 
 export const targetWatchName = serviceName<TargetWatch>("target-watch");
@@ -73,9 +73,9 @@
   const port = kernel.find(enginePortName);
   const settings = kernel.find(settingsName).targets;
   const self = kernel.find(settingsName).box.name;
-  const reports = new Map<string, WatchedReport>();
+  const reports = new Map<string, EngineReportRecord>();
   const polling = new Set<string>();
-  const listeners: ((report: WatchedReport) => void)[] = [];
+  const listeners: ((report: EngineReportRecord) => void)[] = [];
 
   /** Whether the log says that a later report of the same start has been acted upon. */
   const isSuperseded = (report: EngineReport) => {
@@ -135,7 +135,7 @@
     return topNodes(name, leases.boxesOf(pool), settings.report_readers);
   };
 
-  const isFresh = (watched: WatchedReport | undefined, limit: Milliseconds) =>
+  const isFresh = (watched: EngineReportRecord | undefined, limit: Milliseconds) =>
     watched !== undefined && clock.now() - watched.requestedAt <= limit;
 
   /** Whether this box must read the engine: as one of its readers, or because no word of it comes. */
@@ -168,11 +168,11 @@
     },
     watchedEngines: watched,
     readersOf,
-    ownReports: () =>
+    polledReports: () =>
       watched().flatMap(({ name, pool }) => {
         const known = reports.get(name);
         const usable = known?.source === "read" && isFresh(known, settings.report_stale_ms);
-        return usable ? [{ pool, watched: known }] : [];
+        return usable ? [{ pool, record: known }] : [];
       }),
     onReport: (listener) => void listeners.push(listener),
     start: loop.start,
