--- a/packages/target-load/src/ejection.ts
+++ b/packages/target-load/src/ejection.ts
@@ -1,12 +1,12 @@
-/** Leaves out targets that fail, for a while and up to a share of each choice. */
+/** Outlier ejection: excludes failing targets for a limited time, up to a maximum fraction of the targets. */
 import type { Milliseconds } from "@linkfall/types";
 
-/** Failures in a row after which a target is left out. */
+/** Number of consecutive failures after which a target is ejected. */
 const minFailuresToEject = 3;
-/** Each further ejection without a success between lasts longer, up to this many times. */
+/** Ejections double in length until the target succeeds, up to this multiple of the first one. */
 const maxDurationFactor = 8;
 
-/** Longest back-off, whatever a target asks for: nobody learns that it has recovered while it gets no requests. */
+/** Upper bound of a requested back-off, since recovery is not noticed while a target gets no requests. */
 const maxBackOffMs: Milliseconds = 10_000;
 
 interface FailureRecord {
@@ -16,12 +16,12 @@
 }
 
 export interface Ejection {
-  /** @returns whether this failure has put the target out. */
+  /** @returns whether the failure caused the target to be ejected. */
   recordFailure(target: string, now: Milliseconds): boolean;
   recordSuccess(target: string): void;
-  /** Leaves out a target that has asked for no requests for a time. */
+  /** Excludes a target for the back-off time that it requested. */
   backOff(target: string, forMs: Milliseconds, now: Milliseconds): void;
-  /** Those that are not left out; never less than `1 - share` of the targets that take requests, if there are any. */
+  /** The items whose targets are not excluded; at least a fraction of `1 - maxEjectedShare` is always kept. */
   selectAvailable<T>(
     items: readonly T[],
     targetOf: (item: T) => string,
@@ -30,15 +30,15 @@
 }
 
 /**
- * Creates a record with no failures.
+ * Creates the ejection state of one box, without failures.
  *
- * @param firstEjectionMs how long the first ejection lasts
- * @param maxEjectedShare most targets of one choice that may be out, from 0 to 1
+ * @param firstEjectionMs duration of the first ejection
+ * @param maxEjectedShare maximum fraction of the targets that may be ejected, from 0 to 1
  */
 export function createEjection(firstEjectionMs: Milliseconds, maxEjectedShare: number): Ejection {
   const records = new Map<string, FailureRecord>();
   const ejectedUntil = (target: string) => records.get(target)?.ejectedUntil ?? -Infinity;
-  /** When targets that asked for no requests may get some again. */
+  /** Clock reading at which the requested back-off of a target ends. */
   const backOffUntil = new Map<string, Milliseconds>();
   const excludeEjected = <T>(
     items: readonly T[],
--- a/packages/target-load/src/target-load.ts
+++ b/packages/target-load/src/target-load.ts
@@ -1,21 +1,21 @@
-/** This box's own requests at each target, and the speed that it has seen there. */
+/** Tracks this box's own requests at each target and the service times observed there. */
 import { settingsName } from "@linkfall/config";
 import { clockName, type Kernel, serviceName } from "@linkfall/kernel";
 import { loggerName } from "@linkfall/logger";
 import { type Milliseconds, parseRetryAfter } from "@linkfall/types";
 import { createEjection, type Ejection } from "./ejection.js";
 
-/** A report shows what was sent this long before it was asked for; later requests are added. */
+/** Requests sent less than this before a report was requested may be missing from it. */
 const reportLagMs: Milliseconds = 500;
 const smoothing = 0.1;
 const initialServiceMs: Milliseconds = 1_000;
 const initialTokensPerSecond = 30;
 const millisecondsPerSecond = 1000;
 
-/** How a request at a target ended. */
+/** Duration and output of a completed request. */
 export interface CompletedRequest {
   readonly durationMs: Milliseconds;
-  /** Output tokens, 0 for a plain service. */
+  /** Number of generated tokens; 0 for a plain service. */
   readonly outputTokens: number;
 }
 
@@ -27,26 +27,27 @@
 }
 
 export interface TargetLoad {
-  /** Notes a request that is about to be sent. */
+  /** Counts a request that is about to be sent. */
   requestSent(target: string): void;
-  /** Notes that it ended; `end` only when it was answered whole. */
-  requestEnded(target: string, end: CompletedRequest | undefined): void;
-  /** Own requests that a report asked for at `requestedAt` may not show. */
+  /** Counts the end of a request; `completed` is undefined if it had no complete response. */
+  requestEnded(target: string, completed: CompletedRequest | undefined): void;
+  /** Number of this box's requests that a report requested at `requestedAt` may not include. */
   unreportedRequests(target: string, requestedAt: Milliseconds): number;
   inFlight(target: string): number;
+  /** Smoothed duration of a request. */
   meanServiceMs(target: string): Milliseconds;
-  /** Tokens a second of one stream. */
+  /** Smoothed generation rate of one stream. */
   streamTokensPerSecond(target: string): number;
-  /** Notes a failure that is the target's fault. */
+  /** Counts a failure that was caused by the target. */
   recordFailure(target: string): void;
-  /** Notes what a target that turned a request away says of when to come back; nothing where it says nothing. */
+  /** Applies the Retry-After header of a refusal, if there is one, as a back-off. */
   recordRefusal(target: string, retryAfter: string | undefined): void;
   ejection(): Ejection;
 }
 
 export const targetLoadName = serviceName<TargetLoad>("target-load");
 
-/** Creates the record of one box. */
+/** Creates the load tracking of one box. */
 export function createTargetLoad(kernel: Kernel): TargetLoad {
   const clock = kernel.find(clockName);
   const logger = kernel.find(loggerName);
@@ -56,45 +57,45 @@
   const sentHistoryMs = settings.report_stale_ms;
 
   const statsOf = (target: string): TargetStats => {
-    const known = statsByTarget.get(target);
-    if (known) return known;
-    const fresh = {
+    const existing = statsByTarget.get(target);
+    if (existing) return existing;
+    const created = {
       inFlight: 0,
       sentAt: [],
       serviceMs: initialServiceMs,
       tokensPerSecond: initialTokensPerSecond,
     };
-    statsByTarget.set(target, fresh);
-    return fresh;
+    statsByTarget.set(target, created);
+    return created;
   };
 
-  const updateAverages = (record: TargetStats, end: CompletedRequest) => {
-    record.serviceMs += smoothing * (end.durationMs - record.serviceMs);
-    if (end.outputTokens === 0 || end.durationMs === 0) return;
-    const rate = (end.outputTokens * millisecondsPerSecond) / end.durationMs;
-    record.tokensPerSecond += smoothing * (rate - record.tokensPerSecond);
+  const updateAverages = (stats: TargetStats, completed: CompletedRequest) => {
+    stats.serviceMs += smoothing * (completed.durationMs - stats.serviceMs);
+    if (completed.outputTokens === 0 || completed.durationMs === 0) return;
+    const rate = (completed.outputTokens * millisecondsPerSecond) / completed.durationMs;
+    stats.tokensPerSecond += smoothing * (rate - stats.tokensPerSecond);
   };
 
   return {
     requestSent(target) {
-      const record = statsOf(target);
+      const stats = statsOf(target);
       const now = clock.now();
-      record.inFlight += 1;
-      record.sentAt = record.sentAt.filter((at) => now - at < sentHistoryMs);
-      record.sentAt.push(now);
+      stats.inFlight += 1;
+      stats.sentAt = stats.sentAt.filter((at) => now - at < sentHistoryMs);
+      stats.sentAt.push(now);
     },
-    requestEnded(target, end) {
-      const record = statsOf(target);
-      record.inFlight -= 1;
-      if (!end) return;
-      updateAverages(record, end);
+    requestEnded(target, completed) {
+      const stats = statsOf(target);
+      stats.inFlight -= 1;
+      if (!completed) return;
+      updateAverages(stats, completed);
       ejection.recordSuccess(target);
     },
     unreportedRequests(target, requestedAt) {
-      const record = statsByTarget.get(target);
-      if (!record) return 0;
+      const stats = statsByTarget.get(target);
+      if (!stats) return 0;
       const since = requestedAt - reportLagMs;
-      return Math.min(record.inFlight, record.sentAt.filter((at) => at > since).length);
+      return Math.min(stats.inFlight, stats.sentAt.filter((at) => at > since).length);
     },
     inFlight: (target) => statsByTarget.get(target)?.inFlight ?? 0,
     meanServiceMs: (target) => statsOf(target).serviceMs,
