--- a/packages/target-watch/src/index.ts
+++ b/packages/target-watch/src/index.ts
@@ -1,7 +1,6 @@
 /**
- * Follows the reports of engines. A box reads some engines itself, one poll at a time for each; reports
- * of the others come from the boxes that read those (see report-relay), or by a poll of its own when
- * none has come for a while.
+ * Keeps the newest report of each engine. A box polls some of the engines itself; reports of the others are relayed by
+ * the boxes that poll them (see report-relay), and polled directly when relayed ones become too old.
  */
 import { settingsName } from "@linkfall/config";
 import {
@@ -20,22 +19,22 @@
 import { stateStoreName } from "@linkfall/state-store";
 import type { Engine, EngineReport, Milliseconds } from "@linkfall/types";
 
-/** Share of the time for which a report may be used, after which a box looks for itself. */
+/** Age at which a relayed report is replaced by a poll, as a fraction of the maximum report age. */
 const maxRelayedAgeShare = 0.5;
 
-/** The newest report of an engine. */
+/** A report of an engine with its time and source. */
 export interface EngineReportRecord {
   readonly report: EngineReport;
-  /** When it was asked for, by this box's clock. */
+  /** Clock reading of this box at or before which the report was requested. */
   readonly requestedAt: Milliseconds;
   readonly receivedAt: Milliseconds;
   readonly source: ReportSource;
 }
 
-/** How a report came: read from the engine by this box, or passed on by the box that read it. */
+/** Source of a report: polled from the engine by this box, or relayed by the box that polled it. */
 export type ReportSource = "read" | "relayed";
 
-/** A report that this box has read itself. */
+/** A report that this box has polled itself. */
 export interface PolledReport {
   readonly pool: string;
   readonly record: EngineReportRecord;
@@ -44,26 +43,26 @@
 export interface TargetWatch {
   reportOf(engine: string): EngineReportRecord | undefined;
   /**
-   * Takes a report that came by another way, such as the answer to a raised fence.
+   * Accepts a report that was not polled here, such as a relayed one or the response to a raised fence.
    *
-   * @param requestedAt a time by this box's clock before which it was not asked for
+   * @param requestedAt clock reading of this box before which the report was not requested
    */
-  ingest(report: EngineReport, requestedAt: Milliseconds, way: ReportSource): void;
-  /** Names of the boxes that read an engine for its pool; none where every box reads every engine. */
+  ingest(report: EngineReport, requestedAt: Milliseconds, source: ReportSource): void;
+  /** Names of the boxes that poll an engine for its pool; empty if every box polls every engine. */
   readersOf(engine: Engine): readonly string[];
-  /** What this box may pass on: fresh reports that it has read itself. */
+  /** Fresh reports that this box has polled itself and may relay. */
   polledReports(): readonly PolledReport[];
-  /** Whether a target is leaving, whatever the way it was learnt by. */
+  /** Whether a target is leaving, according to any source. */
   isLeaving(target: { readonly name?: string; readonly address: string }): boolean;
-  /** Engines that this box watches. */
+  /** Engines of the pools that this box serves or holds the lease of. */
   watchedEngines(): readonly Engine[];
-  /** Called for each report that was taken. */
+  /** Calls the listener for each accepted report. */
   onReport(listener: (report: EngineReportRecord) => void): void;
 }
 
 export const targetWatchName = serviceName<TargetWatch>("target-watch");
 
-/** Creates the watch; its life cycle is the polling. */
+/** Creates the watch; it polls between `start` and `stop`. */
 export function createTargetWatch(kernel: Kernel): TargetWatch & Service {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
@@ -77,7 +76,7 @@
   const polling = new Set<string>();
   const listeners: ((report: EngineReportRecord) => void)[] = [];
 
-  /** Whether the log says that a later report of the same start has been acted upon. */
+  /** Whether a later report of the same engine incarnation is already settled in the log. */
   const isSuperseded = (report: EngineReport) => {
     const settled = store.state().settledThrough.get(report.engine);
     return (
@@ -85,48 +84,49 @@
     );
   };
 
-  /** Reports come by several ways and may overtake each other; only a later one takes the place. */
+  /** Reports arrive from several sources and out of order; an older one must not replace a newer one. */
   const isNewer = (report: EngineReport, requestedAt: Milliseconds) => {
-    const held = reports.get(report.engine);
-    if (!held) return true;
-    // Of another start of the engine: later for certain only when it was asked for after this one came.
-    if (held.report.engineIncarnation !== report.engineIncarnation)
-      return requestedAt >= held.receivedAt;
-    if (held.report.sequence !== report.sequence) return held.report.sequence < report.sequence;
-    return requestedAt >= held.requestedAt;
+    const current = reports.get(report.engine);
+    if (!current) return true;
+    // Incarnations have no order: the report is newer for certain only if it was requested after the current one arrived.
+    if (current.report.engineIncarnation !== report.engineIncarnation)
+      return requestedAt >= current.receivedAt;
+    if (current.report.sequence !== report.sequence)
+      return current.report.sequence < report.sequence;
+    return requestedAt >= current.requestedAt;
   };
 
-  const logChanges = (before: EngineReport | undefined, report: EngineReport) => {
-    if (before && before.engineIncarnation !== report.engineIncarnation) {
+  const logChanges = (previous: EngineReport | undefined, report: EngineReport) => {
+    if (previous && previous.engineIncarnation !== report.engineIncarnation) {
       logger.event("engineRestarted", { engine: report.engine });
     }
-    if (report.leaving && !before?.leaving)
+    if (report.leaving && !previous?.leaving)
       logger.event("targetLeaving", { target: report.engine });
   };
 
-  const ingest = (report: EngineReport, requestedAt: Milliseconds, way: ReportSource) => {
+  const ingest = (report: EngineReport, requestedAt: Milliseconds, source: ReportSource) => {
     if (isSuperseded(report) || !isNewer(report, requestedAt)) return;
     logChanges(reports.get(report.engine)?.report, report);
-    const taken = { report, requestedAt, receivedAt: clock.now(), source: way };
-    reports.set(report.engine, taken);
-    for (const listener of listeners) listener(taken);
+    const record = { report, requestedAt, receivedAt: clock.now(), source };
+    reports.set(report.engine, record);
+    for (const listener of listeners) listener(record);
   };
 
   const poll = async (engine: Engine) => {
     if (polling.has(engine.name)) return;
     polling.add(engine.name);
     const requestedAt = clock.now();
-    const answer = await port.report(engine.address);
+    const response = await port.report(engine.address);
     polling.delete(engine.name);
-    answer.ifRight((report) => {
-      // Another engine at this address is not the one that was declared.
+    response.ifRight((report) => {
+      // Ignores an engine other than the one declared at this address.
       if (report.engine === engine.name) ingest(report, requestedAt, "read");
     });
   };
 
-  const watched = () => {
-    const held = leases.heldPools().map((lease) => lease.pool);
-    const pools = new Set([...leases.servedPools(), ...held]);
+  const watchedEngines = () => {
+    const leasedPools = leases.heldPools().map((lease) => lease.pool);
+    const pools = new Set([...leases.servedPools(), ...leasedPools]);
     return [...pools].flatMap((pool) => store.desired().enginesByPool.get(pool) ?? []);
   };
 
@@ -135,10 +135,10 @@
     return topNodes(name, leases.boxesOf(pool), settings.report_readers);
   };
 
-  const isFresh = (watched: EngineReportRecord | undefined, limit: Milliseconds) =>
-    watched !== undefined && clock.now() - watched.requestedAt <= limit;
+  const isFresh = (record: EngineReportRecord | undefined, maxAgeMs: Milliseconds) =>
+    record !== undefined && clock.now() - record.requestedAt <= maxAgeMs;
 
-  /** Whether this box must read the engine: as one of its readers, or because no word of it comes. */
+  /** Whether this box polls the engine: as one of its readers, or because relayed reports are too old. */
   const mustPoll = (engine: Engine) => {
     const readers = readersOf(engine);
     if (readers.length === 0 || readers.includes(self)) return true;
@@ -153,26 +153,26 @@
 
   const loop = repeatEvery(clock, kernel.find(randomName), settings.report_poll_ms, () => {
     dropUndeclared();
-    for (const engine of watched()) if (mustPoll(engine)) void poll(engine);
+    for (const engine of watchedEngines()) if (mustPoll(engine)) void poll(engine);
   });
   return {
     reportOf: (engine) => reports.get(engine),
     ingest,
     isLeaving(target) {
-      const shown = membership.leavingTargets();
-      if (shown.has(target.address)) return true;
+      const announced = membership.leavingTargets();
+      if (announced.has(target.address)) return true;
       if (target.name === undefined) return false;
       const declared = store.desired().engines.get(target.name)?.leaving ?? false;
       const reported = reports.get(target.name)?.report.leaving ?? false;
-      return declared || reported || shown.has(target.name);
+      return declared || reported || announced.has(target.name);
     },
-    watchedEngines: watched,
+    watchedEngines,
     readersOf,
     polledReports: () =>
-      watched().flatMap(({ name, pool }) => {
-        const known = reports.get(name);
-        const usable = known?.source === "read" && isFresh(known, settings.report_stale_ms);
-        return usable ? [{ pool, record: known }] : [];
+      watchedEngines().flatMap(({ name, pool }) => {
+        const record = reports.get(name);
+        const isRelayable = record?.source === "read" && isFresh(record, settings.report_stale_ms);
+        return isRelayable ? [{ pool, record }] : [];
       }),
     onReport: (listener) => void listeners.push(listener),
     start: loop.start,
