--- a/packages/routing/src/choose.ts
+++ b/packages/routing/src/choose.ts
@@ -1,35 +1,35 @@
-/** The policies by which one target is chosen. docs/design/routing.md gives their figures. */
+/** Routing policies that choose one target. See docs/design/routing.md. */
 import { pick, type Random } from "@linkfall/kernel";
 import { affinity, hash32 } from "@linkfall/rendezvous";
 import type { Milliseconds } from "@linkfall/types";
 import { match } from "ts-pattern";
 
-/** A target that could take the request. */
+/** A target that could serve the request. */
 export interface Candidate {
   readonly target: string;
   readonly address: string;
-  /** Requests in it for each place in its batch: reported, and sent since by this box. */
+  /** Requests per batch slot: reported ones, and those sent by this box since the report. */
   readonly load: number;
-  /** Time until a new request would begin to run. */
+  /** Expected time until a new request would start to run. */
   readonly waitMs: Milliseconds;
 }
 
 export type RoutingPolicy = "random" | "round_robin" | "least_load" | "two_choices" | "affinity";
 
-/** What a policy may look at besides the candidates. */
+/** Inputs of a policy besides the candidates. */
 export interface ChoiceContext {
   readonly policy: RoutingPolicy;
   readonly random: Random;
-  /** Number of choices made before, for round robin. */
+  /** Number of previous choices, used by round robin. */
   readonly turn: number;
-  /** Requests with the same key want the same target. */
+  /** Requests with the same key are routed to the same target if possible. */
   readonly affinityKey: string;
-  /** How much busier than the least busy a key's target may be, in requests for each place. */
+  /** Maximum load of a key's target above the least loaded one, in requests per batch slot. */
   readonly affinitySlack: number;
 }
 
 function leastLoaded<C extends Candidate>(candidates: readonly C[]): C {
-  return candidates.reduce((best, next) => (next.load < best.load ? next : best));
+  return candidates.reduce((best, candidate) => (candidate.load < best.load ? candidate : best));
 }
 
 function twoChoices<C extends Candidate>(candidates: readonly C[], random: Random): C {
@@ -38,14 +38,14 @@
   return second.load < first.load ? second : first;
 }
 
-/** Among the targets that are hardly busier than the least busy, the one the key is drawn to most. */
+/** The target with the highest affinity to the key among those within the slack of the least loaded one. */
 function highestAffinity<C extends Candidate>(candidates: readonly C[], context: ChoiceContext): C {
   const maxLoad = leastLoaded(candidates).load + context.affinitySlack;
-  const open = candidates.filter((candidate) => candidate.load <= maxLoad);
+  const eligible = candidates.filter((candidate) => candidate.load <= maxLoad);
   const keyHash = hash32(context.affinityKey);
-  let best = open[0];
+  let best = eligible[0];
   let bestScore = -1;
-  for (const candidate of open) {
+  for (const candidate of eligible) {
     const score = affinity(keyHash, candidate.target);
     if (score > bestScore) [best, bestScore] = [candidate, score];
   }
--- a/packages/routing/src/estimate.ts
+++ b/packages/routing/src/estimate.ts
@@ -1,25 +1,25 @@
-/** Estimates of how long a request will wait and run. */
+/** Estimates of the waiting time and run time of a request. */
 import type { Milliseconds } from "@linkfall/types";
 
 const millisecondsPerSecond = 1000;
 
-/** What is known of an engine when a request is to be sent there. */
+/** Load of an engine at the time of routing. */
 export interface EngineLoad {
   readonly running: number;
   readonly queued: number;
   readonly concurrency: number;
-  /** Requests that this box has sent and that the report cannot show yet. */
+  /** Requests sent by this box that the engine's report does not include yet. */
   readonly unreportedRequests: number;
-  /** Smoothed time from start to end of a request there. */
+  /** Smoothed duration of a request at the engine. */
   readonly meanServiceMs: Milliseconds;
 }
 
-/** Requests for each place in the batch. */
+/** Requests per batch slot. */
 export function loadPerSlot(engine: EngineLoad): number {
   return (engine.running + engine.queued + engine.unreportedRequests) / engine.concurrency;
 }
 
-/** Time until a new request would get a place in the batch. */
+/** Expected time until a new request would get a batch slot. */
 export function estimateWaitMs(engine: EngineLoad): Milliseconds {
   const requests = engine.running + engine.queued + engine.unreportedRequests;
   const ahead = requests + 1 - engine.concurrency;
@@ -27,7 +27,7 @@
   return (ahead * engine.meanServiceMs) / engine.concurrency;
 }
 
-/** Time to generate `tokens` in one stream. */
+/** Expected time to generate `tokens` in one stream. */
 export function estimateRunMs(tokens: number, streamTokensPerSecond: number): Milliseconds {
   return (tokens * millisecondsPerSecond) / streamTokensPerSecond;
 }
--- a/packages/routing/src/routing.feature
+++ b/packages/routing/src/routing.feature
@@ -1,13 +1,13 @@
-Feature: A replica is chosen by what one box knows
+Feature: Affinity routing within bounded load
 
-  Scenario: Requests with the same prefix land together while load is even
+  Scenario: Requests with the same prefix are routed to the same target while load is even
     Given 8 idle candidates
-    Then 100 choices by affinity for one key go to one target, and keys spread over all of them
+    Then 100 choices by affinity for one key select one target, and many keys select all targets
 
-  Scenario: Affinity gives way before its target is much busier than the others
+  Scenario: Affinity never exceeds its load slack
     Then for any loads, the target chosen by affinity is within the slack of the least loaded
 
-  Scenario: A key keeps its target when another target goes
+  Scenario: A key keeps its target when another target is removed
     Given 8 idle candidates
-    When one candidate goes that is not the key's
-    Then the key's target is as before
+    When a candidate other than the key's target is removed
+    Then the key's target is unchanged
--- a/packages/routing/src/routing.steps.ts
+++ b/packages/routing/src/routing.steps.ts
@@ -29,16 +29,16 @@
 });
 
 Then(
-  "100 choices by affinity for one key go to one target, and keys spread over all of them",
+  "100 choices by affinity for one key select one target, and many keys select all targets",
   function (this: object) {
     const list = candidatesOf(this);
-    const same = Array.from({ length: 100 }, () => chooseTarget(list, context("key")).target);
-    assert.equal(new Set(same).size, 1);
-    const spread = Array.from(
+    const forOneKey = Array.from({ length: 100 }, () => chooseTarget(list, context("key")).target);
+    assert.equal(new Set(forOneKey).size, 1);
+    const forManyKeys = Array.from(
       { length: 200 },
       (_, index) => chooseTarget(list, context(`k${index}`)).target,
     );
-    assert.equal(new Set(spread).size, list.length);
+    assert.equal(new Set(forManyKeys).size, list.length);
   },
 );
 
@@ -57,7 +57,7 @@
   );
 });
 
-When("one candidate goes that is not the key's", function (this: object) {
+When("a candidate other than the key's target is removed", function (this: object) {
   const list = candidatesOf(this);
   const chosen = chooseTarget(list, context("key")).target;
   const other = list.find((entry) => entry.target !== chosen);
@@ -68,6 +68,6 @@
   );
 });
 
-Then("the key's target is as before", function (this: object) {
+Then("the key's target is unchanged", function (this: object) {
   assert.equal(chooseTarget(candidatesOf(this), context("key")).target, notes(this).get("chosen"));
 });
