--- a/packages/route-table/src/index.ts
+++ b/packages/route-table/src/index.ts
@@ -1,28 +1,30 @@
-/** Finds the route of a request: exact host, then the longest path prefix. */
+/** Matches requests to routes by exact host and longest path prefix. */
 import type { Route, RoutedConfiguration, RouteShare } from "@linkfall/types";
 import murmurhash from "murmurhash";
 
+/** Number of values of the 32-bit hash. */
 const hashRange = 0x1_0000_0000;
 
-/** Routes by host, longest prefix first. */
+/** The routes of one configuration. */
 export interface RouteTable {
+  /** The route with the longest prefix of the path for the host; a query in `path` is ignored. */
   find(host: string, path: string): Route | undefined;
 }
 
-/** The path of a request target, without its query. */
+/** Removes the query from a request target. */
 function stripQuery(target: string): string {
   const query = target.indexOf("?");
   return query < 0 ? target : target.slice(0, query);
 }
 
-/** A host in the form in which it is compared: lower case and without a port. */
+/** Normalizes a host for comparison: lower case and without a port. */
 export function normalizeHost(host: string): string {
   const port = host.lastIndexOf(":");
   const name = port > 0 && !host.endsWith("]") ? host.slice(0, port) : host;
   return name.toLowerCase();
 }
 
-/** Builds the table of a configuration. */
+/** Builds the route table of a configuration. */
 export function createRouteTable(configuration: RoutedConfiguration): RouteTable {
   const byHost = new Map<string, Route[]>();
   for (const route of configuration.routes) {
@@ -40,13 +42,13 @@
   };
 }
 
-/** The service that a request goes to: the same for the same request on every box. */
+/** Selects a weighted share by hashing the request id, so that every box selects the same one. */
 export function selectShare(route: Route, requestId: string): RouteShare {
   const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
-  let point = (murmurhash.v3(requestId) / hashRange) * total;
+  let remainder = (murmurhash.v3(requestId) / hashRange) * total;
   for (const share of route.shares) {
-    if (point < share.weight) return share;
-    point -= share.weight;
+    if (remainder < share.weight) return share;
+    remainder -= share.weight;
   }
   return route.shares[0];
 }
--- a/packages/route-table/src/route-table.feature
+++ b/packages/route-table/src/route-table.feature
@@ -1,8 +1,8 @@
-Feature: The route of a request is found by its host and the longest path prefix
+Feature: A request is matched to a route by its host and the longest path prefix
 
-  Scenario Outline: The longest prefix of the host wins
+  Scenario Outline: The longest matching prefix of the host is selected
     Given routes "a.example /", "a.example /x/" and "b.example /x/"
-    Then a request for "<host>" and "<path>" goes to route "<route>"
+    Then a request for "<host>" and "<path>" matches route "<route>"
 
     Examples:
       | host         | path       | route         |
@@ -13,6 +13,6 @@
       | b.example    | /y?p=/x/   | none          |
       | c.example    | /          | none          |
 
-  Scenario: A weighted split sends the same request to the same service on every box
-    Given a route that splits 90 to 10
-    Then of 1000 requests between 850 and 950 go to the first service, each always to the same
+  Scenario: A weighted split selects the same service for the same request
+    Given a route with weights 90 and 10
+    Then of 1000 requests between 850 and 950 select the first service, each consistently
--- a/packages/route-table/src/route-table.steps.ts
+++ b/packages/route-table/src/route-table.steps.ts
@@ -36,14 +36,14 @@
 );
 
 Then(
-  "a request for {string} and {string} goes to route {string}",
+  "a request for {string} and {string} matches route {string}",
   function (this: object, host: string, path: string, name: string) {
     const found = notes(this).get<RouteTable>("table").find(host, path);
     assert.equal(found?.name ?? "none", name);
   },
 );
 
-Given("a route that splits 90 to 10", function (this: object) {
+Given("a route with weights 90 and 10", function (this: object) {
   const shares = [
     { service: "first", weight: 90 },
     { service: "second", weight: 10 },
@@ -52,7 +52,7 @@
 });
 
 Then(
-  "of 1000 requests between 850 and 950 go to the first service, each always to the same",
+  "of 1000 requests between 850 and 950 select the first service, each consistently",
   function (this: object) {
     const split = notes(this).get<Route>("route");
     const ids = Array.from({ length: 1000 }, (_, index) => `request-${index}`);
