--- a/packages/target-watch/src/index.ts
+++ b/packages/target-watch/src/index.ts
@@ -25,7 +25,7 @@
 /** A report of an engine with its time and source. */
 export interface EngineReportRecord {
   readonly report: EngineReport;
-  /** Clock reading of this box at or before which the report was requested. */
+  /** Clock reading of this box when the report was requested; a lower bound if it was relayed. */
   readonly requestedAt: Milliseconds;
   readonly receivedAt: Milliseconds;
   readonly source: ReportSource;
