--- a/packages/prefix-index/src/index.ts
+++ b/packages/prefix-index/src/index.ts
@@ -1,19 +1,19 @@
-/** What one engine probably keeps of prompts: a bounded memory of what was sent there, by weights. */
+/** Estimates the contents of an engine's prefix cache from the prompts that were sent to it. */
 import type { PromptPart } from "@linkfall/types";
 
 /** The parts of a prompt for one model and adapter. */
 export interface PrefixQuery {
-  /** `model` or `model/adapter`: a part is of use to the same weights only. */
+  /** `model` or `model/adapter`; cached parts can be reused only with the same weights. */
   readonly weights: string;
   readonly parts: readonly PromptPart[];
 }
 
 export interface PrefixIndex {
-  /** Leading tokens of the prompt that the engine probably keeps. */
+  /** Number of leading tokens of the prompt that are probably cached. */
   cachedTokens(query: PrefixQuery): number;
-  /** Notes that the engine has read the prompt. */
+  /** Records that the prompt was sent to the engine. */
   record(query: PrefixQuery): void;
-  /** Forgets everything of a model and its adapters. */
+  /** Removes all entries of a model and its adapters. */
   dropModel(model: string): void;
 }
 
@@ -22,7 +22,7 @@
   readonly tokens: number;
 }
 
-/** Key of each leading run of parts, shortest first. */
+/** Keys of all prefixes of the prompt, shortest first. */
 function prefixKeys({ weights, parts }: PrefixQuery): readonly string[] {
   let key = weights;
   return parts.map((part) => (key = `${key},${part.id}`));
@@ -30,9 +30,9 @@
 
 const modelOf = (weights: string) => weights.split("/", 1)[0];
 
-/** Creates an index that holds up to `capacityTokens`, the longest unused going first. */
+/** Creates an index of up to `capacityTokens` with least-recently-used eviction. */
 export function createPrefixIndex(capacityTokens: number): PrefixIndex {
-  /** In the order of last use. */
+  /** By prefix key, least recently used first. */
   const entries = new Map<string, Entry>();
   let indexedTokens = 0;
 
@@ -61,8 +61,8 @@
     record(query) {
       const keys = prefixKeys(query);
       for (const [index, key] of keys.entries()) {
-        const old = entries.get(key);
-        if (old) remove(key, old);
+        const existing = entries.get(key);
+        if (existing) remove(key, existing);
         const entry = { model: modelOf(query.weights), tokens: query.parts[index].tokens };
         entries.set(key, entry);
         indexedTokens += entry.tokens;
--- a/packages/prefix-index/src/prefix-index.feature
+++ b/packages/prefix-index/src/prefix-index.feature
@@ -1,24 +1,24 @@
-Feature: What an engine keeps of prompts is remembered by weights, in bounded memory
+Feature: The prefix index estimates cached prompts by weights, in bounded memory
 
-  Scenario: A prompt keeps its leading parts up to the first that differs
-    Given an index of 10000 tokens that has seen "m: a:100 b:200 c:300"
-    Then "m: a:100 b:200 d:50" is kept for 300 tokens
-    And "m: b:200 a:100" is kept for 0 tokens
+  Scenario: A prompt matches cached parts up to the first difference
+    Given an index of 10000 tokens with the prompt "m: a:100 b:200 c:300"
+    Then "m: a:100 b:200 d:50" has 300 cached tokens
+    And "m: b:200 a:100" has 0 cached tokens
 
-  Scenario: Parts are of use to the same weights only
-    Given an index of 10000 tokens that has seen "m/x: a:100"
-    Then "m/x: a:100" is kept for 100 tokens
-    And "m: a:100" is kept for 0 tokens
+  Scenario: Cached parts match only the same weights
+    Given an index of 10000 tokens with the prompt "m/x: a:100"
+    Then "m/x: a:100" has 100 cached tokens
+    And "m: a:100" has 0 cached tokens
 
-  Scenario: Dropping a model forgets its adapters' prompts too
-    Given an index of 10000 tokens that has seen "m/x: a:100"
+  Scenario: Dropping a model also drops the prompts of its adapters
+    Given an index of 10000 tokens with the prompt "m/x: a:100"
     When the model "m" is dropped
-    Then "m/x: a:100" is kept for 0 tokens
+    Then "m/x: a:100" has 0 cached tokens
 
-  Scenario: What was used longest ago gives way
-    Given an index of 250 tokens that has seen "m: a:100"
-    When "m: b:100" is seen
-    And "m: a:100" is seen
-    And "m: c:100" is seen
-    Then "m: a:100" is kept for 100 tokens
-    And "m: b:100" is kept for 0 tokens
+  Scenario: The least recently used prompt is evicted
+    Given an index of 250 tokens with the prompt "m: a:100"
+    When the prompt "m: b:100" is recorded
+    And the prompt "m: a:100" is recorded
+    And the prompt "m: c:100" is recorded
+    Then "m: a:100" has 100 cached tokens
+    And "m: b:100" has 0 cached tokens
--- a/packages/prefix-index/src/prefix-index.steps.ts
+++ b/packages/prefix-index/src/prefix-index.steps.ts
@@ -3,8 +3,8 @@
 import { notes } from "@linkfall/test-support";
 import { createPrefixIndex, type PrefixIndex, type PrefixQuery } from "./index.js";
 
-/** From `model/adapter: id:tokens id:tokens`. */
-function query(text: string): PrefixQuery {
+/** Parses `model/adapter: id:tokens id:tokens`. */
+function parseQuery(text: string): PrefixQuery {
   const [weights, rest] = text.split(": ");
   const parts = rest.split(" ").map((part) => {
     const [id, tokens] = part.split(":");
@@ -16,22 +16,22 @@
 const indexOf = (world: object) => notes(world).get<PrefixIndex>("index");
 
 Given(
-  "an index of {int} tokens that has seen {string}",
+  "an index of {int} tokens with the prompt {string}",
   function (this: object, tokens: number, text: string) {
     const index = createPrefixIndex(tokens);
-    index.record(query(text));
+    index.record(parseQuery(text));
     notes(this).set("index", index);
   },
 );
 
-When("{string} is seen", function (this: object, text: string) {
-  indexOf(this).record(query(text));
+When("the prompt {string} is recorded", function (this: object, text: string) {
+  indexOf(this).record(parseQuery(text));
 });
 
 When("the model {string} is dropped", function (this: object, model: string) {
   indexOf(this).dropModel(model);
 });
 
-Then("{string} is kept for {int} tokens", function (this: object, text: string, tokens: number) {
-  assert.equal(indexOf(this).cachedTokens(query(text)), tokens);
+Then("{string} has {int} cached tokens", function (this: object, text: string, tokens: number) {
+  assert.equal(indexOf(this).cachedTokens(parseQuery(text)), tokens);
 });
