--- a/packages/retry-budget/src/index.ts
+++ b/packages/retry-budget/src/index.ts
@@ -1,24 +1,24 @@
-/** This box's part of the retries that all boxes together may send to a service. */
+/** This box's share of the retries that all boxes together may send to a service. */
 import type { Clock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 
-/** The bound that holds for all boxes together. */
+/** Retry limit of a service over all boxes. */
 export interface RetryLimit {
-  /** Retries for each request. */
+  /** Allowed retries per request. */
   readonly ratio: number;
-  /** Retries beside those, in each window, over all boxes. */
+  /** Allowed retries per window independent of the requests, over all boxes. */
   readonly baseRetries: number;
   readonly windowMs: Milliseconds;
 }
 
 export interface RetryBudget {
-  /** Notes a first send to the service. */
+  /** Counts a request to the service, without its retries. */
   recordRequest(service: string): void;
-  /** Takes one retry if the budget has it. */
+  /** Takes one retry from the budget; returns false if it is exhausted. `boxes` share the base retries. */
   tryTake(service: string, boxes: number): boolean;
 }
 
-/** What is left unused, for views of the number of boxes that differ. */
+/** Fraction of the budget that is used, since boxes may disagree on the number of boxes. */
 const safetyFactor = 0.8;
 
 interface ServiceUsage {
@@ -27,32 +27,32 @@
 }
 
 function dropBefore(times: Milliseconds[], since: Milliseconds): Milliseconds[] {
-  const first = times.findIndex((time) => time >= since);
-  if (first < 0) return [];
-  return first === 0 ? times : times.slice(first);
+  const firstKept = times.findIndex((time) => time >= since);
+  if (firstKept < 0) return [];
+  return firstKept === 0 ? times : times.slice(firstKept);
 }
 
 /** Creates the budget of one box. */
 export function createRetryBudget(clock: Clock, limit: RetryLimit): RetryBudget {
   const usageByService = new Map<string, ServiceUsage>();
   const usageOf = (service: string): ServiceUsage => {
-    const use = usageByService.get(service) ?? { requests: [], retries: [] };
-    usageByService.set(service, use);
+    const usage = usageByService.get(service) ?? { requests: [], retries: [] };
+    usageByService.set(service, usage);
     const since = clock.now() - limit.windowMs;
-    use.requests = dropBefore(use.requests, since);
-    use.retries = dropBefore(use.retries, since);
-    return use;
+    usage.requests = dropBefore(usage.requests, since);
+    usage.retries = dropBefore(usage.retries, since);
+    return usage;
   };
   return {
     recordRequest(service) {
       usageOf(service).requests.push(clock.now());
     },
     tryTake(service, boxes) {
-      const use = usageOf(service);
-      const share = limit.baseRetries / Math.max(1, boxes);
-      const allowed = (limit.ratio * use.requests.length + share) * safetyFactor;
-      if (use.retries.length + 1 > allowed) return false;
-      use.retries.push(clock.now());
+      const usage = usageOf(service);
+      const baseShare = limit.baseRetries / Math.max(1, boxes);
+      const allowed = (limit.ratio * usage.requests.length + baseShare) * safetyFactor;
+      if (usage.retries.length + 1 > allowed) return false;
+      usage.retries.push(clock.now());
       return true;
     },
   };
--- a/packages/retry-budget/src/retry-budget.steps.ts
+++ b/packages/retry-budget/src/retry-budget.steps.ts
@@ -7,26 +7,26 @@
 const service = "s";
 
 Given(
-  "{int} boxes that share {int} retries and a fifth of their requests over 10 s",
-  function (this: object, boxes: number, slack: number) {
+  "{int} boxes that share {int} retries plus a fifth of their requests per 10 s",
+  function (this: object, boxes: number, baseRetries: number) {
     const clock = createVirtualClock();
-    const bound = { ratio: 0.2, baseRetries: slack, windowMs: 10_000 };
-    const budgets = Array.from({ length: boxes }, () => createRetryBudget(clock, bound));
-    notes(this).set("fleet", { clock, budgets, slack });
+    const limit = { ratio: 0.2, baseRetries, windowMs: 10_000 };
+    const budgets = Array.from({ length: boxes }, () => createRetryBudget(clock, limit));
+    notes(this).set("fleet", { clock, budgets, baseRetries });
   },
 );
 
-interface BudgetFleet {
+interface BudgetWorld {
   readonly clock: ReturnType<typeof createVirtualClock>;
   readonly budgets: readonly ReturnType<typeof createRetryBudget>[];
-  readonly slack: number;
+  readonly baseRetries: number;
 }
-const fleetOf = (world: object) => notes(world).get<BudgetFleet>("fleet");
+const worldOf = (world: object) => notes(world).get<BudgetWorld>("fleet");
 
 When(
-  "each box sees {int} requests a second for {int} s and retries as often as it may",
+  "each box gets {int} requests per second for {int} s and uses its whole budget",
   async function (this: object, rate: number, seconds: number) {
-    const { clock, budgets } = fleetOf(this);
+    const { clock, budgets } = worldOf(this);
     const retries: number[] = [];
     const requests: number[] = [];
     for (let step = 0; step < rate * seconds; step++) {
@@ -42,21 +42,21 @@
 );
 
 Then(
-  "no window of 10 s has more than 54 retries and a fifth of its requests",
+  "no window of 10 s has more than 54 retries plus a fifth of its requests",
   function (this: object) {
     const { retries, requests } = notes(this).get<Record<string, number[]>>("seen");
-    const { slack } = fleetOf(this);
+    const { baseRetries } = worldOf(this);
     const within = (times: number[], from: number) =>
       times.filter((time) => time >= from && time < from + 10_000).length;
     for (let from = 0; from <= 20_000; from += 250) {
-      assert.ok(within(retries, from) <= slack + 0.2 * within(requests, from));
+      assert.ok(within(retries, from) <= baseRetries + 0.2 * within(requests, from));
     }
   },
 );
 
-Then("one box may retry at most {int} times at once", function (this: object, most: number) {
-  const { budgets } = fleetOf(this);
+Then("one box gets at most {int} retries at once", function (this: object, maxRetries: number) {
+  const { budgets } = worldOf(this);
   let taken = 0;
   while (budgets[0].tryTake(service, budgets.length)) taken += 1;
-  assert.ok(taken >= 1 && taken <= most);
+  assert.ok(taken >= 1 && taken <= maxRetries);
 });
