--- a/packages/refusals/src/index.ts
+++ b/packages/refusals/src/index.ts
@@ -1,10 +1,10 @@
-/** Turns a refusal into the answer that a caller gets. */
+/** Refusals and the responses that report them to callers. */
 import type { CallerResponse, HeaderMap } from "@linkfall/ports";
 import type { Milliseconds, Outcome, Refusal, RefusalCode } from "@linkfall/types";
 
 const millisecondsPerSecond = 1000;
 
-/** HTTP status of each code. */
+/** HTTP status of each refusal code. */
 export const statusByCode: Readonly<Record<RefusalCode, number>> = {
   bad_request: 400,
   body_too_large: 413,
@@ -31,28 +31,28 @@
   held_back: 503,
 };
 
-/** A request that truly did not run. */
+/** Refusal of a request that certainly did not run. */
 export function notRun(code: RefusalCode, reason: string, retryAfterMs?: Milliseconds): Refusal {
   return { outcome: "not_run", code, reason, retryAfterMs };
 }
 
-/** A request that was started and did not come to its end. */
+/** Refusal of a request that was started and did not complete. */
 export function failed(code: RefusalCode, reason: string, retryAfterMs?: Milliseconds): Refusal {
   return { outcome: "failed", code, reason, retryAfterMs };
 }
 
-/** A request that may have run. */
+/** Refusal of a request that may have run. */
 export function outcomeUnknown(code: RefusalCode, reason: string): Refusal {
   return { outcome: "outcome_unknown", code, reason };
 }
 
-/** The body of a refusal: `{"error": {outcome, code, reason, retry_after_ms?}}`. */
+/** JSON body of a refusal: `{"error": {outcome, code, reason, retry_after_ms?}}`. */
 export function refusalBody(refusal: Refusal): string {
   const { outcome, code, reason, retryAfterMs } = refusal;
   return JSON.stringify({ error: { outcome, code, reason, retry_after_ms: retryAfterMs } });
 }
 
-/** The whole answer of a refusal. */
+/** Complete response of a refusal, with Retry-After in seconds if it is known. */
 export function refusalResponse(refusal: Refusal): CallerResponse {
   const headers: Record<string, string> = {
     "content-type": "application/json",
@@ -66,7 +66,7 @@
   return { status: statusByCode[refusal.code], headers, body };
 }
 
-/** A whole JSON answer. */
+/** Complete JSON response with status 200. */
 export function jsonResponse(value: unknown, headers: HeaderMap = {}): CallerResponse {
   return {
     status: 200,
@@ -75,7 +75,7 @@
   };
 }
 
-/** The outcome that an answer names; a stream that has begun counts as answered until it is cut. */
+/** Outcome header of a response; a started stream without one counts as answered. */
 export function outcomeOf(response: CallerResponse): Outcome {
   return (response.headers["linkfall-outcome"] as Outcome | undefined) ?? "answered";
 }
--- a/packages/refusals/src/refusals.feature
+++ b/packages/refusals/src/refusals.feature
@@ -1,8 +1,8 @@
-Feature: Every refusal is typed and says when to come back
+Feature: Refusals have a status and a retry time
 
-  Scenario: Each code has its row in the operators' page
-    Then docs/operators/refusals.md names every code with its status
+  Scenario: The operators' page documents every refusal code
+    Then docs/operators/refusals.md lists every code with its status
 
-  Scenario: A refusal that can be tried again names the time in the body and in Retry-After
-    When a request is refused with a wait of 1200 ms
-    Then the body says 1200 ms and the header 2 s
+  Scenario: A refusal reports its retry time in the body and in the Retry-After header
+    When a request is refused with a retry time of 1200 ms
+    Then the body has 1200 ms and the header 2 s
--- a/packages/refusals/src/refusals.steps.ts
+++ b/packages/refusals/src/refusals.steps.ts
@@ -5,23 +5,26 @@
 import { notes } from "@linkfall/test-support";
 import { notRun, refusalResponse, statusByCode } from "./index.js";
 
-Then("docs\\/operators\\/refusals.md names every code with its status", () => {
+Then("docs\\/operators\\/refusals.md lists every code with its status", () => {
   const page = readFileSync("docs/operators/refusals.md", "utf8");
   for (const [code, status] of Object.entries(statusByCode)) {
     assert.match(page, new RegExp(`\\| \`${code}\` +\\| ${status} +\\|`), code);
   }
 });
 
-When("a request is refused with a wait of {int} ms", function (this: object, wait: number) {
-  notes(this).set("response", refusalResponse(notRun("overloaded", "full", wait)));
-});
+When(
+  "a request is refused with a retry time of {int} ms",
+  function (this: object, retryAfterMs: number) {
+    notes(this).set("response", refusalResponse(notRun("overloaded", "full", retryAfterMs)));
+  },
+);
 
 Then(
-  "the body says {int} ms and the header {int} s",
-  function (this: object, wait: number, seconds: number) {
+  "the body has {int} ms and the header {int} s",
+  function (this: object, retryAfterMs: number, seconds: number) {
     const response = notes(this).get<CallerResponse>("response");
     const { error } = JSON.parse(Buffer.from(response.body as Uint8Array).toString("utf8"));
-    assert.equal(error.retry_after_ms, wait);
+    assert.equal(error.retry_after_ms, retryAfterMs);
     assert.equal(response.headers["retry-after"], String(seconds));
   },
 );
