--- a/packages/completion/src/admission.ts
+++ b/packages/completion/src/admission.ts
@@ -1,4 +1,4 @@
-/** Chooses a replica that can make the deadline, or says at once that none can. */
+/** Admission of completions: chooses a replica that can meet the deadline, or refuses early. */
 import { settingsName } from "@linkfall/config";
 import { clockName, type Kernel, randomName, sleep } from "@linkfall/kernel";
 import { notRun } from "@linkfall/refusals";
@@ -11,28 +11,28 @@
 import type { Progress } from "./progress.js";
 
 const replicaPollMs: Milliseconds = 100;
-/** When to come back while no replica is ready and none is being loaded. */
+/** Retry-After while no replica is ready or being loaded. */
 const noReplicaRetryAfterMs: Milliseconds = 3_000;
 const minRetryAfterMs: Milliseconds = 500;
 const ratioSmoothing = 0.05;
 
 export interface Admission {
-  /** A replica to try next, waiting for one while it is being loaded; or the refusal. */
+  /** The replica for the next attempt, after waiting for a load in progress if necessary; or the refusal. */
   admit(job: CompletionJob, progress: Progress): Promise<Either<Refusal, Replica>>;
-  /** Learns how long the answers of a model are. */
+  /** Updates the model's expected output length. */
   recordOutputLength(job: CompletionJob, tokens: number): void;
 }
 
-/** Creates the admission of one box. */
+/** Creates the completion admission of one box. */
 export function createAdmission(kernel: Kernel): Admission {
   const clock = kernel.find(clockName);
   const random = kernel.find(randomName);
   const replicas = kernel.find(replicasName);
   const load = kernel.find(targetLoadName);
   const settings = kernel.find(settingsName).routing;
-  /** Generated tokens as a share of those that were asked for, by model. */
+  /** Smoothed ratio of generated tokens to `maxTokens`, by model. */
   const outputRatio = new Map<string, number>();
-  let turn = 0;
+  let choiceCount = 0;
 
   const expectedEndMs = (
     job: CompletionJob,
@@ -45,32 +45,32 @@
   };
 
   const chooseReplica = (job: CompletionJob, candidates: readonly Replica[]): Replica => {
-    turn += 1;
+    choiceCount += 1;
     const prefix = job.prompt.slice(0, settings.prefix_bytes);
     return chooseTarget(candidates, {
       policy: settings.policy,
       random,
-      turn,
+      turn: choiceCount,
       affinityKey: `${job.account}/${job.model.name}/${prefix}`,
       affinitySlack: settings.affinity_slack,
     });
   };
 
-  const serving = (job: CompletionJob, progress: Progress) =>
+  const servingReplicas = (job: CompletionJob, progress: Progress) =>
     replicas
       .serving(job.model, job.adapter)
       .filter((replica) => !progress.failedTargets.has(replica.target));
 
-  /** Waits only while a copy is seen to be loading; otherwise the refusal comes at once. */
-  const waitForServing = async (
+  /** Waits for a replica only while one is being loaded. */
+  const waitForReplicas = async (
     job: CompletionJob,
     progress: Progress,
   ): Promise<readonly Replica[]> => {
     for (;;) {
-      const open = serving(job, progress);
+      const available = servingReplicas(job, progress);
       const canWait = replicas.isComing(job.model, job.adapter) && !job.callerGone.aborted;
       const inTime = clock.now() + replicaPollMs < job.deadlineAt;
-      if (open.length > 0 || !canWait || !inTime) return open;
+      if (available.length > 0 || !canWait || !inTime) return available;
       await sleep(clock, replicaPollMs);
     }
   };
@@ -86,22 +86,26 @@
 
   return {
     async admit(job, progress) {
-      const open = await waitForServing(job, progress);
-      if (open.length === 0) return Left(noReplica(job, progress));
-      const left = job.deadlineAt - clock.now();
-      const inTime = open.filter((replica) => expectedEndMs(job, progress, replica) <= left);
+      const available = await waitForReplicas(job, progress);
+      if (available.length === 0) return Left(noReplica(job, progress));
+      const timeLeftMs = job.deadlineAt - clock.now();
+      const inTime = available.filter(
+        (replica) => expectedEndMs(job, progress, replica) <= timeLeftMs,
+      );
       if (inTime.length > 0) {
-        const chosen = chooseReplica(job, open);
+        const chosen = chooseReplica(job, available);
         return Right(inTime.includes(chosen) ? chosen : chooseReplica(job, inTime));
       }
-      const soonest = Math.min(...open.map((replica) => expectedEndMs(job, progress, replica)));
-      const retryAfter = Math.max(minRetryAfterMs, soonest - left);
-      return Left(notRun("deadline_unreachable", "no replica can make the deadline", retryAfter));
+      const earliestEndMs = Math.min(
+        ...available.map((replica) => expectedEndMs(job, progress, replica)),
+      );
+      const retryAfterMs = Math.max(minRetryAfterMs, earliestEndMs - timeLeftMs);
+      return Left(notRun("deadline_unreachable", "no replica can make the deadline", retryAfterMs));
     },
     recordOutputLength(job, tokens) {
-      const before = outputRatio.get(job.model.name) ?? 1;
+      const previous = outputRatio.get(job.model.name) ?? 1;
       const ratio = tokens / job.maxTokens;
-      outputRatio.set(job.model.name, before + ratioSmoothing * (ratio - before));
+      outputRatio.set(job.model.name, previous + ratioSmoothing * (ratio - previous));
     },
   };
 }
--- a/packages/completion/src/attempt.ts
+++ b/packages/completion/src/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt at one engine, with the resumption of its stream there. */
+/** Runs one attempt of a completion on one engine and resumes its stream if it breaks off. */
 import { settingsName } from "@linkfall/config";
 import { clockName, type Kernel, withTimeout } from "@linkfall/kernel";
 import { metricsName } from "@linkfall/metrics";
@@ -17,34 +17,34 @@
 
 const maxResumes = 2;
 const okStatus = 200;
-/** Status by which an engine refuses for load, which is not its fault. */
+/** Status of a refusal for overload, which does not count as a failure of the engine. */
 const overloadStatus = 503;
 
-/** How one attempt at one engine ended. */
+/** Result of one attempt. */
 export type AttemptResult =
   | { readonly kind: "complete" }
-  /** The engine provably did not start it. */
+  /** The engine certainly did not start the attempt. */
   | { readonly kind: "not_started"; readonly reason: string; readonly targetFault: boolean }
-  /** It may have run, and its stream cannot be had back. */
+  /** The attempt may have run, and its stream cannot be resumed. */
   | { readonly kind: "lost"; readonly reason: string };
 
-/** What an attempt is made with. */
+/** Inputs of one attempt. */
 export interface AttemptInput {
   readonly job: CompletionJob;
   readonly progress: Progress;
   readonly replica: Replica;
-  /** Unique for each attempt, so that an answer to an older one is never taken for this one's. */
+  /** Unique id of the attempt, which keeps responses to earlier attempts apart. */
   readonly attempt: string;
-  /** Aborted when the job is given up. */
+  /** Aborted when the job is abandoned. */
   readonly signal: AbortSignal;
-  /** Takes the tokens as they come. */
+  /** Called with each token as it arrives. */
   readonly onToken: TokenHandler;
 }
 
 export type RunAttempt = (input: AttemptInput) => Promise<AttemptResult>;
 
 function startRequest({ job, progress, replica, attempt }: AttemptInput): TargetRequest {
-  const continues = progress.nextPosition > 0;
+  const isContinuation = progress.nextPosition > 0;
   const body = {
     request_id: job.id,
     model: replica.artifact,
@@ -53,9 +53,11 @@
     max_tokens: job.maxTokens,
     priority: job.priority,
     stream: true,
-    // The engine's prefix cache must not tell one account what another has asked.
+    // Scopes the engine's prefix cache to the account, so that cache hits do not reveal prompts of other accounts.
     cache_scope: job.account,
-    continue_from: continues ? { text: progress.text, position: progress.nextPosition } : undefined,
+    continue_from: isContinuation
+      ? { text: progress.text, position: progress.nextPosition }
+      : undefined,
   };
   return {
     address: replica.address,
@@ -88,7 +90,7 @@
   return { kind: "not_started", reason, targetFault: response.status !== overloadStatus };
 }
 
-/** Creates the function that makes attempts for one box. */
+/** Creates the function that runs attempts for one box. */
 export function createRunAttempt(kernel: Kernel): RunAttempt {
   const clock = kernel.find(clockName);
   const metrics = kernel.find(metricsName);
@@ -96,27 +98,27 @@
   const load = kernel.find(targetLoadName);
   const settings = kernel.find(settingsName).targets;
 
-  /** Tells the engine to stop; nobody waits for the answer. */
+  /** Asks the engine to stop the attempt, without waiting for the response. */
   const cancel = (input: AttemptInput) => {
-    const limit = new AbortController();
-    clock.after(settings.call_timeout_ms, () => limit.abort());
-    void targets.send(streamRequest(input, "DELETE", ""), limit.signal);
+    const timeout = new AbortController();
+    clock.after(settings.call_timeout_ms, () => timeout.abort());
+    void targets.send(streamRequest(input, "DELETE", ""), timeout.signal);
   };
 
-  /** Asks the same engine for the rest of a stream that broke off. */
+  /** Requests the rest of an interrupted stream from the same engine. */
   const resume = async (input: AttemptInput): Promise<TargetResponse | undefined> => {
-    metrics.count("linkfall_stream_resumes_total", "Streams asked for again at the same engine");
+    metrics.count("linkfall_stream_resumes_total", "Streams resumed at the same engine");
     const request = streamRequest(input, "GET", `?from=${input.progress.nextPosition}`);
-    const asked = targets.send(request, input.signal);
-    const answer = await withTimeout(clock, settings.call_timeout_ms, asked);
-    const response = answer?.toMaybe().extract();
+    const sent = targets.send(request, input.signal);
+    const result = await withTimeout(clock, settings.call_timeout_ms, sent);
+    const response = result?.toMaybe().extract();
     return response?.status === okStatus ? response : undefined;
   };
 
-  /** Passes the tokens of one response on and notes them in the progress. */
+  /** Forwards the tokens of one response and records them in the progress. */
   const readTokens = (input: AttemptInput, response: TargetResponse): Promise<StreamResult> => {
     const { progress, attempt } = input;
-    const take: TokenHandler = (token) => {
+    const onToken: TokenHandler = (token) => {
       progress.text += token.text;
       progress.nextPosition += 1;
       return input.onToken(token);
@@ -127,7 +129,7 @@
       attempt,
       progress.nextPosition,
       settings.stall_ms,
-      take,
+      onToken,
     );
   };
 
@@ -136,18 +138,18 @@
     first: TargetResponse,
   ): Promise<AttemptResult> => {
     let response = first;
-    for (let tries = 0; ; tries++) {
-      const end = await readTokens(input, response);
-      if (end.kind === "complete") return end;
-      const givenUp = input.signal.aborted || tries >= maxResumes;
-      if (end.kind === "garbled" || givenUp) return { kind: "lost", reason: end.reason };
+    for (let resumes = 0; ; resumes++) {
+      const result = await readTokens(input, response);
+      if (result.kind === "complete") return result;
+      const isAbandoned = input.signal.aborted || resumes >= maxResumes;
+      if (result.kind === "garbled" || isAbandoned) return { kind: "lost", reason: result.reason };
       const resumed = await resume(input);
-      if (!resumed) return { kind: "lost", reason: end.reason };
+      if (!resumed) return { kind: "lost", reason: result.reason };
       response = resumed;
     }
   };
 
-  const start = async (input: AttemptInput): Promise<AttemptResult> => {
+  const startAttempt = async (input: AttemptInput): Promise<AttemptResult> => {
     const sent = await targets.send(startRequest(input), input.signal);
     const failure = sent.swap().toMaybe().extract();
     if (failure) {
@@ -160,25 +162,25 @@
     return readWithResumes(input, response);
   };
 
-  return async (asked) => {
+  return async (requested) => {
     const startedAt = clock.now();
-    const firstPosition = asked.progress.nextPosition;
-    const giveUp = new AbortController();
-    const onAbort = () => giveUp.abort();
-    asked.signal.addEventListener("abort", onAbort, { once: true });
-    const input = { ...asked, signal: giveUp.signal };
+    const firstPosition = requested.progress.nextPosition;
+    const abortController = new AbortController();
+    const onAbort = () => abortController.abort();
+    requested.signal.addEventListener("abort", onAbort, { once: true });
+    const input = { ...requested, signal: abortController.signal };
     load.requestSent(input.replica.target);
-    const end = await start(input);
-    const ran = {
+    const result = await startAttempt(input);
+    const completed = {
       durationMs: clock.now() - startedAt,
       outputTokens: input.progress.nextPosition - firstPosition,
     };
-    load.requestEnded(input.replica.target, end.kind === "complete" ? ran : undefined);
-    asked.signal.removeEventListener("abort", onAbort);
-    if (end.kind === "lost") {
-      giveUp.abort();
+    load.requestEnded(input.replica.target, result.kind === "complete" ? completed : undefined);
+    requested.signal.removeEventListener("abort", onAbort);
+    if (result.kind === "lost") {
+      abortController.abort();
       cancel(input);
     }
-    return end;
+    return result;
   };
 }
--- a/packages/completion/src/completion.ts
+++ b/packages/completion/src/completion.ts
@@ -1,6 +1,6 @@
 /**
- * Runs one completion to its end. A failure that provably came before the start is tried elsewhere;
- * a broken stream is resumed on the same engine; only a repeatable request goes on elsewhere.
+ * Runs completions. An attempt that certainly did not start is retried on another engine; an interrupted stream is
+ * resumed on the same engine; only repeatable requests continue on another engine after they may have run.
  */
 import { settingsName } from "@linkfall/config";
 import { crashGuardName, type GuardedRequest } from "@linkfall/crash-guard";
@@ -18,18 +18,18 @@
 import { createProgress, type Progress } from "./progress.js";
 import { createRetryBudget } from "./retry-budget.js";
 
-/** Route of completions, as operators are told of requests that are held back. */
+/** Route name under which held-back completions are reported to operators. */
 const completionsRoute = "completions";
 const failureRetryAfterMs: Milliseconds = 1_000;
 
 export interface Completions {
-  /** Hands the tokens of the answer on as they come and resolves with how it ended. */
-  run(job: CompletionJob, take: TokenHandler): Promise<CompletionResult>;
+  /** Calls `onToken` with the tokens as they arrive and resolves with the result. */
+  run(job: CompletionJob, onToken: TokenHandler): Promise<CompletionResult>;
 }
 
 export const completionsName = serviceName<Completions>("completions");
 
-/** Creates the completions of one box. */
+/** Creates the completion service of one box. */
 export function createCompletions(kernel: Kernel): Completions {
   const clock = kernel.find(clockName);
   const metrics = kernel.find(metricsName);
@@ -50,14 +50,14 @@
   const recordFailure = (
     progress: Progress,
     replica: Replica,
-    end: Exclude<AttemptResult, { kind: "complete" }>,
+    result: Exclude<AttemptResult, { kind: "complete" }>,
   ) => {
     progress.failedTargets.add(replica.target);
-    if (end.kind === "lost") progress.mayHaveRun = true;
-    if (end.kind === "lost" || end.targetFault) load.recordFailure(replica.target);
+    if (result.kind === "lost") progress.mayHaveRun = true;
+    if (result.kind === "lost" || result.targetFault) load.recordFailure(replica.target);
   };
 
-  /** Why there is no further attempt; undefined when there may be one. */
+  /** The refusal if there is no further attempt; undefined if the completion may be retried. */
   const refusalUnlessRetry = (
     job: CompletionJob,
     progress: Progress,
@@ -67,7 +67,7 @@
     if (job.callerGone.aborted || clock.now() >= job.deadlineAt) return refusal;
     if (progress.mayHaveRun && !job.repeatable) return refusal;
     if (!budget.tryTake(job.account)) return { ...refusal, code: "retry_budget" };
-    metrics.count("linkfall_retries_total", "Attempts after the first");
+    metrics.count("linkfall_retries_total", "Attempts after the first of each request");
     return undefined;
   };
 
@@ -75,7 +75,7 @@
     job: CompletionJob,
     progress: Progress,
     signal: AbortSignal,
-    take: TokenHandler,
+    onToken: TokenHandler,
   ): Promise<CompletionResult> => {
     for (;;) {
       const admitted = await admission.admit(job, progress);
@@ -85,37 +85,39 @@
       }
       const replica = admitted.unsafeCoerce();
       const attempt = `${job.id}~${++attempts}`;
-      const end = await runAttempt({ job, progress, replica, attempt, signal, onToken: take });
-      if (end.kind === "complete") {
+      const result = await runAttempt({ job, progress, replica, attempt, signal, onToken });
+      if (result.kind === "complete") {
         admission.recordOutputLength(job, progress.nextPosition);
         guard.served(guardedRequest(job));
         return { kind: "answered" };
       }
-      recordFailure(progress, replica, end);
+      recordFailure(progress, replica, result);
       const { target: name, address } = replica;
-      // A further engine that the request ends would take all requests at work there with it.
-      const mayGoOn =
-        end.kind !== "lost" || (await guard.mayGoOn(guardedRequest(job), { name, address }));
-      if (!mayGoOn) return refused(refusalWithoutRetry(job, progress, end.reason));
-      const refusal = refusalUnlessRetry(job, progress, end.reason);
+      // Each further engine that the request crashes also fails all other requests running there.
+      const mayRetry =
+        result.kind !== "lost" || (await guard.mayGoOn(guardedRequest(job), { name, address }));
+      if (!mayRetry) return refused(refusalWithoutRetry(job, progress, result.reason));
+      const refusal = refusalUnlessRetry(job, progress, result.reason);
       if (refusal) return refused(refusal);
     }
   };
 
   return {
-    async run(job, take) {
-      const heldBack = guard.refusal(guardedRequest(job));
-      if (heldBack) return refused(heldBack);
+    async run(job, onToken) {
+      const refusal = guard.refusal(guardedRequest(job));
+      if (refusal) return refused(refusal);
       budget.recordRequest(job.account);
       const progress = createProgress();
-      const giveUp = new AbortController();
-      const onGone = () => giveUp.abort();
-      job.callerGone.addEventListener("abort", onGone, { once: true });
-      const cancelDeadline = clock.after(job.deadlineAt - clock.now(), () => giveUp.abort());
-      const end = await runAttempts(job, progress, giveUp.signal, take);
+      const abortController = new AbortController();
+      const onCallerGone = () => abortController.abort();
+      job.callerGone.addEventListener("abort", onCallerGone, { once: true });
+      const cancelDeadline = clock.after(job.deadlineAt - clock.now(), () =>
+        abortController.abort(),
+      );
+      const result = await runAttempts(job, progress, abortController.signal, onToken);
       cancelDeadline();
-      job.callerGone.removeEventListener("abort", onGone);
-      return clock.now() >= job.deadlineAt ? withDeadlineReason(end) : end;
+      job.callerGone.removeEventListener("abort", onCallerGone);
+      return clock.now() >= job.deadlineAt ? withDeadlineReason(result) : result;
     },
   };
 }
@@ -124,16 +126,16 @@
   return { kind: "refused", refusal };
 }
 
-/** What the caller is told when no further attempt is made. */
+/** The refusal that the caller gets if no further attempt is made. */
 function refusalWithoutRetry(job: CompletionJob, progress: Progress, reason: string): Refusal {
   if (!progress.mayHaveRun) return notRun("target_refused", reason, failureRetryAfterMs);
   if (!job.repeatable) return outcomeUnknown("target_lost", reason);
   return failed("target_lost", reason, failureRetryAfterMs);
 }
 
-/** Names the deadline as the cause of an end that it brought about. */
-function withDeadlineReason(end: CompletionResult): CompletionResult {
-  if (end.kind === "answered") return end;
-  const { outcome } = end.refusal;
+/** Replaces the reason of a refusal by the passed deadline that caused it. */
+function withDeadlineReason(result: CompletionResult): CompletionResult {
+  if (result.kind === "answered") return result;
+  const { outcome } = result.refusal;
   return refused({ outcome, code: "deadline_passed", reason: "the deadline has passed" });
 }
--- a/packages/completion/src/engine-stream.feature
+++ b/packages/completion/src/engine-stream.feature
@@ -1,11 +1,11 @@
-Feature: A stream's tokens come whole, in order and only to their own request
+Feature: Engine streams deliver each token once, in order and only to their own attempt
 
-  Scenario: However the bytes are cut up, the tokens are the same
-    Then for any chunking of a stream and any place of resumption, each token comes once and in order
+  Scenario: Tokens do not depend on the chunking of the stream
+    Then for any chunking and any resume position, each token is delivered once and in order
 
-  Scenario Outline: What is no whole answer is told apart
+  Scenario Outline: Incomplete and malformed streams are distinguished from complete ones
     When a stream to attempt "r~1" is read that <fault>
-    Then its end is "<end>" after <tokens> tokens
+    Then the result is "<end>" after <tokens> tokens
 
     Examples:
       | fault                             | end      | tokens |
@@ -18,6 +18,6 @@
       | holds an event that is no token   | garbled  | 1      |
       | falls silent for 3 s              | cut      | 1      |
 
-  Scenario: A long stream holds nothing for the tokens that have passed
-    When a stream of 50000 tokens has been read up to its last token
-    Then less than 5 MB are held for it
+  Scenario: A long stream retains no memory for delivered tokens
+    When a stream of 50000 tokens is read up to its last token
+    Then it retains less than 5 MB
--- a/packages/completion/src/engine-stream.steps.ts
+++ b/packages/completion/src/engine-stream.steps.ts
@@ -16,58 +16,64 @@
   return `id: ${position}\ndata: ${JSON.stringify({ choices: [choice] })}\n\n`;
 };
 const marker = "data: [DONE]\n\n";
-const cut: BodyPart = Left({ kind: "target_unreachable", reason: "cut", mayHaveArrived: true });
+const brokenOff: BodyPart = Left({
+  kind: "target_unreachable",
+  reason: "cut",
+  mayHaveArrived: true,
+});
 
 interface ReadResult {
   readonly tokens: readonly CompletionToken[];
-  readonly end: StreamResult;
+  readonly result: StreamResult;
 }
 
 async function read(
   clock: VirtualClock,
   parts: AsyncIterable<BodyPart>,
   from: number,
-  answers = "r~1",
+  responseAttempt = "r~1",
 ): Promise<ReadResult> {
   const response: TargetResponse = {
     status: 200,
-    headers: { "x-attempt-id": answers },
+    headers: { "x-attempt-id": responseAttempt },
     body: parts,
   };
   const tokens: CompletionToken[] = [];
-  const end = await readEngineStream(clock, response, "r~1", from, stallMs, (token) => {
+  const result = await readEngineStream(clock, response, "r~1", from, stallMs, (token) => {
     tokens.push(token);
   });
-  return { tokens, end };
+  return { tokens, result };
 }
 
 async function* partsOf(list: readonly (string | BodyPart)[]): AsyncGenerator<BodyPart> {
   for (const part of list) yield typeof part === "string" ? Right(Buffer.from(part)) : part;
 }
 
-async function* silentAfter(clock: VirtualClock, text: string): AsyncGenerator<BodyPart> {
+async function* stallAfter(clock: VirtualClock, text: string): AsyncGenerator<BodyPart> {
   yield Right(Buffer.from(text));
   await new Promise<void>((resolve) => clock.after(3_000, resolve));
   yield Right(Buffer.from(marker));
 }
 
 Then(
-  "for any chunking of a stream and any place of resumption, each token comes once and in order",
+  "for any chunking and any resume position, each token is delivered once and in order",
   async () => {
-    const cuts = fc.array(fc.nat(400), { maxLength: 12 });
+    const cutPositions = fc.array(fc.nat(400), { maxLength: 12 });
     await fc.assert(
-      fc.asyncProperty(cuts, fc.integer({ min: 0, max: 4 }), async (places, from) => {
+      fc.asyncProperty(cutPositions, fc.integer({ min: 0, max: 4 }), async (positions, from) => {
         const bytes = Buffer.from(
           [0, 1, 2, 3, 4].map((at) => event(at, at === 4)).join("") + marker,
         );
-        const sorted = [0, ...places.map((place) => place % bytes.length), bytes.length].sort(
-          (a, b) => a - b,
-        );
+        const sorted = [
+          0,
+          ...positions.map((position) => position % bytes.length),
+          bytes.length,
+        ].sort((a, b) => a - b);
         const chunks = sorted.slice(1).map((to, index) => Right(bytes.subarray(sorted[index], to)));
-        const result = await read(createVirtualClock(), partsOf(chunks), from);
-        assert.equal(result.end.kind, "complete");
+        const readResult = await read(createVirtualClock(), partsOf(chunks), from);
+        assert.equal(readResult.result.kind, "complete");
         assert.deepEqual(
-          result.tokens.map((token) => token.position),
+          readResult.tokens.map((token) => token.position),
           [0, 1, 2, 3, 4].slice(from),
         );
       }),
@@ -79,8 +85,8 @@
 const streams: Readonly<Record<string, readonly (string | BodyPart)[]>> = {
   "is whole": [event(0), event(1), event(2, true), marker],
   "ends without its marker": [event(0), event(1)],
-  "breaks off": [event(0), event(1), cut],
-  "breaks off after its last token": [event(0), event(1), event(2, true), cut],
+  "breaks off": [event(0), event(1), brokenOff],
+  "breaks off after its last token": [event(0), event(1), event(2, true), brokenOff],
   "leaves out a token": [event(0), event(2, true), marker],
   'belongs to attempt "r~0"': [event(0), event(1), event(2, true), marker],
   "holds an event that is no token": [event(0), "data: {}\n\n"],
@@ -89,18 +95,21 @@
 When(/^a stream to attempt "r~1" is read that (.+)$/, async function (this: object, fault: string) {
   const clock = createVirtualClock();
   const parts = fault.startsWith("falls silent")
-    ? silentAfter(clock, event(0))
+    ? stallAfter(clock, event(0))
     : partsOf(streams[fault]);
-  const answers = fault.startsWith("belongs") ? "r~0" : "r~1";
-  const result = read(clock, parts, 0, answers);
+  const responseAttempt = fault.startsWith("belongs") ? "r~0" : "r~1";
+  const reading = read(clock, parts, 0, responseAttempt);
   await clock.runUntil(5_000);
-  notes(this).set("result", await result);
+  notes(this).set("result", await reading);
 });
 
-Then("its end is {string} after {int} tokens", function (this: object, end: string, count: number) {
-  const result = notes(this).get<ReadResult>("result");
-  assert.deepEqual([result.end.kind, result.tokens.length], [end, count]);
-});
+Then(
+  "the result is {string} after {int} tokens",
+  function (this: object, kind: string, count: number) {
+    const readResult = notes(this).get<ReadResult>("result");
+    assert.deepEqual([readResult.result.kind, readResult.tokens.length], [kind, count]);
+  },
+);
 
 setFlagsFromString("--expose-gc");
 const collectGarbage = runInNewContext("gc") as () => void;
@@ -111,7 +120,7 @@
 }
 
 When(
-  "a stream of {int} tokens has been read up to its last token",
+  "a stream of {int} tokens is read up to its last token",
   async function (this: object, count: number) {
     async function* body(): AsyncGenerator<BodyPart> {
       for (let position = 0; position < count; position++) {
@@ -120,8 +129,8 @@
       }
       yield Right(Buffer.from("data: [DONE]\n\n"));
     }
-    const before = heapAfterCollection();
-    let held = Infinity;
+    const initialBytes = heapAfterCollection();
+    let retainedBytes = Infinity;
     const headers = { [attemptHeader]: "r~1" };
     await readEngineStream(
       createVirtualClock(),
@@ -130,13 +139,13 @@
       0,
       1_000,
       ({ position }) => {
-        if (position === count - 1) held = heapAfterCollection() - before;
+        if (position === count - 1) retainedBytes = heapAfterCollection() - initialBytes;
       },
     );
-    notes(this).set("held", held);
+    notes(this).set("retained", retainedBytes);
   },
 );
 
-Then("less than {int} MB are held for it", function (this: object, megabytes: number) {
-  assert.ok(notes(this).get<number>("held") < megabytes * 1_000_000);
+Then("it retains less than {int} MB", function (this: object, megabytes: number) {
+  assert.ok(notes(this).get<number>("retained") < megabytes * 1_000_000);
 });
--- a/packages/completion/src/engine-stream.ts
+++ b/packages/completion/src/engine-stream.ts
@@ -1,4 +1,4 @@
-/** Reads the event stream of an engine: tokens by position, and the marker of its end. */
+/** Reads the event stream of an engine: tokens by position, and the end marker. */
 import type { CancelTimer, Clock } from "@linkfall/kernel";
 import type { BodyPart, TargetResponse } from "@linkfall/ports";
 import type { Milliseconds } from "@linkfall/types";
@@ -6,23 +6,23 @@
 import type { CompletionToken } from "./job.js";
 
 const endMarker = "[DONE]";
-/** Header by which an engine says whose answer it gives. */
+/** Header with the id of the attempt that a response belongs to. */
 export const attemptHeader = "x-attempt-id";
-/** Header by which a target says that it has not started the request. */
+/** Header by which a target reports that it did not start the request. */
 export const notStartedHeader = "x-not-started";
 
-/** How the reading of a stream ended. */
+/** Result of reading a stream. */
 export type StreamResult =
   | { readonly kind: "complete" }
-  /** It broke off, or fell silent, before its end. */
+  /** The stream broke off or stalled before its end. */
   | { readonly kind: "cut"; readonly reason: string }
-  /** What came was no answer to this attempt. */
+  /** The response was malformed or did not belong to this attempt. */
   | { readonly kind: "garbled"; readonly reason: string };
 
-/** Takes a token; a promise holds the stream back until it resolves. */
+/** Handles a token; a returned promise applies backpressure until it resolves. */
 export type TokenHandler = (token: CompletionToken) => Promise<void> | void;
 
-/** The shape of an event's data, as far as it is used. Checked by hand: it is on the copy path. */
+/** The used part of an event's data. Validated by hand, because it is on the hot path. */
 interface Chunk {
   readonly choices?: readonly { readonly text?: unknown; readonly finish_reason?: unknown }[];
 }
@@ -43,16 +43,16 @@
   }
 }
 
-/** Tells when a stream has been silent too long, with one timer for the whole stream. */
-function createStallTimer(clock: Clock, limit: Milliseconds) {
+/** Detects a stalled stream with one timer for the whole stream. */
+function createStallTimer(clock: Clock, stallMs: Milliseconds) {
   let lastReadAt = clock.now();
   let hasStalled = false;
   let resolvePending: () => void = () => undefined;
   let cancel: CancelTimer = () => undefined;
   const check = () => {
-    const left = lastReadAt + limit - clock.now();
-    if (left > 0) {
-      cancel = clock.after(left, check);
+    const remainingMs = lastReadAt + stallMs - clock.now();
+    if (remainingMs > 0) {
+      cancel = clock.after(remainingMs, check);
       return;
     }
     hasStalled = true;
@@ -61,8 +61,8 @@
   check();
   return {
     /**
-     * The promise's value, or undefined once the stream has been silent too long. A race against one
-     * promise of the whole stream would keep something for each token until the stream's end.
+     * Resolves with the value of the promise, or with undefined once the stream has stalled. `Promise.race` against
+     * one promise for the whole stream would retain memory for each token until the stream ends.
      */
     raceStall<T>(promise: Promise<T>): Promise<T | undefined> {
       return new Promise((resolve, reject) => {
@@ -79,9 +79,9 @@
 }
 
 /**
- * Hands on the tokens from `from` on, each once and in order.
+ * Calls `onToken` with the tokens from position `from` on, each once and in order.
  *
- * @param stallMs silence after which the stream counts as cut
+ * @param stallMs time without data after which the stream counts as cut
  */
 export async function readEngineStream(
   clock: Clock,
@@ -89,33 +89,33 @@
   attempt: string,
   from: number,
   stallMs: Milliseconds,
-  take: TokenHandler,
+  onToken: TokenHandler,
 ): Promise<StreamResult> {
   if (response.headers[attemptHeader] !== attempt) {
     return { kind: "garbled", reason: "the answer belongs to another request" };
   }
-  const watch = createStallTimer(clock, stallMs);
+  const stallTimer = createStallTimer(clock, stallMs);
   try {
-    return await readTokens(response, from, watch, take);
+    return await readTokens(response, from, stallTimer, onToken);
   } finally {
-    watch.stop();
+    stallTimer.stop();
   }
 }
 
 async function readTokens(
   response: TargetResponse,
   from: number,
-  watch: ReturnType<typeof createStallTimer>,
-  take: TokenHandler,
+  stallTimer: ReturnType<typeof createStallTimer>,
+  onToken: TokenHandler,
 ): Promise<StreamResult> {
   const messages: EventSourceMessage[] = [];
   const parser = createParser({ onEvent: (message) => void messages.push(message) });
   const decoder = new TextDecoder();
   const parts = response.body[Symbol.asyncIterator]();
-  let next = from;
+  let nextPosition = from;
   for (;;) {
-    const read = await watch.raceStall(parts.next());
-    watch.reset();
+    const read = await stallTimer.raceStall(parts.next());
+    stallTimer.reset();
     if (read === undefined) return { kind: "cut", reason: "the stream fell silent" };
     if (read.done) return { kind: "cut", reason: "the stream ended before its end marker" };
     const part: BodyPart = read.value;
@@ -123,19 +123,19 @@
     parser.feed(decoder.decode(part.extract() as Uint8Array, { stream: true }));
     for (const message of messages.splice(0)) {
       if (message.data === endMarker) {
-        // Read to its end, so that the connection can be used again.
+        // Reads to the end of the body, so that the connection can be reused.
         void parts.next();
         return { kind: "complete" };
       }
       const token = toToken(message);
       if (!token) return { kind: "garbled", reason: "an event that is no token" };
-      // A resumed stream may begin with what is known already, but must not leave anything out.
-      if (token.position < next) continue;
-      if (token.position > next) return { kind: "cut", reason: "tokens are missing" };
-      next += 1;
-      const wait = take(token);
-      if (wait) await wait;
-      // The last token says that it is the last; a cut after it takes nothing away.
+      // A resumed stream may repeat tokens but must not skip any.
+      if (token.position < nextPosition) continue;
+      if (token.position > nextPosition) return { kind: "cut", reason: "tokens are missing" };
+      nextPosition += 1;
+      const handled = onToken(token);
+      if (handled) await handled;
+      // The token with a finish reason is the last one; a missing end marker after it is harmless.
       if (token.finishReason !== undefined) {
         void parts.next();
         return { kind: "complete" };
--- a/packages/completion/src/progress.ts
+++ b/packages/completion/src/progress.ts
@@ -1,17 +1,17 @@
-/** What a job has come to over all of its attempts. */
+/** Progress of a job across all of its attempts. */
 
 export interface Progress {
-  /** Text that has been passed on. */
+  /** Text that has been forwarded to the caller. */
   text: string;
-  /** Position of the next token. */
+  /** Position of the next token to forward. */
   nextPosition: number;
-  /** Whether any attempt may have been started. */
+  /** Whether any attempt may have run. */
   mayHaveRun: boolean;
-  /** Targets that failed this job; they are not tried again for it. */
+  /** Targets that failed this job and are not tried again for it. */
   readonly failedTargets: Set<string>;
 }
 
-/** The progress of a job that has not begun. */
+/** Creates the progress of a job without attempts. */
 export function createProgress(): Progress {
   return { text: "", nextPosition: 0, mayHaveRun: false, failedTargets: new Set() };
 }
--- a/packages/completion/src/retry-budget.ts
+++ b/packages/completion/src/retry-budget.ts
@@ -1,17 +1,18 @@
-/** Retries are a small share of an account's requests, so that a fault is not multiplied. */
+/** Limits retries to a fraction of each account's requests, so that retries do not amplify an outage. */
 import type { Clock } from "@linkfall/kernel";
 import { createTokenBucket, type TokenBucket } from "@linkfall/token-bucket";
 
+/** Retries of an account that are available before it has sent any requests. */
 const burstRetries = 10;
 
 export interface RetryBudget {
-  /** Counts a request, which adds to what may be retried. */
+  /** Counts a request, which adds to the account's retry budget. */
   recordRequest(account: string): void;
-  /** Takes one retry if the budget has it. */
+  /** Takes one retry from the account's budget; returns false if it is exhausted. */
   tryTake(account: string): boolean;
 }
 
-/** Creates the budget of one box; `share` retries are allowed for each request beyond the burst. */
+/** Creates the budget of one box: `burstRetries`, plus `retriesPerRequest` for each request. */
 export function createRetryBudget(clock: Clock, retriesPerRequest: number): RetryBudget {
   const buckets = new Map<string, TokenBucket>();
   const bucketOf = (account: string) => {
