--- a/packages/raw-exchange/src/index.ts
+++ b/packages/raw-exchange/src/index.ts
@@ -1,4 +1,4 @@
-/** One HTTP exchange with a target on a connection of its own, its bytes passed on as they come. */
+/** One HTTP exchange with a target on its own connection; response bytes are delivered as they arrive. */
 import { Agent, type ClientRequest, type IncomingMessage, request as httpRequest } from "node:http";
 import type { TargetUnreachable } from "@linkfall/errors";
 import type { Clock } from "@linkfall/kernel";
@@ -7,62 +7,62 @@
 
 export { isListening } from "./is-listening.js";
 
-/** One request as it is sent. */
+/** The request of an exchange. */
 export interface ExchangeRequest {
   /** `host:port`. */
   readonly address: string;
   readonly method: string;
   /** Path and query. */
   readonly path: string;
-  /** End-to-end headers; those of the connection are added here. */
+  /** End-to-end headers; connection headers and Content-Length are added. */
   readonly headers: RawHeaders;
   readonly body: Buffer;
-  /** Longest time until the connection stands. */
+  /** Maximum time to establish the connection. */
   readonly connectTimeoutMs: Milliseconds;
-  /** Awaited when the connection stands, before the first byte; the exchange may be aborted meanwhile. */
+  /** Awaited between the connect and the first byte; the exchange may be aborted in the meantime. */
   beforeWrite?(): Promise<void>;
 }
 
-/** The head of an answer. */
+/** Status and headers of a response. */
 export interface ResponseHead {
   readonly status: number;
   readonly headers: RawHeaders;
 }
 
-/** What happens in an exchange. After `onWhole` or `onFailure` nothing more is called. */
+/** Events of an exchange. None follows `onComplete` or `onFailure`. */
 export interface ExchangeListener {
   onHead(head: ResponseHead): void;
   onBytes(bytes: Buffer): void;
-  /** The answer is whole. */
+  /** The response is complete. */
   onComplete(): void;
-  /** The exchange ended before the answer was whole. */
+  /** The exchange ended before the response was complete. */
   onFailure(failure: TargetUnreachable): void;
 }
 
-/** How far the request has gone. */
+/** Progress of sending the request. */
 export interface SendProgress {
-  /** Whether bytes of it may have left. */
+  /** Whether bytes of the request may have been clientRequest. */
   readonly written: boolean;
-  /** Bytes of it that the system has not taken yet. */
+  /** Bytes of the request that are still buffered in the process. */
   readonly unsentBytes: number;
 }
 
 export interface Exchange {
   progress(): SendProgress;
-  /** Resets the connection; the listener hears nothing more. */
+  /** Resets the connection; the listener is not called again. */
   abort(): void;
   pause(): void;
   resume(): void;
 }
 
-/** A connection for each request: what is not reused cannot carry bytes of an earlier answer. */
+/** Opens a connection per request, so that no bytes of an earlier response can arrive on it. */
 const freshConnections = new Agent({ keepAlive: false, maxSockets: Infinity });
 
 function failure(reason: string, mayHaveArrived: boolean): TargetUnreachable {
   return { kind: "target_unreachable", reason, mayHaveArrived };
 }
 
-/** Headers of the connection, and of the body that is sent whole. */
+/** Adds the headers of the connection and of the body, which is not chunked. */
 function withFraming(request: ExchangeRequest): string[] {
   const headers = [...request.headers, "Connection", "close"];
   const mayHaveBody = request.body.length > 0 || request.method === "POST";
@@ -71,10 +71,10 @@
 }
 
 function createRequest(request: ExchangeRequest): ClientRequest {
-  const mark = request.address.lastIndexOf(":");
+  const colon = request.address.lastIndexOf(":");
   return httpRequest({
-    host: request.address.slice(0, mark),
-    port: Number(request.address.slice(mark + 1)),
+    host: request.address.slice(0, colon),
+    port: Number(request.address.slice(colon + 1)),
     method: request.method,
     path: request.path,
     headers: withFraming(request) as never,
@@ -82,7 +82,7 @@
   });
 }
 
-/** Begins an exchange. */
+/** Starts an exchange. */
 export function openExchange(
   clock: Clock,
   request: ExchangeRequest,
@@ -92,19 +92,19 @@
   let connected = false;
   let written = false;
   let response: IncomingMessage | undefined;
-  const sent = createRequest(request);
+  const clientRequest = createRequest(request);
 
   const finish = (report: () => void) => {
     if (done) return;
     done = true;
     cancelConnect();
-    sent.destroy();
+    clientRequest.destroy();
     report();
   };
-  /** A reset also drops what the system still holds of the request; a close would go out behind it. */
+  /** Resets the connection, which drops unsent bytes in the socket buffer; a close would send them first. */
   const resetConnection = () => {
-    if (connected) sent.socket?.resetAndDestroy();
-    sent.destroy();
+    if (connected) clientRequest.socket?.resetAndDestroy();
+    clientRequest.destroy();
   };
   const fail = (reason: string) => finish(() => listener.onFailure(failure(reason, written)));
   const cancelConnect = clock.after(request.connectTimeoutMs, () => {
@@ -115,12 +115,11 @@
     await request.beforeWrite?.();
     if (done) return;
     written = true;
-    sent.end(request.body);
+    clientRequest.end(request.body);
   };
 
-  sent.once("socket", (socket) => {
-    // A reset behind bytes that are still unread is shown as a plain end. What tells them apart is
-    // that a connection that was reset has no peer any more.
+  clientRequest.once("socket", (socket) => {
+    // A reset that arrives behind unread bytes is reported as a normal end, but the socket has no peer any more.
     socket.prependOnceListener("end", () => {
       if (connected && socket.remoteAddress === undefined) fail("the connection was reset");
     });
@@ -130,24 +129,24 @@
       void write();
     });
   });
-  // Also called when a reset ends an answer without a length, before its end is reported.
-  sent.on("error", (problem) => fail(problem.message));
-  sent.once("response", (answer) => {
-    response = answer;
-    answer.on("error", (problem) => fail(problem.message));
-    answer.once("aborted", () => fail("the answer was cut"));
-    answer.on("data", (bytes: Buffer) => {
+  // For a response without a length, a reset is reported here before the end of the response.
+  clientRequest.on("error", (error) => fail(error.message));
+  clientRequest.once("response", (incoming) => {
+    response = incoming;
+    incoming.on("error", (error) => fail(error.message));
+    incoming.once("aborted", () => fail("the answer was cut"));
+    incoming.on("data", (bytes: Buffer) => {
       if (!done) listener.onBytes(bytes);
     });
-    answer.once("end", () => {
-      if (answer.complete) finish(() => listener.onComplete());
+    incoming.once("end", () => {
+      if (incoming.complete) finish(() => listener.onComplete());
       else fail("the answer was cut");
     });
-    if (!done) listener.onHead({ status: answer.statusCode ?? 0, headers: answer.rawHeaders });
+    if (!done) listener.onHead({ status: incoming.statusCode ?? 0, headers: incoming.rawHeaders });
   });
 
   return {
-    progress: () => ({ written, unsentBytes: sent.socket?.writableLength ?? 0 }),
+    progress: () => ({ written, unsentBytes: clientRequest.socket?.writableLength ?? 0 }),
     abort() {
       if (done) return;
       done = true;
--- a/packages/raw-exchange/src/is-listening.ts
+++ b/packages/raw-exchange/src/is-listening.ts
@@ -1,20 +1,20 @@
-/** Whether anybody listens at an address: what tells a process that ended from a connection that was lost. */
+/** Checks whether an address accepts connections, to tell a crashed process from a lost connection. */
 import { connect } from "node:net";
 import type { Clock } from "@linkfall/kernel";
 import type { Listening } from "@linkfall/ports";
 import type { Milliseconds } from "@linkfall/types";
 
-/** What the system calls a port where nobody listens. */
+/** System error code of a connection to a port without a listener. */
 const connectionRefusedCode = "ECONNREFUSED";
 
-/** Connects to `host:port` without sending anything, and closes the connection again. */
+/** Connects to `host:port` and closes the connection again; resolves with `unknown` after `timeoutMs`. */
 export function isListening(
   clock: Clock,
   address: string,
   timeoutMs: Milliseconds,
 ): Promise<Listening> {
-  const mark = address.lastIndexOf(":");
-  const socket = connect(Number(address.slice(mark + 1)), address.slice(0, mark));
+  const colon = address.lastIndexOf(":");
+  const socket = connect(Number(address.slice(colon + 1)), address.slice(0, colon));
   return new Promise((resolve) => {
     const finish = (listening: Listening) => {
       cancel();
@@ -23,8 +23,8 @@
     };
     const cancel = clock.after(timeoutMs, () => finish("unknown"));
     socket.once("connect", () => finish("listens"));
-    socket.on("error", (problem: NodeJS.ErrnoException) =>
-      finish(problem.code === connectionRefusedCode ? "refuses" : "unknown"),
+    socket.on("error", (error: NodeJS.ErrnoException) =>
+      finish(error.code === connectionRefusedCode ? "refuses" : "unknown"),
     );
   });
 }
--- a/packages/raw-exchange/src/raw-exchange.steps.ts
+++ b/packages/raw-exchange/src/raw-exchange.steps.ts
@@ -8,17 +8,17 @@
 
 type Outcome = { bytes: number } | { failure: TargetUnreachable };
 
-/** The handle beneath a socket: its reset goes out at once, behind the bytes that were written. */
-interface WithHandle {
+/** Internal handle of a socket, whose reset is sent directly after the written bytes. */
+interface SocketWithHandle {
   readonly _handle: { reset(done: () => void): number };
 }
 
-const withoutLength = "HTTP/1.1 200 OK\r\n\r\nhalf";
+const responseWithoutLength = "HTTP/1.1 200 OK\r\n\r\nhalf";
 
-async function target(world: object, answer: (socket: Socket) => void): Promise<void> {
+async function startTarget(world: object, respond: (socket: Socket) => void): Promise<void> {
   const server = createServer((socket) => {
     socket.on("error", () => undefined);
-    socket.once("data", () => answer(socket));
+    socket.once("data", () => respond(socket));
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   servers.push(server);
@@ -31,34 +31,36 @@
   for (const server of servers.splice(0)) server.close();
 });
 
-Given("a target that answers without a length and closes its connection", function (this: object) {
-  return target(this, (socket) => socket.end(withoutLength));
+Given("a target that responds without a length and closes its connection", function (this: object) {
+  return startTarget(this, (socket) => socket.end(responseWithoutLength));
 });
 
 Given(
-  "a target that answers without a length and resets its connection at once",
+  "a target that responds without a length and resets its connection at once",
   function (this: object) {
-    return target(this, (socket) => {
-      socket.write(withoutLength);
-      (socket as unknown as WithHandle)._handle.reset(() => undefined);
+    return startTarget(this, (socket) => {
+      socket.write(responseWithoutLength);
+      (socket as unknown as SocketWithHandle)._handle.reset(() => undefined);
     });
   },
 );
 
 Given(
-  "a target that answers less than its length and closes its connection",
+  "a target that responds with less than its length and closes its connection",
   function (this: object) {
-    return target(this, (socket) => socket.end("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"));
+    return startTarget(this, (socket) =>
+      socket.end("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
+    );
   },
 );
 
-Given("a target that answers twice on one connection", function (this: object) {
-  const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-  return target(this, (socket) => socket.end(answer + answer));
+Given("a target that responds twice on one connection", function (this: object) {
+  const response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+  return startTarget(this, (socket) => socket.end(response + response));
 });
 
-Given("a port where nobody listens", async function (this: object) {
-  await target(this, () => undefined);
+Given("a port without a listener", async function (this: object) {
+  await startTarget(this, () => undefined);
   await new Promise((resolve) => servers[0].close(resolve));
 });
 
@@ -83,19 +85,19 @@
   notes(this).set("outcome", outcome);
 });
 
-/** What a target that reads late has seen of its connection. */
-interface LateReader {
+/** State of a target that delays reading. */
+interface DelayedReader {
   readonly socket: Socket;
   bytes: number;
   wasReset: boolean;
 }
 
-Given("a target that reads nothing until it is told to", async function (this: object) {
+Given("a target that delays reading", async function (this: object) {
   const server = createServer({ pauseOnConnect: true }, (socket) => {
-    const reader: LateReader = { socket, bytes: 0, wasReset: false };
+    const reader: DelayedReader = { socket, bytes: 0, wasReset: false };
     socket.on("data", (chunk) => void (reader.bytes += chunk.length)).pause();
     socket.on("error", () => void (reader.wasReset = true));
-    // A reset behind bytes that are still unread is shown as a plain end, of a connection without a peer.
+    // A reset behind unread bytes is reported as a normal end of a socket without a peer.
     socket.on("end", () => void (reader.wasReset ||= socket.remoteAddress === undefined));
     notes(this).set("reader", reader);
   });
@@ -105,10 +107,10 @@
 });
 
 const megabyte = 1_048_576;
-/** In which the system takes what it can of a request. */
-const takenMs = 300;
-const soon = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
-const silent = {
+/** Time in which the socket buffers fill up. */
+const bufferingMs = 300;
+const delay = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
+const ignoreEvents = {
   onHead: () => undefined,
   onBytes: () => undefined,
   onComplete: () => undefined,
@@ -116,7 +118,7 @@
 };
 
 When(
-  "a request of {int} MB is sent there and given up on its way",
+  "a request of {int} MB is sent there and aborted while it is being sent",
   async function (this: object, megabytes: number) {
     const exchange = openExchange(
       systemClock(),
@@ -128,30 +130,30 @@
         body: Buffer.alloc(megabytes * megabyte),
         connectTimeoutMs: 5_000,
       },
-      silent,
+      ignoreEvents,
     );
-    await soon(takenMs);
-    assert.ok(exchange.progress().unsentBytes > 0, "the system took the whole request");
+    await delay(bufferingMs);
+    assert.ok(exchange.progress().unsentBytes > 0, "the socket buffers took the whole request");
     exchange.abort();
-    await soon(takenMs);
+    await delay(bufferingMs);
   },
 );
 
-When("the target reads what has come", async function (this: object) {
-  const { socket } = notes(this).get<LateReader>("reader");
+When("the target reads the received bytes", async function (this: object) {
+  const { socket } = notes(this).get<DelayedReader>("reader");
   const closed = new Promise((resolve) => socket.once("close", resolve));
   socket.resume();
   await closed;
 });
 
-Then("the target sees that the connection was reset", function (this: object) {
-  const { wasReset, bytes } = notes(this).get<LateReader>("reader");
-  assert.ok(wasReset, `an orderly end after ${bytes} bytes`);
+Then("the target detects a connection reset", function (this: object) {
+  const { wasReset, bytes } = notes(this).get<DelayedReader>("reader");
+  assert.ok(wasReset, `closed without a reset after ${bytes} bytes`);
 });
 
 const outcomeOf = (world: object) => notes(world).get<Outcome>("outcome");
 
-Then("the answer is whole with {int} bytes", function (this: object, bytes: number) {
+Then("the response is complete with {int} bytes", function (this: object, bytes: number) {
   assert.deepEqual(outcomeOf(this), { bytes });
 });
 
@@ -169,7 +171,7 @@
   assertFailed(this, false);
 });
 
-When("the target ends", () => {
+When("the target stops", () => {
   for (const server of servers.splice(0)) server.close();
 });
 
