--- a/packages/plain-call/src/index.ts
+++ b/packages/plain-call/src/index.ts
@@ -1,4 +1,4 @@
-/** Passes calls to plain services through, and repeats them only where that is safe. */
+/** Forwards calls to plain services and retries them only if that is safe. */
 import { crashGuardName, type GuardedRequest } from "@linkfall/crash-guard";
 import type { TargetUnreachable } from "@linkfall/errors";
 import { clockName, type Kernel, randomName, serviceName } from "@linkfall/kernel";
@@ -15,12 +15,13 @@
 export type { PlainCall } from "./plain-call.js";
 
 export interface PlainCalls {
+  /** Forwards the call; resolves with the response of a target or with a refusal. */
   run(call: PlainCall): Promise<CallerResponse>;
 }
 
 export const plainCallsName = serviceName<PlainCalls>("plain-calls");
 
-/** Creates the calls of one box. */
+/** Creates the plain call service of one box. */
 export function createPlainCalls(kernel: Kernel): PlainCalls {
   const clock = kernel.find(clockName);
   const random = kernel.find(randomName);
@@ -34,14 +35,17 @@
     return { facts, targets: () => service.targets.length };
   };
 
-  const open = (call: PlainCall, tried: ReadonlySet<string>): readonly ServiceTarget[] => {
-    const available = call.service.targets.filter(
+  const availableTargets = (
+    call: PlainCall,
+    tried: ReadonlySet<string>,
+  ): readonly ServiceTarget[] => {
+    const candidates = call.service.targets.filter(
       (target) => !watch.isLeaving(target) && !tried.has(target.address),
     );
-    return load.ejection().selectAvailable(available, (target) => target.address, clock.now());
+    return load.ejection().selectAvailable(candidates, (target) => target.address, clock.now());
   };
 
-  const choose = (candidates: readonly ServiceTarget[]): string => {
+  const chooseAddress = (candidates: readonly ServiceTarget[]): string => {
     const chosen = chooseTarget(
       candidates.map(({ address }) => ({
         target: address,
@@ -77,40 +81,45 @@
   const tryTargets = async (
     call: PlainCall,
     signal: AbortSignal,
-    done: () => void,
+    onDone: () => void,
   ): Promise<CallerResponse> => {
     const tried = new Set<string>();
-    let lost: TargetUnreachable | undefined;
+    let lastFailure: TargetUnreachable | undefined;
     for (let attempt = 1; ; attempt++) {
-      const candidates = open(call, tried);
-      if (candidates.length === 0) return refusalResponse(refusalWithoutTargets(call, lost));
-      const address = choose(candidates);
+      const candidates = availableTargets(call, tried);
+      if (candidates.length === 0) return refusalResponse(refusalWithoutTargets(call, lastFailure));
+      const address = chooseAddress(candidates);
       tried.add(address);
       const startedAt = clock.now();
       const sent = await sendTo(call, address, signal);
       const failure = sent.swap().toMaybe().extract();
       if (failure) {
-        // One attempt that may have run decides: later ones cannot make it "not run" again.
-        lost = lost?.mayHaveArrived ? lost : failure;
-        const ended = { name: address, address };
-        // A further target that the call ends would take all calls at work there with it.
-        const mayGoOn =
-          !failure.mayHaveArrived || (await guard.mayGoOn(guardedRequest(call), ended));
-        const refusal = refusalAfterLoss(call, lost, mayGoOn ? attempt : maxAttempts, clock.now());
+        // A failure after which the call may have run takes precedence over later failures.
+        lastFailure = lastFailure?.mayHaveArrived ? lastFailure : failure;
+        const target = { name: address, address };
+        // Each further target that the call crashes also fails all other calls running there.
+        const mayRetry =
+          !failure.mayHaveArrived || (await guard.mayGoOn(guardedRequest(call), target));
+        const refusal = refusalAfterLoss(
+          call,
+          lastFailure,
+          mayRetry ? attempt : maxAttempts,
+          clock.now(),
+        );
         if (refusal) return refusalResponse(refusal);
         continue;
       }
       const response = sent.unsafeCoerce();
       if (!isNotStarted(response) || attempt >= maxAttempts) {
-        const served = () => guard.served(guardedRequest(call));
-        const lost = () => void guard.mayGoOn(guardedRequest(call), { name: address, address });
+        const onServed = () => guard.served(guardedRequest(call));
+        const onLost = () => void guard.mayGoOn(guardedRequest(call), { name: address, address });
         return forwardResponse(clock, load, {
           address,
           response,
           startedAt,
-          onServed: served,
-          onLost: lost,
-          onDone: done,
+          onServed,
+          onLost,
+          onDone,
         });
       }
       await discardBody(response);
@@ -123,16 +132,16 @@
     async run(call) {
       const refusal = guard.refusal(guardedRequest(call));
       if (refusal) return refusalResponse(refusal);
-      const giveUp = new AbortController();
-      const onGone = () => giveUp.abort();
-      call.callerGone.addEventListener("abort", onGone, { once: true });
-      const cancelDeadline = clock.after(call.deadlineAt - clock.now(), onGone);
-      const done = () => {
+      const abortController = new AbortController();
+      const onCallerGone = () => abortController.abort();
+      call.callerGone.addEventListener("abort", onCallerGone, { once: true });
+      const cancelDeadline = clock.after(call.deadlineAt - clock.now(), onCallerGone);
+      const onDone = () => {
         cancelDeadline();
-        call.callerGone.removeEventListener("abort", onGone);
+        call.callerGone.removeEventListener("abort", onCallerGone);
       };
-      const response = await tryTargets(call, giveUp.signal, done);
-      if (response.body instanceof Uint8Array) done();
+      const response = await tryTargets(call, abortController.signal, onDone);
+      if (response.body instanceof Uint8Array) onDone();
       return response;
     },
   };
--- a/packages/plain-call/src/pass-answer.ts
+++ b/packages/plain-call/src/pass-answer.ts
@@ -1,71 +1,72 @@
-/** Passes a target's answer on, and notes how the target did. */
+/** Forwards a target's response and records its result for the target. */
 import type { Clock } from "@linkfall/kernel";
 import type { BodyPart, CallerResponse, TargetResponse } from "@linkfall/ports";
 import type { TargetLoad } from "@linkfall/target-load";
 import type { Milliseconds } from "@linkfall/types";
 import { endToEndHeaders } from "./plain-call.js";
 
-const firstServerError = 500;
+const minServerErrorStatus = 500;
 const notStartedHeader = "x-not-started";
 
-/** Whether the target says that it has not run the call. */
+/** Whether the target reported that it did not run the call. */
 export function isNotStarted({ headers }: TargetResponse): boolean {
   return headers[notStartedHeader] === "true";
 }
 
+/** A response to forward, and its callbacks. */
 export interface ForwardedResponse {
   readonly address: string;
   readonly response: TargetResponse;
   readonly startedAt: Milliseconds;
-  /** Called when the answer is whole and no failure of the target's. */
+  /** Called when the response is complete and not a server error. */
   onServed(): void;
-  /** Called when the answer broke off in its middle. */
+  /** Called when the response broke off. */
   onLost(): void;
-  /** Called when the body has ended, or its reader has gone. */
+  /** Called when the body has ended or its reader has stopped. */
   onDone(): void;
 }
 
 async function* forwardBody(
   clock: Clock,
   load: TargetLoad,
-  { address, response, startedAt, onServed: served, onLost: lost, onDone: done }: ForwardedResponse,
+  { address, response, startedAt, onServed, onLost, onDone }: ForwardedResponse,
 ): AsyncGenerator<BodyPart> {
-  let whole = false;
+  let succeeded = false;
   try {
     for await (const part of response.body) {
       yield part;
-      if (part.isLeft()) return lost();
+      if (part.isLeft()) return onLost();
     }
-    whole = response.status < firstServerError;
+    succeeded = response.status < minServerErrorStatus;
   } finally {
     load.requestEnded(
       address,
-      whole ? { durationMs: clock.now() - startedAt, outputTokens: 0 } : undefined,
+      succeeded ? { durationMs: clock.now() - startedAt, outputTokens: 0 } : undefined,
     );
-    if (whole) served();
+    if (succeeded) onServed();
     else load.recordFailure(address);
-    done();
+    onDone();
   }
 }
 
-/** The answer as the caller gets it. */
+/** Creates the caller's response from the target's one. */
 export function forwardResponse(
   clock: Clock,
   load: TargetLoad,
-  call: ForwardedResponse,
+  forwarded: ForwardedResponse,
 ): CallerResponse {
-  const { response } = call;
+  const { response } = forwarded;
   return {
     status: response.status,
     headers: {
       ...endToEndHeaders(response.headers),
       "linkfall-outcome": isNotStarted(response) ? "not_run" : "answered",
     },
-    body: forwardBody(clock, load, call),
+    body: forwardBody(clock, load, forwarded),
   };
 }
 
-/** Reads a small body to its end, so that its connection can be used again. */
+/** Reads a small body to its end, so that its connection can be reused. */
 export async function discardBody(response: TargetResponse): Promise<void> {
   for await (const part of response.body) if (part.isLeft()) return;
 }
--- a/packages/plain-call/src/plain-call.ts
+++ b/packages/plain-call/src/plain-call.ts
@@ -1,23 +1,26 @@
-/** One call of a caller to a plain service. */
+/** One call to a plain service. */
 import type { HeaderMap } from "@linkfall/ports";
 import type { Milliseconds, PlainService } from "@linkfall/types";
 
 export interface PlainCall {
   readonly account: string;
-  /** Names the request by its content. */
+  /** Hash of the request's content. */
   readonly fingerprint: string;
   readonly service: PlainService;
   readonly method: string;
-  /** Path and query at the service. */
+  /** Path and query, as sent to the service. */
   readonly path: string;
   readonly headers: HeaderMap;
   readonly body: Uint8Array;
+  /** Clock reading of this box by which the call has to end. */
   readonly deadlineAt: Milliseconds;
+  /** Whether the call may be run again after it may have run. */
   readonly repeatable: boolean;
+  /** Aborted when the caller disconnects. */
   readonly callerGone: AbortSignal;
 }
 
-/** Headers that belong to one connection, or that the box sets itself. */
+/** Headers that apply to a single connection and are not forwarded. */
 const hopByHopHeaders = [
   "connection",
   "keep-alive",
@@ -27,8 +30,8 @@
   "trailer",
 ];
 
-/** The headers that are passed on, in either direction. */
+/** Headers that are forwarded with a request or a response. */
 export function endToEndHeaders(headers: HeaderMap): HeaderMap {
-  const kept = Object.entries(headers).filter(([name]) => !hopByHopHeaders.includes(name));
-  return Object.fromEntries(kept);
+  const forwarded = Object.entries(headers).filter(([name]) => !hopByHopHeaders.includes(name));
+  return Object.fromEntries(forwarded);
 }
