--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -5,10 +5,10 @@
 import type { Clock } from "@linkfall/kernel";
 import type { AnswerFacts, RawHeaders, RequestCodec } from "@linkfall/ports";
 import {
-  type ResponseHead,
   type Exchange,
   type ExchangeRequest,
   openExchange,
+  type ResponseHead,
   type SendProgress,
 } from "@linkfall/raw-exchange";
 import type { Milliseconds } from "@linkfall/types";
@@ -29,10 +29,10 @@
   | { readonly kind: "answered"; readonly head: ResponseHead; readonly body: Buffer }
   /** A complete response that has been forwarded to the caller. */
   | { readonly kind: "streamed" }
-  /** The request may have run; `begun` is set if part of the response was forwarded to the caller. */
-  | { readonly kind: "lost"; readonly reason: string; readonly begun: boolean }
+  /** The request may have run; `responseStarted` is set if part of the response was forwarded to the caller. */
+  | { readonly kind: "lost"; readonly reason: string; readonly responseStarted: boolean }
   /** The idle timeout or the deadline passed. */
-  | { readonly kind: "silent"; readonly begun: boolean }
+  | { readonly kind: "silent"; readonly responseStarted: boolean }
   /** The caller disconnected; `written` is set if bytes of the request may have been sent before that. */
   | { readonly kind: "gone"; readonly written: boolean };
 
@@ -104,7 +104,7 @@
     cancelIdleTimer();
     if (input.idleTimeoutMs === undefined) return;
     cancelIdleTimer = clock.after(input.idleTimeoutMs, () =>
-      settle({ kind: "silent", begun: responseStarted() }),
+      settle({ kind: "silent", responseStarted: responseStarted() }),
     );
   };
 
@@ -144,7 +144,7 @@
       return settle({
         kind: "lost",
         reason: "answer to another request",
-        begun: responseStarted(),
+        responseStarted: responseStarted(),
       });
     }
     head = response;
@@ -163,7 +163,7 @@
   };
   const handleComplete = () => {
     if (!head || !facts)
-      return settle({ kind: "lost", reason: "no answer", begun: responseStarted() });
+      return settle({ kind: "lost", reason: "no answer", responseStarted: responseStarted() });
     if (facts.notRun) {
       const { misdirected, retryAfterMs } = facts;
       return settle({ kind: "not_run", status: head.status, misdirected, retryAfterMs });
@@ -176,22 +176,22 @@
     if (forwarding) return settle({ kind: "streamed" });
     // A partly forwarded stream cannot continue with a response that is not a stream.
     if (responseStarted())
-      return settle({ kind: "lost", reason: `status ${head.status}`, begun: true });
+      return settle({ kind: "lost", reason: `status ${head.status}`, responseStarted: true });
     settle({ kind: "answered", head, body: Buffer.concat(buffered) });
   };
   const handleFailure = (failure: TargetUnreachable) => {
     if (!failure.mayHaveArrived) return settle({ kind: "not_sent", reason: failure.reason });
-    settle({ kind: "lost", reason: failure.reason, begun: responseStarted() });
+    settle({ kind: "lost", reason: failure.reason, responseStarted: responseStarted() });
   };
 
   const cancelDeadline = clock.after(Math.max(0, input.deadlineAt - clock.now()), () =>
-    settle({ kind: "silent", begun: responseStarted() }),
+    settle({ kind: "silent", responseStarted: responseStarted() }),
   );
   const openedAt = clock.now();
   const beforeWrite = () => lookForCaller(clock.now, sink.isCallerGone, openedAt);
   const exchange: Exchange = openExchange(
     clock,
-    { ...input.request, beforeWrite: beforeWrite },
+    { ...input.request, beforeWrite },
     {
       onHead: handleHead,
       onBytes: handleBytes,
--- a/packages/forwarding/src/forward.ts
+++ b/packages/forwarding/src/forward.ts
@@ -3,30 +3,31 @@
 import { sleep } from "@linkfall/kernel";
 import type { RequestDemand } from "@linkfall/model-demand";
 import type { Milliseconds } from "@linkfall/types";
-import { maxQueueMs, expectedReplicaMs } from "./admission.js";
+import { expectedReplicaMs, maxQueueMs } from "./admission.js";
 import type { AttemptResult } from "./attempt.js";
 import { mayRetryAfterLoss, recordServed, refuseCrashingRequest } from "./crash-check.js";
 import { type ForwardContext, timeLeftMs } from "./forward-context.js";
 import {
   type ForwardedRequest,
-  type RequestOutcome,
   requestedWeights,
+  type RequestOutcome,
 } from "./forwarded-request.js";
 import { minReplicaLoadMs, waitForWeights } from "./hold-for-weights.js";
-import { pickTarget, estimateUncachedTokens } from "./pick.js";
+import { estimateUncachedTokens, pickTarget } from "./pick.js";
 import { acquirePermit, waitOrRefuseLimited } from "./limited-targets.js";
-import { serverErrorStatus, type PickedTarget, sendToTarget } from "./send-to-target.js";
+import { type PickedTarget, sendToTarget, serverErrorStatus } from "./send-to-target.js";
 import {
+  continueRequest,
   endRequest,
-  timeoutStatus,
   lostStatus,
-  continueRequest,
-  refuseTimedOut,
   refuse,
   refusedStatus,
+  refuseTimedOut,
   type Step,
+  timeoutStatus,
 } from "./request-step.js";
 
+/** Retry-After during a shutdown, since another box can serve the request at once. */
 const retryElsewhereMs: Milliseconds = 0;
 
 /** Whether the request may be sent again after an attempt that may have run. */
@@ -200,7 +201,7 @@
     case "target":
       return admit(context, request, pick);
     case "weights_missing":
-      return waitForWeights(context, request, pick.isAdapterMissingOnly);
+      return waitForWeights(context, request, pick.onlyAdapterMissing);
     case "limited":
       return waitOrRefuseLimited(context, request, pick.targets);
     case "no_connection":
--- a/packages/forwarding/src/forwarding.steps.ts
+++ b/packages/forwarding/src/forwarding.steps.ts
@@ -17,18 +17,18 @@
 import { createRetryBudget } from "@linkfall/retry-budget";
 import type { Milliseconds, Route, RoutedService } from "@linkfall/types";
 import {
-  type ResponseSink,
   createChangeWaiter,
-  createForwardMetrics,
   createFinalAttempts,
-  createTargetProbe,
+  createForwardMetrics,
   createStreamGapMeter,
+  createTargetProbe,
   createWorkCostMeter,
   type ForwardContext,
   type ForwardedRequest,
   forwardRequest,
   pickTarget,
   type RequestOutcome,
+  type ResponseSink,
 } from "./index.js";
 import { Left } from "purify-ts";
 
@@ -41,6 +41,7 @@
   readonly clock: VirtualClock;
   readonly fleet: Fleet;
   readonly context: ForwardContext;
+  /** Time at which each model is expected to be loaded. */
   readonly loadedAt: Map<string, Milliseconds>;
   route: Route;
   /** Time from which the box accepts no requests because of a planned shutdown. */
--- a/packages/forwarding/src/hold-for-weights.ts
+++ b/packages/forwarding/src/hold-for-weights.ts
@@ -3,11 +3,11 @@
 import { type ForwardContext, timeLeftMs } from "./forward-context.js";
 import { type ForwardedRequest, requestedWeights } from "./forwarded-request.js";
 import {
-  endRequest,
   continueRequest,
-  refuseTimedOut,
+  endRequest,
   refuse,
   refusedStatus,
+  refuseTimedOut,
   type Step,
 } from "./request-step.js";
 
@@ -52,12 +52,12 @@
 export async function waitForWeights(
   context: ForwardContext,
   request: ForwardedRequest,
-  isAdapterMissingOnly: boolean,
+  onlyAdapterMissing: boolean,
 ): Promise<Step> {
   const { forwardLimits } = context;
   const weights = requestedWeights(request);
   // Adapters load quickly on existing replicas; the load time of a further replica does not apply to them.
-  const expectedMs = isAdapterMissingOnly ? undefined : context.expectedWeightsMs(weights);
+  const expectedMs = onlyAdapterMissing ? undefined : context.expectedWeightsMs(weights);
   const maxWaitMs = timeLeftMs(context, request) - forwardLimits.minTimeLeftMs;
   if (expectedMs !== undefined && expectedMs > maxWaitMs) {
     return refuse(request, refusedStatus, "weights will not be there in time", expectedMs);
--- a/packages/forwarding/src/limited-targets.ts
+++ b/packages/forwarding/src/limited-targets.ts
@@ -1,7 +1,7 @@
 /** Requests to rate-limited targets: acquires a permit for each send, or refuses with the time of the next permit. */
 import type { TargetBelief } from "@linkfall/fleet";
 import type { Milliseconds } from "@linkfall/types";
-import { maxQueueMs, expectedReplicaMs } from "./admission.js";
+import { expectedReplicaMs, maxQueueMs } from "./admission.js";
 import { type ForwardContext, timeLeftMs } from "./forward-context.js";
 import type { ForwardedRequest } from "./forwarded-request.js";
 import { canServe } from "./pick.js";
--- a/packages/forwarding/src/pick.ts
+++ b/packages/forwarding/src/pick.ts
@@ -31,7 +31,7 @@
   | {
       readonly kind: "weights_missing";
       /** Some target has the model loaded and lacks only the adapter. */
-      readonly isAdapterMissingOnly: boolean;
+      readonly onlyAdapterMissing: boolean;
     }
   /** All targets that could serve the request are at their connection limit. */
   | { readonly kind: "no_connection" }
@@ -73,7 +73,7 @@
   const key = `${weightsKey(terms)},${shared.map((part) => part.id).join(",")}`;
   const [target] = topNodes(
     key,
-    loaded.map((target) => target.listed.id),
+    loaded.map((candidate) => candidate.listed.id),
     1,
   );
   const tokens = shared.reduce((sum, part) => sum + part.tokens, 0) * affinityHitRate;
@@ -211,7 +211,7 @@
   if (loaded.length === 0) {
     return {
       kind: "weights_missing",
-      isAdapterMissingOnly: usable.some((target) => holdsModel(target, request, now)),
+      onlyAdapterMissing: usable.some((target) => holdsModel(target, request, now)),
     };
   }
   const untried = loaded.filter(
--- a/packages/forwarding/src/send-to-target.ts
+++ b/packages/forwarding/src/send-to-target.ts
@@ -39,7 +39,7 @@
 /** How long a target is avoided after it refused a request for lack of an adapter. */
 const adapterDenialMs: Milliseconds = 100;
 /** How long a target is avoided after a refusal that indicates a load or unload in progress. */
-const orderDenialMs: Milliseconds = 500;
+const loadChangeDenialMs: Milliseconds = 500;
 /** Least urgent priority that engines support. */
 const maxRank = 9;
 /** Lowest status that counts as a failure of the target. */
@@ -101,11 +101,11 @@
       if (result.retryAfterMs !== undefined) fleet.backOff(id, result.retryAfterMs);
       if (request.terms.model === undefined) return;
       // A target with free slots that refuses is about to unload the weights or has not finished loading them.
-      // Adapters are announced before they are fully loaded, so that their refusals expire sooner.
+      // Adapters are announced before they are fully loaded; refusals for lack of one expire sooner.
       if (result.misdirected && request.terms.adapter === undefined) {
         fleet.deny(id, weightsKey(request.terms));
       } else if (result.misdirected) fleet.deny(id, weightsKey(request.terms), adapterDenialMs);
-      else if (!isFull(context, id)) fleet.deny(id, weightsKey(request.terms), orderDenialMs);
+      else if (!isFull(context, id)) fleet.deny(id, weightsKey(request.terms), loadChangeDenialMs);
       return;
     case "gone":
       return;
