--- a/packages/target-load/src/ejection.ts
+++ b/packages/target-load/src/ejection.ts
@@ -21,7 +21,10 @@
   recordSuccess(target: string): void;
   /** Excludes a target for the back-off time that it requested. */
   backOff(target: string, forMs: Milliseconds, now: Milliseconds): void;
-  /** The items whose targets are not excluded; at least a fraction of `1 - maxEjectedShare` is always kept. */
+  /**
+   * Selects the items whose targets are neither backing off nor ejected. Ejections are limited to `maxEjectedShare` of the
+   * accepting targets; back-offs are ignored if no target accepts requests.
+   */
   selectAvailable<T>(
     items: readonly T[],
     targetOf: (item: T) => string,
