--- a/packages/plain-call/src/index.ts
+++ b/packages/plain-call/src/index.ts
@@ -8,8 +8,8 @@
 import { targetLoadName } from "@linkfall/target-load";
 import { targetWatchName } from "@linkfall/target-watch";
 import type { ServiceTarget } from "@linkfall/types";
-import { refusalAfterLoss, refusalWithoutTargets, maxAttempts } from "./judge-loss.js";
-import { discardBody, isNotStarted, forwardResponse } from "./pass-answer.js";
+import { maxAttempts, refusalAfterLoss, refusalWithoutTargets } from "./judge-loss.js";
+import { discardBody, forwardResponse, isNotStarted } from "./pass-answer.js";
 import { endToEndHeaders, type PlainCall } from "./plain-call.js";
 
 export type { PlainCall } from "./plain-call.js";
@@ -133,12 +133,12 @@
       const refusal = guard.refusal(guardedRequest(call));
       if (refusal) return refusalResponse(refusal);
       const abortController = new AbortController();
-      const onCallerGone = () => abortController.abort();
-      call.callerGone.addEventListener("abort", onCallerGone, { once: true });
-      const cancelDeadline = clock.after(call.deadlineAt - clock.now(), onCallerGone);
+      const abort = () => abortController.abort();
+      call.callerGone.addEventListener("abort", abort, { once: true });
+      const cancelDeadline = clock.after(call.deadlineAt - clock.now(), abort);
       const onDone = () => {
         cancelDeadline();
-        call.callerGone.removeEventListener("abort", onCallerGone);
+        call.callerGone.removeEventListener("abort", abort);
       };
       const response = await tryTargets(call, abortController.signal, onDone);
       if (response.body instanceof Uint8Array) onDone();
