--- a/packages/completion/src/attempt.ts
+++ b/packages/completion/src/attempt.ts
@@ -2,7 +2,7 @@
 import { settingsName } from "@linkfall/config";
 import { clockName, type Kernel, withTimeout } from "@linkfall/kernel";
 import { metricsName } from "@linkfall/metrics";
-import { type TargetRequest, targetPortName, type TargetResponse } from "@linkfall/ports";
+import { targetPortName, type TargetRequest, type TargetResponse } from "@linkfall/ports";
 import type { Replica } from "@linkfall/replicas";
 import { targetLoadName } from "@linkfall/target-load";
 import {
--- a/packages/completion/src/completion.ts
+++ b/packages/completion/src/completion.ts
@@ -14,7 +14,7 @@
 import { createAdmission } from "./admission.js";
 import { type AttemptResult, createRunAttempt } from "./attempt.js";
 import type { TokenHandler } from "./engine-stream.js";
-import type { CompletionResult, CompletionJob } from "./job.js";
+import type { CompletionJob, CompletionResult } from "./job.js";
 import { createProgress, type Progress } from "./progress.js";
 import { createRetryBudget } from "./retry-budget.js";
 
