--- a/packages/plain-call/src/index.ts
+++ b/packages/plain-call/src/index.ts
@@ -8,7 +8,7 @@
 import { targetLoadName } from "@linkfall/target-load";
 import { targetWatchName } from "@linkfall/target-watch";
 import type { ServiceTarget } from "@linkfall/types";
-import { maxAttempts, refusalAfterLoss, refusalWithoutTargets } from "./judge-loss.js";
+import { maxAttempts, refusalAfterLoss, refusalWithoutTargets } from "./call-refusals.js";
 import { discardBody, forwardResponse, isNotStarted } from "./pass-answer.js";
 import { endToEndHeaders, type PlainCall } from "./plain-call.js";
 
