--- a/packages/forwarding/src/forward-metrics.ts
+++ b/packages/forwarding/src/forward-metrics.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from "@linkfall/types";
 
 export interface ForwardMetrics {
-  /** Counts a finished send. */
+  /** Counts a finished send by its result. */
   sendEnded(service: string, end: string): void;
   /** Records the time from a send to the first bytes of the response body. */
   firstBytes(afterMs: Milliseconds): void;
--- a/packages/forwarding/src/stream-pace.ts
+++ b/packages/forwarding/src/stream-pace.ts
@@ -29,15 +29,15 @@
   return {
     observe(target, gapMs) {
       const now = clock.now();
-      const known = averages.get(target);
-      const average = known && now - known.updatedAt <= maxAgeMs ? known.gapMs : gapMs;
+      const current = averages.get(target);
+      const average = current && now - current.updatedAt <= maxAgeMs ? current.gapMs : gapMs;
       averages.delete(target);
       averages.set(target, { gapMs: average + smoothing * (gapMs - average), updatedAt: now });
       if (averages.size > maxTargets) averages.delete(averages.keys().next().value ?? "");
     },
     recentGapMs(target) {
-      const known = averages.get(target);
-      return known && clock.now() - known.updatedAt <= maxAgeMs ? known.gapMs : 0;
+      const current = averages.get(target);
+      return current && clock.now() - current.updatedAt <= maxAgeMs ? current.gapMs : 0;
     },
   };
 }
--- a/packages/forwarding/src/work-costs.ts
+++ b/packages/forwarding/src/work-costs.ts
@@ -56,17 +56,17 @@
   const services = new Map<string, CostEstimate>();
   const targets = new Map<string, CostEstimate>();
   const serviceEstimate = (service: string): CostEstimate => {
-    const known = services.get(service) ?? { ...initial };
-    services.set(service, known);
-    return known;
+    const estimate = services.get(service) ?? { ...initial };
+    services.set(service, estimate);
+    return estimate;
   };
   const targetEstimate = (service: string, target: string): CostEstimate => {
-    const known = targets.get(target) ?? { ...serviceEstimate(service) };
+    const estimate = targets.get(target) ?? { ...serviceEstimate(service) };
     // Evicts the least recently updated target, since targets are replaced over time.
     targets.delete(target);
-    targets.set(target, known);
+    targets.set(target, estimate);
     if (targets.size > maxTargets) targets.delete(targets.keys().next().value ?? "");
-    return known;
+    return estimate;
   };
   return {
     costsAt: (service, target) => targets.get(target) ?? serviceEstimate(service),
