--- a/packages/box-peers/src/messages.ts
+++ b/packages/box-peers/src/messages.ts
@@ -1,7 +1,7 @@
 /** What boxes tell each other in their heartbeats. */
 import type { TargetLoad } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
-import type { LeaseWord } from "@linkfall/order-lease";
+import type { ObservedLease } from "@linkfall/order-lease";
 import type {
   BlameWord,
   Holdings,
@@ -50,7 +50,7 @@
   readonly targetsEnd: Offset;
   readonly loads: Readonly<Record<string, TargetLoad>>;
   readonly demand: readonly ModelDemand[];
-  readonly lease?: LeaseWord;
+  readonly lease?: ObservedLease;
   /** Time for which the sender may go on giving orders, where it may. */
   readonly ordersForMs?: Milliseconds;
   readonly followed?: FollowedReport;
--- a/packages/completion/src/admission.ts
+++ b/packages/completion/src/admission.ts
@@ -2,7 +2,7 @@
 import { settingsName } from "@linkfall/config";
 import { clockName, type Kernel, randomName, sleep } from "@linkfall/kernel";
 import { notRun } from "@linkfall/refusals";
-import { type Replica, replicasName } from "@linkfall/replicas";
+import { type Replica, replicaFinderName } from "@linkfall/replicas";
 import { chooseTarget, estimateRunMs } from "@linkfall/routing";
 import { targetLoadName } from "@linkfall/target-load";
 import type { Milliseconds, Refusal } from "@linkfall/types";
@@ -27,7 +27,7 @@
 export function createAdmission(kernel: Kernel): Admission {
   const clock = kernel.find(clockName);
   const random = kernel.find(randomName);
-  const replicas = kernel.find(replicasName);
+  const replicas = kernel.find(replicaFinderName);
   const load = kernel.find(targetLoadName);
   const settings = kernel.find(settingsName).routing;
   /** Smoothed ratio of generated tokens to `maxTokens`, by model. */
@@ -58,7 +58,7 @@
 
   const servingReplicas = (job: CompletionJob, progress: Progress) =>
     replicas
-      .serving(job.model, job.adapter)
+      .findServing(job.model, job.adapter)
       .filter((replica) => !progress.failedTargets.has(replica.target));
 
   /** Waits for a replica only while one is being loaded. */
@@ -68,7 +68,7 @@
   ): Promise<readonly Replica[]> => {
     for (;;) {
       const available = servingReplicas(job, progress);
-      const canWait = replicas.isComing(job.model, job.adapter) && !job.callerGone.aborted;
+      const canWait = replicas.isLoading(job.model, job.adapter) && !job.callerGone.aborted;
       const inTime = clock.now() + replicaPollMs < job.deadlineAt;
       if (available.length > 0 || !canWait || !inTime) return available;
       await sleep(clock, replicaPollMs);
--- a/packages/completion/src/completion.ts
+++ b/packages/completion/src/completion.ts
@@ -44,7 +44,10 @@
   const guardedRequest = ({ fingerprint, account, model }: CompletionJob): GuardedRequest => {
     const facts = { request: fingerprint, service: model.pool, route: completionsRoute, account };
     const engines = () => [...store.desired().engines.values()];
-    return { facts, targets: () => engines().filter(({ pool }) => pool === model.pool).length };
+    return {
+      attributes: facts,
+      countTargets: () => engines().filter(({ pool }) => pool === model.pool).length,
+    };
   };
 
   const recordFailure = (
@@ -88,14 +91,15 @@
       const result = await runAttempt({ job, progress, replica, attempt, signal, onToken });
       if (result.kind === "complete") {
         admission.recordOutputLength(job, progress.nextPosition);
-        guard.served(guardedRequest(job));
+        guard.recordServed(guardedRequest(job));
         return { kind: "answered" };
       }
       recordFailure(progress, replica, result);
       const { target: name, address } = replica;
       // Each further engine that the request crashes also fails all other requests running there.
       const mayRetry =
-        result.kind !== "lost" || (await guard.mayGoOn(guardedRequest(job), { name, address }));
+        result.kind !== "lost" ||
+        (await guard.mayRetryElsewhere(guardedRequest(job), { name, address }));
       if (!mayRetry) return refused(refusalWithoutRetry(job, progress, result.reason));
       const refusal = refusalUnlessRetry(job, progress, result.reason);
       if (refusal) return refused(refusal);
--- a/packages/completion/src/retry-budget.ts
+++ b/packages/completion/src/retry-budget.ts
@@ -22,7 +22,7 @@
     return bucket;
   };
   return {
-    recordRequest: (account) => bucketOf(account).give(retriesPerRequest),
+    recordRequest: (account) => bucketOf(account).add(retriesPerRequest),
     tryTake: (account) => bucketOf(account).take(),
   };
 }
--- a/packages/entry-box/src/box-loads.ts
+++ b/packages/entry-box/src/box-loads.ts
@@ -8,8 +8,8 @@
 
 /** This box's requests by target, without targets that have none. */
 export function ownLoads(fleet: Fleet): Loads {
-  const busy = fleet.all().filter(({ own }) => own.inFlight > 0 || own.promptTokens > 0);
-  return Object.fromEntries(busy.map(({ listed, own }) => [listed.id, own]));
+  const busy = fleet.all().filter(({ ownLoad: own }) => own.inFlight > 0 || own.promptTokens > 0);
+  return Object.fromEntries(busy.map(({ listed, ownLoad: own }) => [listed.id, own]));
 }
 
 /** Requests of several boxes by target. */
--- a/packages/entry-box/src/connected.ts
+++ b/packages/entry-box/src/connected.ts
@@ -27,7 +27,7 @@
 function contactOf({ kernel }: BoxParts): Contact {
   const peers = kernel.find(peersName);
   const lease = kernel.find(orderLeaseName);
-  const holder = lease.known()?.holder;
+  const holder = lease.observedLease()?.holder;
   return {
     heard: peers.statuses().length,
     holderHeardMs: holder === undefined ? undefined : peers.heardMs(holder),
--- a/packages/entry-box/src/create-entry-box.ts
+++ b/packages/entry-box/src/create-entry-box.ts
@@ -80,7 +80,7 @@
     maxHeaderBytes: settings.callers.max_header_bytes,
     now: ports.clock.now,
     onConnection: createAcceptWatch({ ...ports, metrics }).accepted,
-    limits: () => feed.inForce()?.configuration.limits,
+    limits: () => feed.activeConfiguration()?.configuration.limits,
     closing: stop.begun,
     handle(request) {
       parts.activity.note();
@@ -103,7 +103,7 @@
   const startedAt = clock.now();
   const check = () => {
     if (!feed.ready()) return void clock.after(readyCheckMs, check);
-    const version = feed.inForce()?.configuration.version;
+    const version = feed.activeConfiguration()?.configuration.version;
     logger.event("boxReady", { afterMs: Math.round(clock.now() - startedAt), version });
     kernel.find(peersName).send();
   };
@@ -160,7 +160,7 @@
       lifetimeMs: settings.callers.entries_lifetime_ms,
     }),
     metricsText: kernel.find(metricsName).expose,
-    heldRequests: blame.held,
+    heldRequests: blame.heldRequests,
     limitedTargets: kernel.find(targetLimitsName).limited,
     releaseRequest: blame.release,
   };
--- a/packages/entry-box/src/forward-context.ts
+++ b/packages/entry-box/src/forward-context.ts
@@ -17,7 +17,7 @@
 import { isListening } from "@linkfall/raw-exchange";
 import { createRetryBudget } from "@linkfall/retry-budget";
 import type { Milliseconds } from "@linkfall/types";
-import { orderGiverName } from "@linkfall/weight-orders";
+import { orderDispatcherName } from "@linkfall/weight-orders";
 import type { BoxParts } from "./box-parts.js";
 import type { HeartbeatReceiver } from "./heartbeat-receiver.js";
 import { targetLimitsName } from "./provide-limits.js";
@@ -36,8 +36,8 @@
   const announce = () => {
     announcing = false;
     const lease = kernel.find(orderLeaseName);
-    if (lease.epoch() !== undefined) return kernel.find(orderGiverName).hurry();
-    const holder = lease.known()?.holder;
+    if (lease.epoch() !== undefined) return kernel.find(orderDispatcherName).triggerCycle();
+    const holder = lease.observedLease()?.holder;
     kernel.find(peersName).send((member) => member.status?.incarnation === holder);
   };
   return () => {
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -1,6 +1,6 @@
 /** From a request as it was read to its way through the box. */
 import type { AccountQuota } from "@linkfall/account-quota";
-import type { ConfigurationInForce, DesiredFeed } from "@linkfall/desired-feed";
+import type { ActiveConfiguration, DesiredFeed } from "@linkfall/desired-feed";
 import {
   type ForwardContext,
   type ForwardedRequest,
@@ -43,7 +43,7 @@
   terms: RequestTerms,
   route: Route,
   account: ClientAccount | undefined,
-  { configuration }: ConfigurationInForce,
+  { configuration }: ActiveConfiguration,
 ): ForwardedRequest | undefined {
   const service = configuration.services.get(selectShare(route, terms.id).service);
   if (!service) return undefined;
@@ -102,7 +102,7 @@
     gapMs: request.maxStreamGapMs > 0 ? Math.round(request.maxStreamGapMs) : undefined,
     ms: tookMs,
     leftMs: Math.round(request.deadlineAt - clock.now()),
-    configuration: context.feed.inForce()?.configuration.version,
+    configuration: context.feed.activeConfiguration()?.configuration.version,
   });
 }
 
@@ -117,7 +117,7 @@
   };
   const unreadable = codec.unreadable(request.headers);
   if (unreadable !== undefined) return refused(400, unreadable);
-  const inForce = feed.inForce();
+  const inForce = feed.activeConfiguration();
   if (!inForce || !context.ready()) return refused(503, "no configuration yet", notReadyMs);
   const route = inForce.routes.find(request.host, request.path);
   if (!route) return refused(404, `no route in version ${inForce.configuration.version}`);
--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -10,17 +10,17 @@
 import { desiredFeedName } from "@linkfall/desired-feed";
 import { fleetName } from "@linkfall/fleet";
 import type { ChangeWaiter } from "@linkfall/forwarding";
-import type { Wanted } from "@linkfall/model-demand";
+import type { RequestedWeights } from "@linkfall/model-demand";
 import { orderLeaseName } from "@linkfall/order-lease";
 import type { Milliseconds } from "@linkfall/types";
-import { orderGiverName } from "@linkfall/weight-orders";
+import { orderDispatcherName } from "@linkfall/weight-orders";
 import type { BoxParts } from "./box-parts.js";
 import { targetLimitsName } from "./provide-limits.js";
 import { hasWaiting, sumLoads } from "./box-loads.js";
 
 export interface HeartbeatReceiver {
   /** Time until weights are expected to be there, as the order giver told. */
-  expectedWeightsMs(wanted: Wanted): Milliseconds | undefined;
+  expectedWeightsMs(wanted: RequestedWeights): Milliseconds | undefined;
 }
 
 /** What was taken of the order giver's reports. */
@@ -39,7 +39,7 @@
 function trustsHolder({ kernel, settings }: BoxParts): boolean {
   const lease = kernel.find(orderLeaseName);
   if (lease.epoch() !== undefined) return true;
-  const holder = lease.known()?.holder;
+  const holder = lease.observedLease()?.holder;
   const heardMs = holder === undefined ? undefined : kernel.find(peersName).heardMs(holder);
   return heardMs !== undefined && heardMs < settings.peers.suspect_ms;
 }
@@ -49,10 +49,10 @@
   let asking = false;
   return async ({ configurationVersion, peerAddress }) => {
     const feed = kernel.find(desiredFeedName);
-    const version = feed.inForce()?.configuration.version ?? -1;
+    const version = feed.activeConfiguration()?.configuration.version ?? -1;
     if (asking || configurationVersion <= version) return;
     asking = true;
-    (await peerClient.configuration(peerAddress)).ifRight(feed.takeConfiguration);
+    (await peerClient.configuration(peerAddress)).ifRight(feed.applyConfigurationCopy);
     asking = false;
   };
 }
@@ -65,21 +65,21 @@
     if (now - summedAt < sumEveryMs) return;
     summedAt = now;
     const statuses = kernel.find(peersName).statuses();
-    kernel.find(fleetName).takeOthers(sumLoads(statuses.map((status) => status.loads)));
+    kernel.find(fleetName).setOtherBoxesLoads(sumLoads(statuses.map((status) => status.loads)));
   };
 }
 
 /** Takes targets that another box has read, unless this one reads them itself. */
 function takeTargets({ kernel }: BoxParts, { targets }: Heartbeat): void {
   const feed = kernel.find(desiredFeedName);
-  if (targets && !(feed.reading() && feed.reachesStore())) feed.takeTargets(targets);
+  if (targets && !(feed.readsStore() && feed.reachesStore())) feed.applyTargetChanges(targets);
 }
 
 function takeReport({ kernel, ports }: BoxParts, knowledge: HolderKnowledge, report: HolderReport) {
   const fleet = kernel.find(fleetName);
-  fleet.withhold(new Map(Object.entries(report.withheld)));
-  for (const { id, holdings } of report.engines) fleet.takeHoldings(id, holdings);
-  if (report.othersLoads) fleet.takeOthers(new Map(Object.entries(report.othersLoads)));
+  fleet.setWithheldModels(new Map(Object.entries(report.withheld)));
+  for (const { id, holdings } of report.engines) fleet.applyRelayedHoldings(id, holdings);
+  if (report.othersLoads) fleet.setOtherBoxesLoads(new Map(Object.entries(report.othersLoads)));
   knowledge.followed = report.followed;
   knowledge.hearsMost = report.hearsMost;
   const now = ports.clock.now();
@@ -96,33 +96,33 @@
   const { kernel, ports } = parts;
   const peers = kernel.find(peersName);
   const lease = kernel.find(orderLeaseName);
-  const giver = kernel.find(orderGiverName);
+  const giver = kernel.find(orderDispatcherName);
   const blame = kernel.find(crashBlameName);
   const targetLimits = kernel.find(targetLimitsName);
   const catchUp = createCatchUp(parts);
   const sumHeardLoads = createLoadSummer(parts);
-  kernel.find(fleetName).trustOwnWord(() => trustsHolder(parts));
+  kernel.find(fleetName).preferDirectReportsWhile(() => trustsHolder(parts));
 
   peers.onHeartbeat((heartbeat) => {
     const { status, report } = heartbeat;
-    if (status.lease) lease.hear(status.lease);
+    if (status.lease) lease.observe(status.lease);
     const givesOrders = lease.epoch() !== undefined;
     if (peers.mesh() || givesOrders) sumHeardLoads();
     takeTargets(parts, heartbeat);
-    if (heartbeat.blame) blame.take(status.incarnation, heartbeat.blame);
-    if (heartbeat.limits) targetLimits.take(status.incarnation, heartbeat.limits);
+    if (heartbeat.blame) blame.applyChanges(status.incarnation, heartbeat.blame);
+    if (heartbeat.limits) targetLimits.applyChanges(status.incarnation, heartbeat.limits);
     void catchUp(status);
-    if (report && lease.known()?.holder === status.incarnation) {
+    if (report && lease.observedLease()?.holder === status.incarnation) {
       takeReport(parts, knowledge, report);
       waiter.wakeAll();
     }
-    if (givesOrders && hasWaiting(status)) giver.hurry();
+    if (givesOrders && hasWaiting(status)) giver.triggerCycle();
   });
 
   return {
     expectedWeightsMs({ service, model }) {
       const key = `${service} ${model}`;
-      if (lease.epoch() !== undefined) return giver.expected()[key];
+      if (lease.epoch() !== undefined) return giver.timesToReady()[key];
       const at = knowledge.expectedAt.get(key);
       return at === undefined ? undefined : Math.max(0, at - ports.clock.now());
     },
--- a/packages/entry-box/src/heartbeat-source.ts
+++ b/packages/entry-box/src/heartbeat-source.ts
@@ -22,19 +22,20 @@
 function targetsFor({ kernel }: BoxParts, reader: BoxStatus): TargetChanges | undefined {
   const feed = kernel.find(desiredFeedName);
   if (reader.reading && reader.reachesStore) return undefined;
-  if (!feed.ready() || !feed.reading() || reader.targetsEnd >= feed.targetsEnd()) return undefined;
-  return feed.targetsSince(reader.targetsEnd);
+  if (!feed.ready() || !feed.readsStore() || reader.targetsEnd >= feed.targetsEnd())
+    return undefined;
+  return feed.targetChangesSince(reader.targetsEnd);
 }
 
 /** What this box knows of requests that end targets and the reader does not. */
 function blameFor({ kernel }: BoxParts, reader?: BoxStatus): BlameWord | undefined {
-  const word = kernel.find(crashBlameName).tell(reader?.blameFollowed ?? 0);
+  const word = kernel.find(crashBlameName).changesSince(reader?.blameFollowed ?? 0);
   return word.records.length > 0 ? word : undefined;
 }
 
 /** What this box knows of targets' limits and the reader does not. */
 function limitsFor({ kernel }: BoxParts, reader?: BoxStatus): TargetLimitWord | undefined {
-  const word = kernel.find(targetLimitsName).tell(reader?.limitsFollowed ?? 0);
+  const word = kernel.find(targetLimitsName).changesSince(reader?.limitsFollowed ?? 0);
   return word.records.length > 0 ? word : undefined;
 }
 
@@ -50,7 +51,7 @@
   const status = (reader?: BoxStatus): BoxStatus => {
     const feed = kernel.find(desiredFeedName);
     const lease = kernel.find(orderLeaseName);
-    const known = lease.known();
+    const known = lease.observedLease();
     // Demand and load are most of a status, and of use only to boxes that give orders or hear all.
     const toHolder = reader !== undefined && reader.incarnation === known?.holder;
     const toAll = kernel.find(peersName).mesh();
@@ -59,22 +60,22 @@
       ...ownProfile(parts),
       beat,
       reachesStore: feed.reachesStore(),
-      configurationVersion: feed.inForce()?.configuration.version ?? -1,
+      configurationVersion: feed.activeConfiguration()?.configuration.version ?? -1,
       targetsEnd: feed.targetsEnd(),
       loads: toAll || toHolder ? ownLoads(kernel.find(fleetName)) : {},
       demand: toHolder ? recentDemand(demand.read()) : [],
       lease: known,
-      ordersForMs: lease.ordersForMs(),
+      ordersForMs: lease.remainingLeaseMs(),
       followed: followed(),
-      limitsFollowed: reader && kernel.find(targetLimitsName).followed(reader.incarnation),
-      blameFollowed: reader && kernel.find(crashBlameName).followed(reader.incarnation),
+      limitsFollowed: reader && kernel.find(targetLimitsName).appliedSequence(reader.incarnation),
+      blameFollowed: reader && kernel.find(crashBlameName).appliedSequence(reader.incarnation),
     };
   };
 
   return {
     resting: () =>
       !parts.activity.takesRequests() && kernel.find(orderLeaseName).epoch() === undefined,
-    holder: () => kernel.find(orderLeaseName).known()?.holder,
+    holder: () => kernel.find(orderLeaseName).observedLease()?.holder,
     message(reader, sightings): Heartbeat {
       const gives = kernel.find(orderLeaseName).epoch() !== undefined;
       return {
--- a/packages/entry-box/src/holder-report.ts
+++ b/packages/entry-box/src/holder-report.ts
@@ -10,7 +10,7 @@
 } from "@linkfall/box-peers";
 import { fleetName, type TargetLoad } from "@linkfall/fleet";
 import type { Milliseconds } from "@linkfall/types";
-import { orderGiverName } from "@linkfall/weight-orders";
+import { orderDispatcherName } from "@linkfall/weight-orders";
 import { type Loads, ownLoads, sumLoads, withoutPart } from "./box-loads.js";
 import type { BoxParts } from "./box-parts.js";
 import { hearsMost } from "./connected.js";
@@ -75,7 +75,7 @@
   };
 
   return (reader) => {
-    const giver = kernel.find(orderGiverName);
+    const giver = kernel.find(orderDispatcherName);
     const followed = reader?.followed;
     const known = followed?.holder === incarnation ? followed : undefined;
     refreshEngines();
@@ -85,8 +85,8 @@
       ...boxes,
       followed: { holder: incarnation, engines: engines.newest(), members: members.newest() },
       hearsMost: hearsMost(kernel.find(peersName)),
-      withheld: Object.fromEntries(giver.withheld()),
-      expected: giver.expected(),
+      withheld: Object.fromEntries(giver.pendingEvictions()),
+      expected: giver.timesToReady(),
     };
   };
 }
--- a/packages/entry-box/src/identify.ts
+++ b/packages/entry-box/src/identify.ts
@@ -1,5 +1,5 @@
 /** Whose request it is, by the key that came with it. */
-import { fingerprint, type KeyTable } from "@linkfall/account-keys";
+import { keyFingerprint, type KeyTable } from "@linkfall/account-keys";
 import type { ClientAccount, Route } from "@linkfall/types";
 
 export type Caller =
@@ -24,5 +24,5 @@
   }
   const account = keys.find(key);
   if (account) return { kind: "known", account };
-  return { kind: "unknown", why: "a key that no account holds", fingerprint: fingerprint(key) };
+  return { kind: "unknown", why: "a key that no account holds", fingerprint: keyFingerprint(key) };
 }
--- a/packages/entry-box/src/own-profile.ts
+++ b/packages/entry-box/src/own-profile.ts
@@ -23,6 +23,6 @@
     leaving: stop.begun(),
     strained: activity.strained(),
     takesRequests: activity.takesRequests(),
-    reading: feed.reading(),
+    reading: feed.readsStore(),
   };
 }
--- a/packages/entry-box/src/provide-blame.ts
+++ b/packages/entry-box/src/provide-blame.ts
@@ -3,8 +3,8 @@
   type CrashBlame,
   crashBlameName,
   createCrashBlame,
-  createHeldStore,
-  type HeldStore,
+  createHeldRequestStore,
+  type HeldRequestStore,
   reportDecisions,
 } from "@linkfall/crash-blame";
 import { serviceName } from "@linkfall/kernel";
@@ -12,15 +12,15 @@
 import type { BoxParts } from "./box-parts.js";
 import { createTeller } from "./tell-others.js";
 
-export const heldStoreName = serviceName<HeldStore>("held-store");
+export const heldStoreName = serviceName<HeldRequestStore>("held-store");
 
 export function provideBlame(parts: BoxParts): CrashBlame {
   const { kernel, ports } = parts;
   const { clock, logger, heldStream } = ports;
   const blame = kernel.provide(crashBlameName, createCrashBlame(clock));
-  blame.onNews(createTeller(parts));
+  blame.onChange(createTeller(parts));
   reportDecisions(blame, { logger, metrics: kernel.find(metricsName) });
-  const store = createHeldStore(blame, heldStream, { clock, logger });
+  const store = createHeldRequestStore(blame, heldStream, { clock, logger });
   kernel.provide(heldStoreName, store, store);
   return blame;
 }
--- a/packages/entry-box/src/provide-limits.ts
+++ b/packages/entry-box/src/provide-limits.ts
@@ -27,15 +27,15 @@
     {
       self: settings.box.peer_address,
       allocators: (target) => allocatorsFor(parts, target),
-      ask: (address, ask) => peerClient.permit(address, ask),
+      sendRequest: (address, ask) => peerClient.permit(address, ask),
       connected: createConnectionCheck(parts, knowledge),
-      ownPart: () => limitParts().own,
-      silentPart: () => limitParts().silent,
-      boxes: () => boxesWithCallers(parts),
+      ownShare: () => limitParts().own,
+      silentShare: () => limitParts().silent,
+      boxCount: () => boxesWithCallers(parts),
     },
     (target) => fleet.find(target)?.born,
   );
-  fleet.onLifeEnded(limits.forget);
+  fleet.onIncarnationEnded(limits.forget);
   const tell = createTeller(parts);
   limits.onChange((change) => {
     logChange(parts, change);
--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -10,7 +10,11 @@
   orderLeaseName,
 } from "@linkfall/order-lease";
 import { boxOf } from "@linkfall/types";
-import { createOrderGiver, type OrderGiver, orderGiverName } from "@linkfall/weight-orders";
+import {
+  createOrderDispatcher,
+  type OrderDispatcher,
+  orderDispatcherName,
+} from "@linkfall/weight-orders";
 import { hasWaiting } from "./box-loads.js";
 import type { BoxParts } from "./box-parts.js";
 import { targetLimitsName } from "./provide-limits.js";
@@ -22,16 +26,17 @@
   const { kernel, settings, incarnation } = parts;
   const feed = kernel.find(desiredFeedName);
   return {
-    heardMs: peers.heardMs,
-    ownEarlierLife: (holder) => holder !== incarnation && boxOf(holder) === settings.box.name,
-    ordersForMs: (holder) => peers.find(holder)?.ordersForMs ?? 0,
-    claimed: () => peers.send(() => true),
-    leaving: (holder) => peers.find(holder)?.leaving ?? false,
+    sinceLastMessageMs: peers.heardMs,
+    isOwnEarlierIncarnation: (holder) =>
+      holder !== incarnation && boxOf(holder) === settings.box.name,
+    remainingLeaseMs: (holder) => peers.find(holder)?.ordersForMs ?? 0,
+    announceClaim: () => peers.send(() => true),
+    isLeaving: (holder) => peers.find(holder)?.leaving ?? false,
     rank() {
       const serving = peers.alive().filter((box) => box.ready);
       return rankBoxes([ownProfile(parts), ...serving]).indexOf(settings.box.name);
     },
-    allWithoutStore() {
+    isStoreDownForAll() {
       const heard = peers.statuses();
       if (feed.reachesStore() || heard.length * 2 < peers.most()) return false;
       return heard.every((status) => !status.reachesStore);
@@ -45,42 +50,42 @@
   const lease = createOrderLease(kernel, incarnation, ports.leaseStream, peers, {
     enginesFence: settings.lease.engines_fence,
     leaseMs: settings.lease.lease_ms,
-    silentMs: settings.lease.silent_ms,
+    holderTimeoutMs: settings.lease.silent_ms,
     rankStepMs: settings.lease.rank_step_ms,
     checkMs: settings.lease.check_ms,
   });
   return kernel.provide(orderLeaseName, lease, lease);
 }
 
-export function provideGiver({ kernel, settings, ports, demand }: BoxParts): OrderGiver {
+export function provideGiver({ kernel, settings, ports, demand }: BoxParts): OrderDispatcher {
   const { placement } = settings;
   const fleet = kernel.find(fleetName);
   const feed = kernel.find(desiredFeedName);
   const peers = kernel.find(peersName);
   const targetLimits = kernel.find(targetLimitsName);
-  const giver: OrderGiver = createOrderGiver(kernel, {
+  const giver: OrderDispatcher = createOrderDispatcher(kernel, {
     self: settings.box.name,
     fleet,
     engines: ports.engines,
     lease: kernel.find(orderLeaseName),
-    configuration: () => feed.inForce()?.configuration,
+    configuration: () => feed.activeConfiguration()?.configuration,
     demand: () => sumDemand([demand.read(), ...peers.statuses().map((status) => status.demand)]),
-    takesPerSecond: targetLimits.limitOf,
-    noteLimit: (target, notice) =>
-      targetLimits.hear({ target, notice, sentMsAgo: 0, served: false }),
-    announce() {
-      fleet.withhold(giver.withheld());
+    maxRequestsPerSecond: targetLimits.limitOf,
+    onLimitReported: (target, notice) =>
+      targetLimits.recordAnswer({ target, notice, sentMsAgo: 0, served: false }),
+    notifyPeers() {
+      fleet.setWithheldModels(giver.pendingEvictions());
       // In a large deployment all others hear of it in their next round.
       if (peers.mesh()) peers.send();
       else peers.send((member) => hasWaiting(member.status));
     },
     rules: {
-      plan: { loadOfReplica: placement.load_of_replica, horizonMs: placement.horizon_ms },
-      stateMs: placement.state_ms,
-      busyStateMs: placement.busy_state_ms,
-      resendMs: placement.resend_ms,
-      giveUpMs: placement.give_up_ms,
+      plan: { targetReplicaLoad: placement.load_of_replica, horizonMs: placement.horizon_ms },
+      pollIntervalMs: placement.state_ms,
+      activePollIntervalMs: placement.busy_state_ms,
+      resendAfterMs: placement.resend_ms,
+      moveTimeoutMs: placement.give_up_ms,
     },
   });
-  return kernel.provide(orderGiverName, giver, giver);
+  return kernel.provide(orderDispatcherName, giver, giver);
 }
--- a/packages/entry-box/src/provide-quota.ts
+++ b/packages/entry-box/src/provide-quota.ts
@@ -22,14 +22,14 @@
     {
       self: box.peer_address,
       allocators: (account) => allocatorsFor(parts, account),
-      ask: (address, ask) => peerClient.quota(address, ask),
+      sendRequest: (address, ask) => peerClient.quota(address, ask),
       connected: createConnectionCheck(parts, knowledge),
-      onAlone: (account, granted, part) =>
+      onIsolatedDecision: (account, granted, part) =>
         ports.logger.event("quotaAlone", { account, granted, part: rounded(part) }),
-      onShort: (allotted) =>
+      onExhausted: (allotted) =>
         ports.logger.event("quotaShort", { ...allotted, part: rounded(allotted.part) }),
-      ownPart: () => limitParts().own,
-      silentPart: () => limitParts().silent,
+      ownShare: () => limitParts().own,
+      silentShare: () => limitParts().silent,
     },
     {
       windowSeconds: accounts.window_s,
--- a/packages/entry-box/src/store-readers.ts
+++ b/packages/entry-box/src/store-readers.ts
@@ -16,7 +16,7 @@
   const decide = (): boolean => {
     const peers = kernel.find(peersName);
     if (peers.mesh()) return true;
-    if (kernel.find(orderLeaseName).known()?.holder === incarnation) return true;
+    if (kernel.find(orderLeaseName).observedLease()?.holder === incarnation) return true;
     const readers = peers.statuses().filter((status) => status.reading);
     if (readers.length === 0) return true;
     // A reader that the store refuses is no use to the others: the next one takes its place.
@@ -28,14 +28,14 @@
   };
 
   return {
-    reads() {
+    readsStore() {
       const now = ports.clock.now();
       if (now - decidedAt < decideMs) return reads;
       decidedAt = now;
       reads = decide();
       return reads;
     },
-    anyReachesStore: () =>
+    anyReaderReachesStore: () =>
       kernel
         .find(peersName)
         .statuses()
--- a/packages/forwarding/src/crash-check.ts
+++ b/packages/forwarding/src/crash-check.ts
@@ -1,11 +1,11 @@
 /** Detects requests that crash the targets running them, and refuses them when they are sent again. */
-import { type RequestFacts, settleMs, type Verdict } from "@linkfall/crash-blame";
-import type { TargetBelief } from "@linkfall/fleet";
+import { type RequestAttributes, settlingMs, type Verdict } from "@linkfall/crash-blame";
+import type { TargetView } from "@linkfall/fleet";
 import type { ForwardContext } from "./forward-context.js";
 import type { ForwardedRequest } from "./forwarded-request.js";
 import { refuse, refusedStatus, type Step } from "./request-step.js";
 
-function requestFacts(request: ForwardedRequest): RequestFacts {
+function requestFacts(request: ForwardedRequest): RequestAttributes {
   const { service, route, account } = request;
   return { request: request.fingerprint(), service: service.name, route: route.name, account };
 }
@@ -13,7 +13,7 @@
 function assessRequest({ blame, fleet }: ForwardContext, request: ForwardedRequest): Verdict {
   const { name } = request.service;
   const targets = fleet.all().filter(({ listed }) => listed.service === name).length;
-  return blame.judge(requestFacts(request), targets);
+  return blame.classify(requestFacts(request), targets);
 }
 
 /**
@@ -23,7 +23,7 @@
 export async function mayRetryAfterLoss(
   context: ForwardContext,
   request: ForwardedRequest,
-  { listed }: TargetBelief,
+  { listed }: TargetView,
 ): Promise<boolean> {
   const listening = await context.targetProbe.isListening(listed.address);
   context.logger.event("sendLost", {
@@ -33,14 +33,14 @@
     listening,
   });
   if (listening !== "refuses") return true;
-  context.blame.targetEnded(listed.id, requestFacts(request));
+  context.blame.recordCrash(listed.id, requestFacts(request));
   const verdict = assessRequest(context, request);
   return verdict === "clear" || verdict === "suspect";
 }
 
 /** Records that a target served the request without crashing. */
 export function recordServed({ blame }: ForwardContext, request: ForwardedRequest): void {
-  if (!blame.quiet()) blame.served(request.fingerprint());
+  if (!blame.isEmpty()) blame.recordServed(request.fingerprint());
 }
 
 /** Refuses a request that is known to crash targets; returns undefined if it may proceed. */
@@ -48,13 +48,13 @@
   context: ForwardContext,
   request: ForwardedRequest,
 ): Step | undefined {
-  if (context.blame.quiet()) return undefined;
+  if (context.blame.isEmpty()) return undefined;
   switch (assessRequest(context, request)) {
     case "guilty":
       // No Retry-After: the request would crash a target again at any time.
       return refuse(request, refusedStatus, "held back: targets ended while they ran this request");
     case "unsettled":
-      return refuse(request, refusedStatus, "targets ended under this request", settleMs);
+      return refuse(request, refusedStatus, "targets ended under this request", settlingMs);
     case "last_try":
       request.isFinalAttempt = true;
       return undefined;
--- a/packages/forwarding/src/forward-context.ts
+++ b/packages/forwarding/src/forward-context.ts
@@ -1,7 +1,7 @@
 /** Services and limits shared by all steps of forwarding a request. */
 import type { CrashBlame } from "@linkfall/crash-blame";
 import type { Random } from "@linkfall/kernel";
-import type { DemandMeter, Wanted } from "@linkfall/model-demand";
+import type { ModelDemandMeter, RequestedWeights } from "@linkfall/model-demand";
 import type { RetryBudget } from "@linkfall/retry-budget";
 import type { Milliseconds, Route } from "@linkfall/types";
 import type { ForwardedRequest } from "./forwarded-request.js";
@@ -29,7 +29,7 @@
 }
 
 export interface ForwardContext extends SendContext {
-  readonly demand: DemandMeter;
+  readonly demand: ModelDemandMeter;
   readonly random: Random;
   readonly retryBudget: RetryBudget;
   readonly blame: CrashBlame;
@@ -46,7 +46,7 @@
   /** Number of boxes that share the retry budget. */
   boxCount(): number;
   /** Time until the weights are expected to be loaded; undefined if no load is known. */
-  expectedWeightsMs(wanted: Wanted): Milliseconds | undefined;
+  expectedWeightsMs(wanted: RequestedWeights): Milliseconds | undefined;
 }
 
 /** Time left until the response has to start, or until the deadline once it has started. */
--- a/packages/forwarding/src/forward.ts
+++ b/packages/forwarding/src/forward.ts
@@ -1,5 +1,5 @@
 /** Forwards one request: picks a target or waits for weights, sends, and retries while that may help. */
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import { sleep } from "@linkfall/kernel";
 import type { RequestDemand } from "@linkfall/model-demand";
 import type { Milliseconds } from "@linkfall/types";
@@ -57,7 +57,7 @@
 async function handleLoss(
   context: ForwardContext,
   request: ForwardedRequest,
-  target: TargetBelief,
+  target: TargetView,
   reason: string,
 ): Promise<Step> {
   request.possibleRuns += 1;
@@ -90,7 +90,7 @@
 async function handleResult(
   context: ForwardContext,
   request: ForwardedRequest,
-  target: TargetBelief,
+  target: TargetView,
   result: AttemptResult,
 ): Promise<Step> {
   switch (result.kind) {
@@ -148,8 +148,8 @@
     request: request.terms.id,
     target: target.listed.id,
     expectedMs: Math.round(choice.expectedStartMs),
-    own: target.own.inFlight,
-    ofOthers: target.others.inFlight,
+    own: target.ownLoad.inFlight,
+    ofOthers: target.otherBoxesLoad.inFlight,
     alternatives,
     send: request.sends + 1,
   });
@@ -224,7 +224,7 @@
   { route, service, terms }: ForwardedRequest,
 ): RequestDemand {
   const { perTokenMs } = workCosts.costsAt(service.name, "");
-  return { objectiveMs: route.objectiveMs, readingMs: estimateUncachedTokens(terms) * perTokenMs };
+  return { objectiveMs: route.objectiveMs, prefillMs: estimateUncachedTokens(terms) * perTokenMs };
 }
 
 /** Forwards a request; resolves once the caller has its final response. */
@@ -238,7 +238,7 @@
   if (refusal?.kind === "end") return refusal.outcome;
   const needsWeights = terms.model !== undefined && service.engine !== undefined;
   const endDemand = needsWeights
-    ? context.demand.begins(requestedWeights(request), requestDemand(context, request))
+    ? context.demand.recordRequest(requestedWeights(request), requestDemand(context, request))
     : () => undefined;
   let step = await runStep(context, request);
   while (step.kind === "continue") step = await runStep(context, request);
--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -1,5 +1,5 @@
 /** State of one request while a box forwards it. */
-import type { Wanted } from "@linkfall/model-demand";
+import type { RequestedWeights } from "@linkfall/model-demand";
 import type { RawHeaders } from "@linkfall/ports";
 import type { Milliseconds, RequestTerms, Route, RoutedService } from "@linkfall/types";
 import type { ResponseSink } from "./answer-sink.js";
@@ -59,7 +59,7 @@
     };
 
 /** The service, model and adapter that a request needs, as keyed by the demand meter. */
-export function requestedWeights(request: ForwardedRequest): Wanted {
+export function requestedWeights(request: ForwardedRequest): RequestedWeights {
   const { model = "", adapter } = request.terms;
   return { service: request.service.name, model, adapter };
 }
--- a/packages/forwarding/src/forwarding.steps.ts
+++ b/packages/forwarding/src/forwarding.steps.ts
@@ -12,7 +12,7 @@
 import { loggerName, recordingLogger } from "@linkfall/logger";
 import { createTargetLimits, type PermitPeers } from "@linkfall/target-limits";
 import { createMetrics } from "@linkfall/metrics";
-import { createDemandMeter } from "@linkfall/model-demand";
+import { createModelDemandMeter } from "@linkfall/model-demand";
 import type { RawHeaders, RequestCodec } from "@linkfall/ports";
 import { createRetryBudget } from "@linkfall/retry-budget";
 import type { Milliseconds, Route, RoutedService } from "@linkfall/types";
@@ -71,11 +71,12 @@
 const oneBox: PermitPeers = {
   self: "b1",
   allocators: () => ["b1"],
-  ask: async () => Left({ kind: "peer_unreachable", reason: "no peers", mayHaveArrived: false }),
+  sendRequest: async () =>
+    Left({ kind: "peer_unreachable", reason: "no peers", mayHaveArrived: false }),
   connected: () => true,
-  ownPart: () => 1,
-  silentPart: () => 0,
-  boxes: () => 1,
+  ownShare: () => 1,
+  silentShare: () => 0,
+  boxCount: () => 1,
 };
 /** An address without a listener, where a send fails at once. */
 const address = "127.0.0.1:1";
@@ -105,8 +106,8 @@
   kernel.provide(clockName, clock);
   kernel.provide(loggerName, logger);
   const fleet = createFleet(kernel, {
-    lapse: { graceMs: 1_600, share: 0.3 },
-    ejection: { failuresInARow: 3, firstMs: 1_000, longestMs: 8_000 },
+    lapse: { graceMs: 1_600, minShare: 0.3 },
+    ejection: { consecutiveFailures: 3, initialMs: 1_000, maxMs: 8_000 },
   });
   const waiter = createChangeWaiter(clock);
   fleet.onChange(waiter.wakeAll);
@@ -121,7 +122,7 @@
     targetLimits: createTargetLimits(clock, oneBox, (id) => fleet.find(id)?.born),
     codec,
     fleet,
-    demand: createDemandMeter(clock),
+    demand: createModelDemandMeter(clock),
     changeWaiter: waiter,
     domain: "d1",
     announceDemand: () => undefined,
@@ -171,7 +172,7 @@
   const stopsAt = () => worlds.get(this)?.stopsAt ?? Infinity;
   const { fleet, context } = contextOf(clock, loadedAt, stopsAt);
   const models = [{ name: model, version: 1, adapters: [] }];
-  fleet.takeList([
+  fleet.applyList([
     { id: "e1", service: "engines", address, domain: "d1", slots: 8, leaving: false, models },
   ]);
   const route = { name: "none" } as Route;
@@ -285,7 +286,7 @@
     const { clock, fleet } = stateOf(this);
     await clock.runUntil(ms);
     const models = [{ name, version: 1, adapters: [adapter] }];
-    fleet.takeHoldings("e1", { sequence: 1, models });
+    fleet.applyRelayedHoldings("e1", { sequence: 1, models });
     await clock.runUntil(ms + settleMs);
   },
 );
@@ -296,7 +297,7 @@
     const { clock, fleet } = stateOf(this);
     await clock.runUntil(ms);
     const models = [{ name: model, version: 1, adapters: [] }];
-    fleet.takeHoldings("e1", { sequence: 1, models });
+    fleet.applyRelayedHoldings("e1", { sequence: 1, models });
     await clock.runUntil(ms + settleMs);
   },
 );
@@ -315,7 +316,7 @@
   "the engine accepts {int} connections and other boxes use {int} of them",
   function (this: object, maxConnections: number, inFlight: number) {
     assert.equal(service.maxConnections, maxConnections);
-    stateOf(this).fleet.takeOthers(new Map([["e1", { inFlight, promptTokens: 0 }]]));
+    stateOf(this).fleet.setOtherBoxesLoads(new Map([["e1", { inFlight, promptTokens: 0 }]]));
   },
 );
 
@@ -324,7 +325,7 @@
 
 Given("the engine has prompts for {int} ms of prefill queued", function (this: object, ms: number) {
   const { fleet } = stateOf(this);
-  fleet.takeOthers(new Map([["e1", { inFlight: 4, promptTokens: ms * tokensPerMs }]]));
+  fleet.setOtherBoxesLoads(new Map([["e1", { inFlight: 4, promptTokens: ms * tokensPerMs }]]));
   stateOf(this).queueMs = ms;
 });
 
--- a/packages/forwarding/src/hold-for-weights.ts
+++ b/packages/forwarding/src/hold-for-weights.ts
@@ -72,7 +72,7 @@
     );
   }
   if (maxWaitMs <= 0) return refuseTimedOut(request);
-  const endWait = context.demand.waits(weights);
+  const endWait = context.demand.recordWait(weights);
   recordHold(context, request, expectedMs);
   const startedAt = context.clock.now();
   await context.changeWaiter.wait(Math.min(maxWaitMs, stopCheckIntervalMs), request.sink);
--- a/packages/forwarding/src/limited-targets.ts
+++ b/packages/forwarding/src/limited-targets.ts
@@ -1,5 +1,5 @@
 /** Requests to rate-limited targets: acquires a permit for each send, or refuses with the time of the next permit. */
-import type { TargetBelief } from "@linkfall/fleet";
+import type { TargetView } from "@linkfall/fleet";
 import type { Milliseconds } from "@linkfall/types";
 import { expectedReplicaMs, maxQueueMs } from "./admission.js";
 import { type ForwardContext, timeLeftMs } from "./forward-context.js";
@@ -11,7 +11,7 @@
 function canStillBeSent(
   context: ForwardContext,
   request: ForwardedRequest,
-  target: TargetBelief,
+  target: TargetView,
 ): boolean {
   if (request.sink.isCallerGone()) return false;
   if (timeLeftMs(context, request) <= context.forwardLimits.minTimeLeftMs) return false;
@@ -25,7 +25,7 @@
   { target, permitWaitMs }: PickedTarget,
 ): Promise<boolean> {
   if (permitWaitMs === undefined) return true;
-  const acquired = await context.targetLimits.takePermit(target.listed.id, permitWaitMs);
+  const acquired = await context.targetLimits.acquirePermit(target.listed.id, permitWaitMs);
   // The target may have been removed while the request waited for the permit.
   return acquired && canStillBeSent(context, request, target);
 }
@@ -53,7 +53,7 @@
     return continueRequest;
   }
   metrics.refusedByLimit(request.service.name);
-  const permitMs = targetLimits.comeBackMs(targets);
+  const permitMs = targetLimits.retryAfterMs(targets);
   const retryAfterMs = Math.max(
     forwardLimits.defaultRetryAfterMs,
     Math.min(permitMs, replicaMs ?? Infinity),
--- a/packages/forwarding/src/pick.ts
+++ b/packages/forwarding/src/pick.ts
@@ -1,5 +1,5 @@
 /** Picks the target of a request, or returns the reason why it cannot be sent now. */
-import { holds, type TargetBelief } from "@linkfall/fleet";
+import { hasModelLoaded, type TargetView } from "@linkfall/fleet";
 import { topNodes } from "@linkfall/rendezvous";
 import type { Milliseconds, RequestTerms } from "@linkfall/types";
 import { type Candidate, type Choice, chooseTarget } from "@linkfall/target-choice";
@@ -18,7 +18,7 @@
 export type PickResult =
   | {
       readonly kind: "target";
-      readonly target: TargetBelief;
+      readonly target: TargetView;
       readonly choice: Choice;
       /** Other targets that could serve the request. */
       readonly alternatives: number;
@@ -66,7 +66,7 @@
 /** Selects the preferred target by rendezvous hashing, so that all boxes agree without communication. */
 function prefixAffinity(
   { terms }: ForwardedRequest,
-  loaded: readonly TargetBelief[],
+  loaded: readonly TargetView[],
 ): PrefixAffinity | undefined {
   const shared = terms.parts.slice(0, -1);
   if (shared.length === 0 || loaded.length < 2) return undefined;
@@ -81,14 +81,14 @@
 }
 
 function toCandidate(
-  target: TargetBelief,
+  target: TargetView,
   request: ForwardedRequest,
   domain: string,
   { workCosts, streamGaps }: TargetMeters,
   affinity: PrefixAffinity | undefined,
 ): Candidate {
   const { terms } = request;
-  const observedTokens = target.prefixes.cachedTokens({
+  const observedTokens = target.prefixIndex.cachedTokens({
     weights: weightsKey(terms),
     parts: terms.parts,
   });
@@ -99,8 +99,8 @@
   return {
     id: target.listed.id,
     slots: target.listed.slots,
-    inFlight: target.own.inFlight + target.others.inFlight,
-    queuedPromptTokens: target.own.promptTokens + target.others.promptTokens,
+    inFlight: target.ownLoad.inFlight + target.otherBoxesLoad.inFlight,
+    queuedPromptTokens: target.ownLoad.promptTokens + target.otherBoxesLoad.promptTokens,
     uncachedTokens: Math.max(0, terms.promptTokens - cachedTokens),
     streamGapMs: streamGaps.recentGapMs(target.listed.id),
     sameDomain: target.listed.domain === domain,
@@ -108,20 +108,25 @@
   };
 }
 
-function holdsWeights(target: TargetBelief, request: ForwardedRequest, now: Milliseconds): boolean {
+function holdsWeights(target: TargetView, request: ForwardedRequest, now: Milliseconds): boolean {
   const { model, adapter } = request.terms;
   if (!request.service.engine || model === undefined) return true;
-  return holds(target, model, adapter, now);
+  return hasModelLoaded(target, model, adapter, now);
 }
 
 /** Whether the target has the base model loaded for a request that names an adapter. */
-function holdsModel(target: TargetBelief, { terms }: ForwardedRequest, now: Milliseconds): boolean {
+function holdsModel(target: TargetView, { terms }: ForwardedRequest, now: Milliseconds): boolean {
   const { model, adapter } = terms;
-  return model !== undefined && adapter !== undefined && holds(target, model, undefined, now);
+  return (
+    model !== undefined && adapter !== undefined && hasModelLoaded(target, model, undefined, now)
+  );
 }
 
 /** Whether the target accepts another connection; each running request has its own. */
-function hasFreeConnection({ own, others }: TargetBelief, { service }: ForwardedRequest): boolean {
+function hasFreeConnection(
+  { ownLoad: own, otherBoxesLoad: others }: TargetView,
+  { service }: ForwardedRequest,
+): boolean {
   return own.inFlight + others.inFlight < service.maxConnections;
 }
 
@@ -129,14 +134,14 @@
 export function canServe(
   { fleet, clock }: ForwardContext,
   request: ForwardedRequest,
-  target: TargetBelief,
+  target: TargetView,
 ): boolean {
-  const usable = fleet.usable(request.service.name);
+  const usable = fleet.usableTargets(request.service.name);
   return usable.includes(target) && holdsWeights(target, request, clock.now());
 }
 
 interface ChosenTarget {
-  readonly target: TargetBelief;
+  readonly target: TargetView;
   readonly choice: Choice;
 }
 
@@ -144,7 +149,7 @@
 function chooseAmong(
   context: ForwardContext,
   request: ForwardedRequest,
-  targets: readonly TargetBelief[],
+  targets: readonly TargetView[],
   affinity: PrefixAffinity | undefined,
 ): ChosenTarget | undefined {
   const { domain, random } = context;
@@ -159,9 +164,9 @@
 /** Whether a rate-limited target is due for a trial request that checks whether its limit still applies. */
 function isLimitTrialDue(
   { targetLimits }: ForwardContext,
-  { listed: { id } }: TargetBelief,
+  { listed: { id } }: TargetView,
 ): boolean {
-  return targetLimits.isTrialDue(id) && !targetLimits.isClosed(id, 0);
+  return targetLimits.isProbeDue(id) && !targetLimits.isExhausted(id, 0);
 }
 
 /**
@@ -171,11 +176,11 @@
 function pickAmong(
   context: ForwardContext,
   request: ForwardedRequest,
-  eligible: readonly TargetBelief[],
-  loaded: readonly TargetBelief[],
+  eligible: readonly TargetView[],
+  loaded: readonly TargetView[],
 ): PickResult {
   const { targetLimits } = context;
-  const isLimited = ({ listed }: TargetBelief) => targetLimits.limitOf(listed.id) !== undefined;
+  const isLimited = ({ listed }: TargetView) => targetLimits.limitOf(listed.id) !== undefined;
   const unlimited = loaded.filter((target) => !isLimited(target));
   // Prefix affinity prefers unlimited targets, which can take further requests with the same prefix.
   const affinity = prefixAffinity(request, unlimited);
@@ -194,7 +199,7 @@
   const permitWaitMs = best ? 0 : permitWaitLimitMs(request, queueMs);
   const limited = eligible.filter(isLimited);
   const permitCandidates = limited.filter(
-    ({ listed }) => !targetLimits.isClosed(listed.id, permitWaitMs),
+    ({ listed }) => !targetLimits.isExhausted(listed.id, permitWaitMs),
   );
   const limitedChoice = chooseAmong(context, request, permitCandidates, affinity);
   if (limitedChoice) return toPick(limitedChoice, permitWaitMs);
@@ -205,7 +210,7 @@
 /** Picks a target for the request among the usable targets of its service. */
 export function pickTarget(context: ForwardContext, request: ForwardedRequest): PickResult {
   const now = context.clock.now();
-  const usable = context.fleet.usable(request.service.name);
+  const usable = context.fleet.usableTargets(request.service.name);
   if (usable.length === 0) return { kind: "no_target" };
   const loaded = usable.filter((target) => holdsWeights(target, request, now));
   if (loaded.length === 0) {
--- a/packages/forwarding/src/send-to-target.ts
+++ b/packages/forwarding/src/send-to-target.ts
@@ -1,5 +1,5 @@
 /** Sends a request to a picked target and updates the state of the target from the result. */
-import type { Fleet, TargetBelief, TargetLoad } from "@linkfall/fleet";
+import type { Fleet, TargetView, TargetLoad } from "@linkfall/fleet";
 import type { Clock } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
 import type { AnswerFacts, RequestCodec } from "@linkfall/ports";
@@ -71,7 +71,7 @@
 function isFull({ fleet }: SendContext, id: string): boolean {
   const target = fleet.find(id);
   if (!target) return false;
-  return target.own.inFlight + target.others.inFlight >= target.listed.slots;
+  return target.ownLoad.inFlight + target.otherBoxesLoad.inFlight >= target.listed.slots;
 }
 
 /** Updates the fleet's view of a target from the result of a send. */
@@ -84,28 +84,31 @@
   const { fleet } = context;
   switch (result.kind) {
     case "answered":
-      if (result.head.status >= serverErrorStatus) fleet.failed(id, `status ${result.head.status}`);
-      else fleet.succeeded(id);
+      if (result.head.status >= serverErrorStatus)
+        fleet.recordFailure(id, `status ${result.head.status}`);
+      else fleet.recordSuccess(id);
       return;
     case "streamed":
-      return fleet.succeeded(id);
+      return fleet.recordSuccess(id);
     case "not_sent":
       if (result.reason.includes(connectionRefusedCode))
-        return fleet.unreachable(id, result.reason);
-      return fleet.failed(id, result.reason);
+        return fleet.recordUnreachable(id, result.reason);
+      return fleet.recordFailure(id, result.reason);
     case "lost":
-      return fleet.failed(id, result.reason);
+      return fleet.recordFailure(id, result.reason);
     case "silent":
-      return fleet.failed(id, "silent");
+      return fleet.recordFailure(id, "silent");
     case "not_run":
       if (result.retryAfterMs !== undefined) fleet.backOff(id, result.retryAfterMs);
       if (request.terms.model === undefined) return;
       // A target with free slots that refuses is about to unload the weights or has not finished loading them.
       // Adapters are announced before they are fully loaded; refusals for lack of one expire sooner.
       if (result.misdirected && request.terms.adapter === undefined) {
-        fleet.deny(id, weightsKey(request.terms));
-      } else if (result.misdirected) fleet.deny(id, weightsKey(request.terms), adapterDenialMs);
-      else if (!isFull(context, id)) fleet.deny(id, weightsKey(request.terms), loadChangeDenialMs);
+        fleet.recordModelRefusal(id, weightsKey(request.terms));
+      } else if (result.misdirected)
+        fleet.recordModelRefusal(id, weightsKey(request.terms), adapterDenialMs);
+      else if (!isFull(context, id))
+        fleet.recordModelRefusal(id, weightsKey(request.terms), loadChangeDenialMs);
       return;
     case "gone":
       return;
@@ -115,7 +118,7 @@
 /** Records the rate limit reported in a response. */
 function recordLimit(
   { fleet, logger, targetLimits }: SendContext,
-  target: TargetBelief,
+  target: TargetView,
   sentMsAgo: Milliseconds,
   status: number,
   { limit, notRun }: AnswerFacts,
@@ -126,7 +129,7 @@
   if (limit.kind === "unreadable") {
     logger.event("targetLimitUnreadable", { target: id, text: limit.text });
   }
-  targetLimits.hear({
+  targetLimits.recordAnswer({
     target: id,
     notice: limit,
     sentMsAgo,
@@ -146,19 +149,19 @@
   const { terms, route } = request;
   const weights = weightsKey(terms);
   const query = { weights, parts: terms.parts };
-  const uncachedTokens = Math.max(0, terms.promptTokens - target.prefixes.cachedTokens(query));
-  const queuedTokens = target.own.promptTokens + target.others.promptTokens;
+  const uncachedTokens = Math.max(0, terms.promptTokens - target.prefixIndex.cachedTokens(query));
+  const queuedTokens = target.ownLoad.promptTokens + target.otherBoxesLoad.promptTokens;
   const sentAt = clock.now();
   let isPrefilling = true;
 
-  target.own = addLoad(target.own, 1, uncachedTokens);
-  target.prefixes.record(query);
+  target.ownLoad = addLoad(target.ownLoad, 1, uncachedTokens);
+  target.prefixIndex.record(query);
   request.triedTargets.add(listed.id);
   request.sends += 1;
   const endPrefill = () => {
     if (!isPrefilling) return;
     isPrefilling = false;
-    target.own = addLoad(target.own, 0, -uncachedTokens);
+    target.ownLoad = addLoad(target.ownLoad, 0, -uncachedTokens);
   };
 
   const remainingMs = Math.floor(request.deadlineAt - sentAt - sendLimits.deadlineMarginMs);
@@ -218,7 +221,7 @@
   endPrefill();
   if (result.kind === "not_sent" || (result.kind === "gone" && !result.written))
     request.unwrittenSends += 1;
-  target.own = addLoad(target.own, -1, 0);
+  target.ownLoad = addLoad(target.ownLoad, -1, 0);
   if (result.kind === "streamed" || result.kind === "answered") {
     context.workCosts.observeResponse(request.service.name, listed.id, clock.now() - sentAt);
   }
--- a/packages/membership/src/exchange.ts
+++ b/packages/membership/src/exchange.ts
@@ -35,12 +35,12 @@
   const readers = new Map<string, { readonly start: Incarnation; readonly followed: number }>();
 
   const blameFor = (reader: Incarnation, followed: number): BlameExchange => {
-    const word = blame.tell(followed);
+    const word = blame.changesSince(followed);
     const told = word.records.length > 0 ? word : undefined;
-    return { word: told, of: reader, followed: blame.followed(reader) };
+    return { word: told, of: reader, followed: blame.appliedSequence(reader) };
   };
   const takeBlame = (from: MemberEntry, told: BlameExchange | undefined) => {
-    if (told?.word) blame.take(from.incarnation, told.word);
+    if (told?.word) blame.applyChanges(from.incarnation, told.word);
   };
   const blameAt = (address: string): BlameExchange => {
     const reader = readers.get(address);
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -107,7 +107,7 @@
   const freshMs = () => {
     const now = clock.now();
     const ages = heard.lately().map((word) => word.summary.logSilentMs + now - word.at);
-    return Math.min(follower.silentFor(), ...ages);
+    return Math.min(follower.sinceLastResponseMs(), ...ages);
   };
 
   const summary = (): MemberSummary => ({
--- a/packages/plain-call/src/index.ts
+++ b/packages/plain-call/src/index.ts
@@ -32,7 +32,7 @@
 
   const guardedRequest = ({ fingerprint, service, account }: PlainCall): GuardedRequest => {
     const facts = { request: fingerprint, service: service.name, route: service.name, account };
-    return { facts, targets: () => service.targets.length };
+    return { attributes: facts, countTargets: () => service.targets.length };
   };
 
   const availableTargets = (
@@ -99,7 +99,7 @@
         const target = { name: address, address };
         // Each further target that the call crashes also fails all other calls running there.
         const mayRetry =
-          !failure.mayHaveArrived || (await guard.mayGoOn(guardedRequest(call), target));
+          !failure.mayHaveArrived || (await guard.mayRetryElsewhere(guardedRequest(call), target));
         const refusal = refusalAfterLoss(
           call,
           lastFailure,
@@ -111,8 +111,9 @@
       }
       const response = sent.unsafeCoerce();
       if (!isNotStarted(response) || attempt >= maxAttempts) {
-        const onServed = () => guard.served(guardedRequest(call));
-        const onLost = () => void guard.mayGoOn(guardedRequest(call), { name: address, address });
+        const onServed = () => guard.recordServed(guardedRequest(call));
+        const onLost = () =>
+          void guard.mayRetryElsewhere(guardedRequest(call), { name: address, address });
         return forwardResponse(clock, load, {
           address,
           response,
--- a/packages/report-relay/src/outgoing.ts
+++ b/packages/report-relay/src/outgoing.ts
@@ -4,7 +4,7 @@
 import type { Milliseconds, ReportLoad, ReportPlacement } from "@linkfall/types";
 
 /** A placement that was seen, and how many there were before it. */
-interface NumberedPlacement {
+interface VersionedPlacement {
   readonly text: string;
   readonly version: number;
 }
@@ -26,7 +26,7 @@
 
 /** Creates the outgoing reports of one process start; its numbering ends with it. */
 export function createOutgoingReports(): OutgoingReports {
-  const numbered = new Map<string, NumberedPlacement>();
+  const numbered = new Map<string, VersionedPlacement>();
 
   const versionOf = (engine: string, placement: ReportPlacement): number => {
     const text = JSON.stringify(placement);
--- a/packages/report-relay/src/report-relay.steps.ts
+++ b/packages/report-relay/src/report-relay.steps.ts
@@ -46,7 +46,7 @@
   const held = to.heldFrom() === start ? to.held() : [];
   const reports = from.answer([report], held, report.requestedAt);
   if (lost) return [];
-  return to.take({ from: start, reports }, 0).map((received) => received.report);
+  return to.applyReply({ from: start, reports }, 0).map((received) => received.report);
 }
 
 Then(
@@ -84,7 +84,7 @@
     const answeredAt = askedAt + took / 2;
     const read = watched(reportOf(1, 1, 1), answeredAt - age);
     const reports = createOutgoingReports().answer([read], [], answeredAt);
-    const [received] = createIncomingReports().take({ from: "b@1", reports }, askedAt);
+    const [received] = createIncomingReports().applyReply({ from: "b@1", reports }, askedAt);
     notes(this).set("requestedAt", received.requestedAt);
   },
 );
--- a/packages/target-watch/src/index.ts
+++ b/packages/target-watch/src/index.ts
@@ -125,14 +125,14 @@
   };
 
   const watchedEngines = () => {
-    const leasedPools = leases.heldPools().map((lease) => lease.pool);
+    const leasedPools = leases.heldLeases().map((lease) => lease.pool);
     const pools = new Set([...leases.servedPools(), ...leasedPools]);
     return [...pools].flatMap((pool) => store.desired().enginesByPool.get(pool) ?? []);
   };
 
   const readersOf = ({ name, pool }: Engine): readonly string[] => {
     if (settings.report_readers === 0) return [];
-    return topNodes(name, leases.boxesOf(pool), settings.report_readers);
+    return topNodes(name, leases.boxesServing(pool), settings.report_readers);
   };
 
   const isFresh = (record: EngineReportRecord | undefined, maxAgeMs: Milliseconds) =>
