--- a/packages/entry-box/src/forward-context.ts
+++ b/packages/entry-box/src/forward-context.ts
@@ -18,19 +18,19 @@
 import { createRetryBudget } from "@linkfall/retry-budget";
 import type { Milliseconds } from "@linkfall/types";
 import { orderGiverName } from "@linkfall/weight-orders";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import type { HeartbeatReceiver } from "./heartbeat-receiver.js";
 import { targetLimitsName } from "./provide-limits.js";
-import { boxesWithCallers } from "./boxes-with-callers.js";
+import { countBoxesWithCallers } from "./boxes-with-callers.js";
 
 /** Requests that begin to wait within this time are told together: little against the time of a load. */
-const gatherMs: Milliseconds = 10;
+const announceDelayMs: Milliseconds = 10;
 /** A target that ended refuses within a millisecond or two; one that is cut off does not answer. */
-const lookMs: Milliseconds = 100;
+const listenProbeTimeoutMs: Milliseconds = 100;
 const microsecondsPerMillisecond = 1000;
 
 /** Tells the box that gives orders of demand, several requests together. */
-function createDemandAnnouncer({ kernel, ports }: BoxParts): () => void {
+function createDemandAnnouncer({ kernel, ports }: BoxRuntime): () => void {
   const { clock } = ports;
   let announcing = false;
   const announce = () => {
@@ -43,19 +43,19 @@
   return () => {
     if (announcing) return;
     announcing = true;
-    clock.after(gatherMs, announce);
+    clock.after(announceDelayMs, announce);
   };
 }
 
 /** A waiter that wakes its requests when what is believed of targets has changed. */
-export function createFleetWaiter({ kernel, ports }: BoxParts): ChangeWaiter {
+export function createFleetWaiter({ kernel, ports }: BoxRuntime): ChangeWaiter {
   const waiter = createChangeWaiter(ports.clock);
   kernel.find(fleetName).onChange(waiter.wake);
   return waiter;
 }
 
 export function createForwardContext(
-  parts: BoxParts,
+  parts: BoxRuntime,
   waiter: ChangeWaiter,
   receiver: HeartbeatReceiver,
 ): ForwardContext {
@@ -69,7 +69,9 @@
     metrics: createForwardMetrics(kernel.find(metricsName)),
     blame: kernel.find(crashBlameName),
     lastTries: createLastTries(),
-    lostTargets: createLostTargets(clock, (address) => isListening(clock, address, lookMs)),
+    lostTargets: createLostTargets(clock, (address) =>
+      isListening(clock, address, listenProbeTimeoutMs),
+    ),
     targetLimits: kernel.find(targetLimitsName),
     codec: ports.requests,
     fleet: kernel.find(fleetName),
@@ -77,8 +79,8 @@
     waiter,
     domain: settings.box.domain,
     tellOfWait: createDemandAnnouncer(parts),
-    takes: parts.stop.takes,
-    boxes: () => boxesWithCallers(parts),
+    takes: parts.stop.accepts,
+    boxes: () => countBoxesWithCallers(parts),
     expectedWeightsMs: receiver.expectedWeightsMs,
     budget: createRetryBudget(clock, {
       ratio: retries.ratio,
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -13,7 +13,7 @@
 import { shareFor } from "@linkfall/route-table";
 import type { ClientAccount, Milliseconds, RequestTerms, Route } from "@linkfall/types";
 import { admitToQuota, settleQuota } from "./account-admission.js";
-import { answerOwn, type FrontRequest } from "./front.js";
+import { respondLocally, type FrontRequest } from "./front.js";
 import { identify } from "./identify.js";
 
 export interface HandleContext {
@@ -28,17 +28,17 @@
   accountLabel(account: string | undefined): string;
 }
 
-const notReadyMs: Milliseconds = 500;
+const notReadyRetryAfterMs: Milliseconds = 500;
 /** The account has used up its limit. */
 const overLimitStatus = 429;
 
 /** Works the fingerprint out when it is first asked for: most requests never need theirs. */
-function fingerprintLater(content: RequestContent): () => string {
+function lazyFingerprint(content: RequestContent): () => string {
   let known: string | undefined;
   return () => (known ??= fingerprintOf(content));
 }
 
-function toForwarded(
+function toForwardedRequest(
   request: FrontRequest,
   terms: RequestTerms,
   route: Route,
@@ -54,7 +54,7 @@
     service,
     terms,
     account: account?.name,
-    fingerprint: fingerprintLater({ ...request, account: account?.name }),
+    fingerprint: lazyFingerprint({ ...request, account: account?.name }),
     priority: account?.priority ?? route.priority,
     awaitedUntil: request.arrivedAt + Math.min(heldMs, route.patienceMs ?? heldMs),
     endsAt: request.arrivedAt + heldMs,
@@ -69,7 +69,7 @@
   };
 }
 
-function record(
+function recordEnd(
   context: HandleContext,
   request: ForwardedRequest,
   end: RequestEnd,
@@ -113,12 +113,13 @@
   const refused = (status: number, why: string, retryAfterMs?: Milliseconds, more?: object) => {
     const { path } = request;
     forward.logger.event("requestRejected", { request: terms.id, status, why, path, ...more });
-    answerOwn(request.sink, status, retryAfterMs);
+    respondLocally(request.sink, status, retryAfterMs);
   };
   const unreadable = codec.unreadable(request.headers);
   if (unreadable !== undefined) return refused(400, unreadable);
   const inForce = feed.inForce();
-  if (!inForce || !context.ready()) return refused(503, "no configuration yet", notReadyMs);
+  if (!inForce || !context.ready())
+    return refused(503, "no configuration yet", notReadyRetryAfterMs);
   const route = inForce.routes.find(request.host, request.path);
   if (!route) return refused(404, `no route in version ${inForce.configuration.version}`);
   const { version } = inForce.configuration;
@@ -126,8 +127,8 @@
   if (caller.kind === "unknown") {
     return refused(401, caller.why, undefined, { version, key: caller.fingerprint });
   }
-  const forwarded = toForwarded(request, terms, route, caller.account, inForce);
-  if (!forwarded) return refused(503, "no such service", notReadyMs);
+  const forwarded = toForwardedRequest(request, terms, route, caller.account, inForce);
+  if (!forwarded) return refused(503, "no such service", notReadyRetryAfterMs);
   const admission = await admitToQuota(context.quota, caller.account, terms, version);
   if (admission.kind === "refused") {
     const more = { account: forwarded.account, version, retryAfterMs: admission.retryAfterMs };
@@ -140,5 +141,5 @@
   }
   const end = await forwardRequest(forward, forwarded);
   settleQuota(context.quota, admission.use, forwarded, end);
-  record(context, forwarded, end, admission.use?.units);
+  recordEnd(context, forwarded, end, admission.use?.units);
 }
--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -14,9 +14,9 @@
 import { orderLeaseName } from "@linkfall/order-lease";
 import type { Milliseconds } from "@linkfall/types";
 import { orderGiverName } from "@linkfall/weight-orders";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import { targetLimitsName } from "./provide-limits.js";
-import { hasWaiting, sumLoads } from "./box-loads.js";
+import { hasWaitingRequests, sumLoads } from "./box-loads.js";
 
 export interface HeartbeatReceiver {
   /** Time until weights are expected to be there, as the order giver told. */
@@ -24,19 +24,19 @@
 }
 
 /** What was taken of the order giver's reports. */
-export interface HolderKnowledge {
+export interface LeaseHolderView {
   followed?: FollowedReport;
   /** The order giver hears most boxes. */
-  hearsMost: boolean;
+  reachesMajority: boolean;
   /** When models are expected, by `service model`, on this box's clock. */
-  expectedAt: ReadonlyMap<string, Milliseconds>;
+  weightsExpectedAt: ReadonlyMap<string, Milliseconds>;
 }
 
 /** The loads of boxes that are heard are summed at most this often. */
-const sumEveryMs: Milliseconds = 20;
+const minSumIntervalMs: Milliseconds = 20;
 
 /** Whether the order giver was heard lately enough for its report to count more than the list. */
-function trustsHolder({ kernel, settings }: BoxParts): boolean {
+function hasCurrentHolderReport({ kernel, settings }: BoxRuntime): boolean {
   const lease = kernel.find(orderLeaseName);
   if (lease.epoch() !== undefined) return true;
   const holder = lease.known()?.holder;
@@ -45,7 +45,10 @@
 }
 
 /** Asks boxes that are ahead for their configuration, one at a time. */
-function createCatchUp({ kernel, peerClient }: BoxParts): (other: BoxStatus) => Promise<void> {
+function createConfigurationFetcher({
+  kernel,
+  peerClient,
+}: BoxRuntime): (other: BoxStatus) => Promise<void> {
   let asking = false;
   return async ({ configurationVersion, peerAddress }) => {
     const feed = kernel.find(desiredFeedName);
@@ -58,11 +61,11 @@
 }
 
 /** Sums the loads of the boxes that this one hears, at most every so often. */
-function createLoadSummer({ kernel, ports }: BoxParts): () => void {
+function createPeerLoadAggregator({ kernel, ports }: BoxRuntime): () => void {
   let summedAt = -Infinity;
   return () => {
     const now = ports.clock.now();
-    if (now - summedAt < sumEveryMs) return;
+    if (now - summedAt < minSumIntervalMs) return;
     summedAt = now;
     const statuses = kernel.find(peersName).statuses();
     kernel.find(fleetName).takeOthers(sumLoads(statuses.map((status) => status.loads)));
@@ -70,27 +73,31 @@
 }
 
 /** Takes targets that another box has read, unless this one reads them itself. */
-function takeTargets({ kernel }: BoxParts, { targets }: Heartbeat): void {
+function applyTargets({ kernel }: BoxRuntime, { targets }: Heartbeat): void {
   const feed = kernel.find(desiredFeedName);
   if (targets && !(feed.reading() && feed.reachesStore())) feed.takeTargets(targets);
 }
 
-function takeReport({ kernel, ports }: BoxParts, knowledge: HolderKnowledge, report: HolderReport) {
+function applyReport(
+  { kernel, ports }: BoxRuntime,
+  knowledge: LeaseHolderView,
+  report: HolderReport,
+) {
   const fleet = kernel.find(fleetName);
   fleet.withhold(new Map(Object.entries(report.withheld)));
   for (const { id, holdings } of report.engines) fleet.takeHoldings(id, holdings);
   if (report.othersLoads) fleet.takeOthers(new Map(Object.entries(report.othersLoads)));
   knowledge.followed = report.followed;
-  knowledge.hearsMost = report.hearsMost;
+  knowledge.reachesMajority = report.hearsMost;
   const now = ports.clock.now();
   const expected = Object.entries(report.expected);
-  knowledge.expectedAt = new Map(expected.map(([key, ms]) => [key, now + ms]));
+  knowledge.weightsExpectedAt = new Map(expected.map(([key, ms]) => [key, now + ms]));
 }
 
 /** Begins to take heartbeats. */
 export function receiveHeartbeats(
-  parts: BoxParts,
-  knowledge: HolderKnowledge,
+  parts: BoxRuntime,
+  knowledge: LeaseHolderView,
   waiter: ChangeWaiter,
 ): HeartbeatReceiver {
   const { kernel, ports } = parts;
@@ -99,31 +106,31 @@
   const giver = kernel.find(orderGiverName);
   const blame = kernel.find(crashBlameName);
   const targetLimits = kernel.find(targetLimitsName);
-  const catchUp = createCatchUp(parts);
-  const sumHeardLoads = createLoadSummer(parts);
-  kernel.find(fleetName).trustOwnWord(() => trustsHolder(parts));
+  const catchUp = createConfigurationFetcher(parts);
+  const sumHeardLoads = createPeerLoadAggregator(parts);
+  kernel.find(fleetName).trustOwnWord(() => hasCurrentHolderReport(parts));
 
   peers.onHeartbeat((heartbeat) => {
     const { status, report } = heartbeat;
     if (status.lease) lease.hear(status.lease);
     const givesOrders = lease.epoch() !== undefined;
     if (peers.mesh() || givesOrders) sumHeardLoads();
-    takeTargets(parts, heartbeat);
+    applyTargets(parts, heartbeat);
     if (heartbeat.blame) blame.take(status.incarnation, heartbeat.blame);
     if (heartbeat.limits) targetLimits.take(status.incarnation, heartbeat.limits);
     void catchUp(status);
     if (report && lease.known()?.holder === status.incarnation) {
-      takeReport(parts, knowledge, report);
+      applyReport(parts, knowledge, report);
       waiter.wake();
     }
-    if (givesOrders && hasWaiting(status)) giver.hurry();
+    if (givesOrders && hasWaitingRequests(status)) giver.hurry();
   });
 
   return {
     expectedWeightsMs({ service, model }) {
       const key = `${service} ${model}`;
       if (lease.epoch() !== undefined) return giver.expected()[key];
-      const at = knowledge.expectedAt.get(key);
+      const at = knowledge.weightsExpectedAt.get(key);
       return at === undefined ? undefined : Math.max(0, at - ports.clock.now());
     },
   };
--- a/packages/entry-box/src/heartbeat-source.ts
+++ b/packages/entry-box/src/heartbeat-source.ts
@@ -12,14 +12,14 @@
 import { fleetName } from "@linkfall/fleet";
 import { orderLeaseName } from "@linkfall/order-lease";
 import type { BlameWord, TargetLimitWord } from "@linkfall/types";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import { ownLoads, recentDemand } from "./box-loads.js";
 import { ownProfile } from "./own-profile.js";
 import { targetLimitsName } from "./provide-limits.js";
-import { createReportMaker } from "./holder-report.js";
+import { createReportBuilder } from "./holder-report.js";
 
 /** What this box has read of the list, for one that does not read it or cannot. */
-function targetsFor({ kernel }: BoxParts, reader: BoxStatus): TargetChanges | undefined {
+function targetChangesFor({ kernel }: BoxRuntime, reader: BoxStatus): TargetChanges | undefined {
   const feed = kernel.find(desiredFeedName);
   if (reader.reading && reader.reachesStore) return undefined;
   if (!feed.ready() || !feed.reading() || reader.targetsEnd >= feed.targetsEnd()) return undefined;
@@ -27,24 +27,24 @@
 }
 
 /** What this box knows of requests that end targets and the reader does not. */
-function blameFor({ kernel }: BoxParts, reader?: BoxStatus): BlameWord | undefined {
+function blameFor({ kernel }: BoxRuntime, reader?: BoxStatus): BlameWord | undefined {
   const word = kernel.find(crashBlameName).tell(reader?.blameFollowed ?? 0);
   return word.records.length > 0 ? word : undefined;
 }
 
 /** What this box knows of targets' limits and the reader does not. */
-function limitsFor({ kernel }: BoxParts, reader?: BoxStatus): TargetLimitWord | undefined {
+function limitsFor({ kernel }: BoxRuntime, reader?: BoxStatus): TargetLimitWord | undefined {
   const word = kernel.find(targetLimitsName).tell(reader?.limitsFollowed ?? 0);
   return word.records.length > 0 ? word : undefined;
 }
 
 /** Creates the source; it finds its services when the first heartbeat is made. */
 export function createHeartbeatSource(
-  parts: BoxParts,
+  parts: BoxRuntime,
   followed: () => FollowedReport | undefined,
 ): HeartbeatSource {
   const { kernel, demand } = parts;
-  const report = createReportMaker(parts);
+  const report = createReportBuilder(parts);
   let beat = 0;
 
   const status = (reader?: BoxStatus): BoxStatus => {
@@ -81,7 +81,7 @@
         status: status(reader),
         sightings,
         report: gives ? report(reader) : undefined,
-        targets: reader && targetsFor(parts, reader),
+        targets: reader && targetChangesFor(parts, reader),
         blame: blameFor(parts, reader),
         limits: limitsFor(parts, reader),
       };
--- a/packages/entry-box/src/holder-report.ts
+++ b/packages/entry-box/src/holder-report.ts
@@ -11,21 +11,21 @@
 import { fleetName, type TargetLoad } from "@linkfall/fleet";
 import type { Milliseconds } from "@linkfall/types";
 import { orderGiverName } from "@linkfall/weight-orders";
-import { type Loads, ownLoads, sumLoads, withoutPart } from "./box-loads.js";
-import type { BoxParts } from "./box-parts.js";
-import { hearsMost } from "./connected.js";
+import { type LoadByTarget, ownLoads, sumLoads, subtractLoads } from "./box-loads.js";
+import type { BoxRuntime } from "./box-runtime.js";
+import { reachesMajority } from "./connected.js";
 
-export type ReportMaker = (reader?: BoxStatus) => HolderReport;
+export type ReportBuilder = (reader?: BoxStatus) => HolderReport;
 
 /** Members and loads are brought up to date at most this often, however many boxes ask. */
-const refreshMs: Milliseconds = 50;
+const minRefreshIntervalMs: Milliseconds = 50;
 
 function isSameEngine(left: EngineHoldings, right: EngineHoldings): boolean {
   return left.holdings === right.holdings;
 }
 
 /** What may change of a box under one incarnation. */
-const changing: readonly (keyof Sighting)[] = [
+const mutableFields: readonly (keyof Sighting)[] = [
   "incarnation",
   "ready",
   "leaving",
@@ -37,10 +37,10 @@
 
 /** Whether a box looks as before, but for the age of what is known. */
 function isSameMember(left: Sighting, right: Sighting): boolean {
-  return changing.every((field) => left[field] === right[field]);
+  return mutableFields.every((field) => left[field] === right[field]);
 }
 
-export function createReportMaker({ kernel, ports, incarnation }: BoxParts): ReportMaker {
+export function createReportBuilder({ kernel, ports, incarnation }: BoxRuntime): ReportBuilder {
   const engines = createChangeNumbers(isSameEngine);
   const members = createChangeNumbers(isSameMember);
   let refreshedAt = -Infinity;
@@ -54,7 +54,7 @@
   };
   const refreshBoxes = () => {
     const now = ports.clock.now();
-    if (now - refreshedAt < refreshMs) return;
+    if (now - refreshedAt < minRefreshIntervalMs) return;
     refreshedAt = now;
     const peers = kernel.find(peersName);
     members.update(new Map(peers.sightings().map((sighting) => [sighting.box, sighting])));
@@ -66,12 +66,12 @@
   const ofBoxes = (
     known: FollowedReport | undefined,
     reader?: BoxStatus,
-  ): { members?: readonly Sighting[]; othersLoads?: Loads } => {
+  ): { members?: readonly Sighting[]; othersLoads?: LoadByTarget } => {
     if (kernel.find(peersName).mesh()) return {};
     refreshBoxes();
     const changed = members.after(known?.members ?? 0);
     if (!reader?.takesRequests) return { members: changed };
-    return { members: changed, othersLoads: withoutPart(sums, reader.loads) };
+    return { members: changed, othersLoads: subtractLoads(sums, reader.loads) };
   };
 
   return (reader) => {
@@ -84,7 +84,7 @@
       engines: engines.after(known?.engines ?? 0),
       ...boxes,
       followed: { holder: incarnation, engines: engines.newest(), members: members.newest() },
-      hearsMost: hearsMost(kernel.find(peersName)),
+      hearsMost: reachesMajority(kernel.find(peersName)),
       withheld: Object.fromEntries(giver.withheld()),
       expected: giver.expected(),
     };
--- a/packages/entry-box/src/own-profile.ts
+++ b/packages/entry-box/src/own-profile.ts
@@ -1,7 +1,7 @@
 /** What this box tells of itself to everybody. */
 import type { BoxProfile } from "@linkfall/box-peers";
 import { desiredFeedName } from "@linkfall/desired-feed";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 
 export function ownProfile({
   kernel,
@@ -9,7 +9,7 @@
   incarnation,
   stop,
   activity,
-}: BoxParts): BoxProfile {
+}: BoxRuntime): BoxProfile {
   const { box } = settings;
   const feed = kernel.find(desiredFeedName);
   return {
--- a/packages/entry-box/src/planned-stop.steps.ts
+++ b/packages/entry-box/src/planned-stop.steps.ts
@@ -36,6 +36,6 @@
   /^an? (stream|answer) with an objective of (\d+) ms is (taken|not taken)$/,
   function (this: object, kind: string, objectiveMs: string, taken: string) {
     const route = { streaming: kind === "stream", objectiveMs: Number(objectiveMs) };
-    assert.equal(sceneOf(this).stop.takes(route), taken === "taken");
+    assert.equal(sceneOf(this).stop.accepts(route), taken === "taken");
   },
 );
--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -11,14 +11,14 @@
 } from "@linkfall/order-lease";
 import { boxOf } from "@linkfall/types";
 import { createOrderGiver, type OrderGiver, orderGiverName } from "@linkfall/weight-orders";
-import { hasWaiting } from "./box-loads.js";
-import type { BoxParts } from "./box-parts.js";
+import { hasWaitingRequests } from "./box-loads.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import { targetLimitsName } from "./provide-limits.js";
 import { rankBoxes } from "./box-ranking.js";
 import { ownProfile } from "./own-profile.js";
 
 /** What the lease has to know of the other boxes. */
-function leasePeers(parts: BoxParts, peers: Peers): LeasePeers {
+function leasePeers(parts: BoxRuntime, peers: Peers): LeasePeers {
   const { kernel, settings, incarnation } = parts;
   const feed = kernel.find(desiredFeedName);
   return {
@@ -39,7 +39,7 @@
   };
 }
 
-export function provideLease(parts: BoxParts): OrderLease {
+export function provideOrderLease(parts: BoxRuntime): OrderLease {
   const { kernel, settings, ports, incarnation } = parts;
   const peers = leasePeers(parts, kernel.find(peersName));
   const lease = createOrderLease(kernel, incarnation, ports.leaseStream, peers, {
@@ -52,7 +52,12 @@
   return kernel.provide(orderLeaseName, lease, lease);
 }
 
-export function provideGiver({ kernel, settings, ports, demand }: BoxParts): OrderGiver {
+export function provideOrderDispatcher({
+  kernel,
+  settings,
+  ports,
+  demand,
+}: BoxRuntime): OrderGiver {
   const { placement } = settings;
   const fleet = kernel.find(fleetName);
   const feed = kernel.find(desiredFeedName);
@@ -72,7 +77,7 @@
       fleet.withhold(giver.withheld());
       // In a large deployment all others hear of it in their next round.
       if (peers.mesh()) peers.send();
-      else peers.send((member) => hasWaiting(member.status));
+      else peers.send((member) => hasWaitingRequests(member.status));
     },
     rules: {
       plan: { loadOfReplica: placement.load_of_replica, horizonMs: placement.horizon_ms },
