--- a/packages/entry-box/src/accept-watch.ts
+++ b/packages/entry-box/src/accept-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Watches how connections come out of the listen queue. The runtime takes one connection in each turn of its event loop, so
- * connections that are taken in turns that follow each other have waited for those before them.
+ * Estimates how long connections wait in the listen queue. Node.js accepts one connection per iteration of the event loop, so
+ * a connection accepted in consecutive iterations may have waited for the ones before it.
  */
 import type { Clock } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
@@ -8,7 +8,7 @@
 import type { Milliseconds } from "@linkfall/types";
 
 export interface AcceptQueueMonitor {
-  /** Notes that a connection was taken. */
+  /** Records that a connection was accepted. */
   connectionAccepted(): void;
 }
 
@@ -16,33 +16,33 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Turns of the event loop since the process began. */
+  /** Iterations of the event loop since the process started. */
   loopIterations(): number;
 }
 
-/** Connections that were taken one a turn, without a turn between them. */
+/** Connections accepted in consecutive iterations of the event loop. */
 interface AcceptBurst {
   readonly since: Milliseconds;
   lastAt: Milliseconds;
   lastIteration: number;
   connections: number;
-  /** A wait that is told next; each line doubles it. */
+  /** Shortest wait to log next; doubles with each logged line. */
   logThresholdMs: Milliseconds;
 }
 
-/** A wait that callers notice: they give up what is unread after a second, or sooner. */
+/** Well below one second, after which callers abandon an unread request. */
 const minLoggedWaitMs: Milliseconds = 250;
 
-/** Creates a watch. */
+/** Creates a monitor that records metrics and logs long waits. */
 export function createAcceptQueueMonitor({
   clock,
   logger,
   metrics,
-  loopIterations: loopTurns,
+  loopIterations,
 }: AcceptQueueMonitorInput): AcceptQueueMonitor {
-  let run: AcceptBurst | undefined;
+  let burst: AcceptBurst | undefined;
 
-  const tell = (current: AcceptBurst, waitedMs: Milliseconds) => {
+  const logLongWait = (current: AcceptBurst, waitedMs: Milliseconds) => {
     if (waitedMs < current.logThresholdMs) return;
     current.logThresholdMs = waitedMs * 2;
     logger.event("connectionsWaited", {
@@ -54,33 +54,33 @@
   return {
     connectionAccepted() {
       const now = clock.now();
-      const turn = loopTurns();
-      if (run === undefined || turn > run.lastIteration + 1) {
-        run = {
+      const iteration = loopIterations();
+      if (burst === undefined || iteration > burst.lastIteration + 1) {
+        burst = {
           since: now,
           lastAt: now,
-          lastIteration: turn,
+          lastIteration: iteration,
           connections: 1,
           logThresholdMs: minLoggedWaitMs,
         };
         return;
       }
-      const turnMs = now - run.lastAt;
-      const waitedMs = now - run.since;
-      run.lastAt = now;
-      run.lastIteration = turn;
-      run.connections += 1;
+      const iterationMs = now - burst.lastAt;
+      const waitedMs = now - burst.since;
+      burst.lastAt = now;
+      burst.lastIteration = iteration;
+      burst.connections += 1;
       metrics.observe(
         "linkfall_accept_turn_ms",
-        "Length of a turn of the event loop that took a connection after one that did.",
-        Math.round(turnMs),
+        "Duration of an event loop iteration that accepted a connection right after another one.",
+        Math.round(iterationMs),
       );
       metrics.observe(
         "linkfall_connection_wait_ms",
-        "How long a connection may have waited in the listen queue for those before it.",
+        "Upper bound of a connection's wait in the listen queue behind earlier connections.",
         Math.round(waitedMs),
       );
-      tell(run, waitedMs);
+      logLongWait(burst, waitedMs);
     },
   };
 }
--- a/packages/entry-box/src/account-admission.ts
+++ b/packages/entry-box/src/account-admission.ts
@@ -1,14 +1,18 @@
-/** Takes a request from the limit of its account, and settles it when the request has its end. */
+/** Charges requests to the limit of their client account and settles the charge when they end. */
 import { type AccountQuota, type QuotaUse, unitsOf } from "@linkfall/account-quota";
 import type { ForwardedRequest, RequestEnd } from "@linkfall/forwarding";
 import type { ClientAccount, Milliseconds, RequestTerms } from "@linkfall/types";
 
 export type AccountAdmission =
-  /** `use` is what was taken; absent where no limit holds. */
+  /** `use` is what was charged; absent if the account has no limit. */
   | { readonly kind: "admitted"; readonly use?: QuotaUse }
   | { readonly kind: "refused"; readonly retryAfterMs: Milliseconds };
 
-/** @param version version of the configuration that the account was read from */
+/**
+ * Charges a request to its account's limit.
+ *
+ * @param version version of the configuration that defines the account
+ */
 export async function admitToQuota(
   quota: AccountQuota,
   account: ClientAccount | undefined,
@@ -21,7 +25,7 @@
   return decision.kind === "admitted" ? { kind: "admitted", use } : decision;
 }
 
-/** Gives back what did not run, and takes what ran more than once. */
+/** Refunds a request that never ran and charges repeated runs. */
 export function settleQuota(
   quota: AccountQuota,
   use: QuotaUse | undefined,
--- a/packages/entry-box/src/accounts.feature
+++ b/packages/entry-box/src/accounts.feature
@@ -1,13 +1,13 @@
-Feature: Which box hands out an account's limit, and what a box may do alone
+Feature: Boxes that allocate an account's limit, and the shares of isolated boxes
 
-  Scenario: Strong boxes hand out, alike in the view of all that know the same boxes
+  Scenario: High-capacity boxes allocate, with the same choice on every box with the same view
     Given boxes of capacity "4 4 4 1 1" of which the first is leaving
-    Then 50 accounts are handed out by strong boxes that are not leaving
-    And each of those hands out for 10 accounts or more
-    And a box that goes moves only its own accounts
+    Then 50 accounts are allocated by high-capacity boxes that are not leaving
+    And each of those boxes allocates for at least 10 accounts
+    And removing one of those boxes moves only its own accounts
 
-  Scenario Outline: Boxes of capacity <capacities> have parts that add up to one
-    Then boxes of capacity "<capacities>" have the parts "<parts>"
+  Scenario Outline: Boxes of capacity <capacities> have shares that add up to one
+    Then boxes of capacity "<capacities>" have the shares "<parts>"
 
     Examples:
       | capacities | parts                |
@@ -16,8 +16,8 @@
       | 4 4 1 1    | 0.375 0.375 0.125 0.125 |
       | 1          | 1                    |
 
-  Scenario Outline: A box that knows <most> boxes and hears <heard> hears most: <answer>
-    Then a box that knew <most> boxes at once and hears <heard> others hears most: "<answer>"
+  Scenario Outline: A box that knew <most> boxes and receives heartbeats from <heard> reaches the majority: <answer>
+    Then a box that knew <most> boxes at once and receives heartbeats from <heard> others reaches the majority: "<answer>"
 
     Examples:
       | most | heard | answer |
@@ -27,5 +27,5 @@
       | 60   | 20    | no     |
       | 60   | 30    | yes    |
 
-  Scenario: Accounts beyond the first ones share a series
-    Then of accounts "a b c a d b" the labels for 2 series are "a b other a other b"
+  Scenario: Accounts beyond the limit share a metric series
+    Then accounts "a b c a d b" with at most 2 series get the labels "a b other a other b"
--- a/packages/entry-box/src/accounts.steps.ts
+++ b/packages/entry-box/src/accounts.steps.ts
@@ -36,52 +36,58 @@
 );
 
 const boxesOf = (world: object) => notes(world).get<readonly BoxProfile[]>("boxes");
-const firstOf = (account: string, boxes: readonly BoxProfile[]) =>
+const allocatorOf = (account: string, boxes: readonly BoxProfile[]) =>
   rankAllocators(account, boxes)[0];
 const accounts = Array.from({ length: 50 }, (_, index) => `account-${index}`);
 
-Then("50 accounts are handed out by strong boxes that are not leaving", function (this: object) {
-  const boxes = boxesOf(this);
-  for (const account of accounts) {
-    assert.ok(["p1", "p2"].includes(firstOf(account, boxes)));
-    assert.equal(firstOf(account, boxes), firstOf(account, [...boxes].reverse()));
-  }
-});
+Then(
+  "50 accounts are allocated by high-capacity boxes that are not leaving",
+  function (this: object) {
+    const boxes = boxesOf(this);
+    for (const account of accounts) {
+      assert.ok(["p1", "p2"].includes(allocatorOf(account, boxes)));
+      assert.equal(allocatorOf(account, boxes), allocatorOf(account, [...boxes].reverse()));
+    }
+  },
+);
 
-Then("each of those hands out for 10 accounts or more", function (this: object) {
+Then("each of those boxes allocates for at least 10 accounts", function (this: object) {
   for (const address of ["p1", "p2"]) {
-    const own = accounts.filter((account) => firstOf(account, boxesOf(this)) === address);
+    const own = accounts.filter((account) => allocatorOf(account, boxesOf(this)) === address);
     assert.ok(own.length >= 10);
   }
 });
 
-Then("a box that goes moves only its own accounts", function (this: object) {
+Then("removing one of those boxes moves only its own accounts", function (this: object) {
   const boxes = boxesOf(this);
-  const left = boxes.filter(({ peerAddress }) => peerAddress !== "p1");
+  const remaining = boxes.filter(({ peerAddress }) => peerAddress !== "p1");
   for (const account of accounts) {
-    const before = firstOf(account, boxes);
-    if (before !== "p1") assert.equal(firstOf(account, left), before);
+    const before = allocatorOf(account, boxes);
+    if (before !== "p1") assert.equal(allocatorOf(account, remaining), before);
   }
 });
 
-Then("boxes of capacity {string} have the parts {string}", (capacities: string, parts: string) => {
-  const boxes = numbers(capacities).map((capacity, index) => profileOf(capacity, index));
-  assert.deepEqual([...limitSharesOf(boxes).values()], numbers(parts));
-});
+Then(
+  "boxes of capacity {string} have the shares {string}",
+  (capacities: string, shares: string) => {
+    const boxes = numbers(capacities).map((capacity, index) => profileOf(capacity, index));
+    assert.deepEqual([...limitSharesOf(boxes).values()], numbers(shares));
+  },
+);
 
 Then(
-  "a box that knew {int} boxes at once and hears {int} others hears most: {string}",
-  (most: number, heard: number, answer: string) => {
-    const statuses = Array.from({ length: heard }, () => ({}) as BoxStatus);
-    const peers = { statuses: () => statuses, most: () => most };
+  "a box that knew {int} boxes at once and receives heartbeats from {int} others reaches the majority: {string}",
+  (maxKnown: number, otherBoxes: number, answer: string) => {
+    const statuses = Array.from({ length: otherBoxes }, () => ({}) as BoxStatus);
+    const peers = { statuses: () => statuses, most: () => maxKnown };
     assert.equal(reachesMajority(peers) ? "yes" : "no", answer);
   },
 );
 
 Then(
-  "of accounts {string} the labels for {int} series are {string}",
-  (values: string, series: number, labels: string) => {
-    const label = createBoundedLabel(series);
+  "accounts {string} with at most {int} series get the labels {string}",
+  (values: string, maxSeries: number, labels: string) => {
+    const label = createBoundedLabel(maxSeries);
     assert.equal(values.split(" ").map(label).join(" "), labels);
   },
 );
--- a/packages/entry-box/src/activity.ts
+++ b/packages/entry-box/src/activity.ts
@@ -1,39 +1,42 @@
-/** How busy this box is: whether callers use it, and whether its processor has room left. */
+/** Tracks whether callers use this box and whether its processor is overloaded. */
 import { type Clock, type Random, repeatEvery, type Service } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 
 export interface ActivityMonitor extends Service {
-  /** Notes a request. */
+  /** Records the arrival of a request. */
   recordRequest(): void;
-  /** Whether callers have sent requests lately. */
+  /** Whether a request arrived within the last few seconds. */
   takesRequests(): boolean;
-  /** Whether little of the processor is left. */
+  /** Whether the processor is close to full utilization. */
   strained(): boolean;
 }
 
-/** Callers may come back for as long after their last request. */
 const recentRequestWindowMs: Milliseconds = 10_000;
 const sampleIntervalMs: Milliseconds = 1_000;
-/** Two shares, so that a box does not change its mind with every sample. */
+/** Two thresholds, so that the state does not flap between samples. */
 const strainedThreshold = 0.75;
 const recoveredThreshold = 0.5;
 
-/** `busyShare` tells the share of the time since its last call in which the process was at work. */
+/**
+ * Creates a monitor.
+ *
+ * @param processorUtilization fraction of the time since its last call that the process was busy, from 0 to 1
+ */
 export function createActivityMonitor(
   clock: Clock,
   random: Random,
-  busyShare: () => number,
+  processorUtilization: () => number,
 ): ActivityMonitor {
-  let lastAt = -Infinity;
+  let lastRequestAt = -Infinity;
   let strained = false;
   const sampling = repeatEvery(clock, random, sampleIntervalMs, () => {
-    strained = busyShare() > (strained ? recoveredThreshold : strainedThreshold);
+    strained = processorUtilization() > (strained ? recoveredThreshold : strainedThreshold);
   });
   return {
     recordRequest() {
-      lastAt = clock.now();
+      lastRequestAt = clock.now();
     },
-    takesRequests: () => clock.now() - lastAt < recentRequestWindowMs,
+    takesRequests: () => clock.now() - lastRequestAt < recentRequestWindowMs,
     strained: () => strained,
     start: sampling.start,
     stop: sampling.stop,
--- a/packages/entry-box/src/bounded-label.ts
+++ b/packages/entry-box/src/bounded-label.ts
@@ -1,15 +1,15 @@
-/** Values of a metric's label, of which only so many have a series of their own. */
+/** Bounds the number of series that a metric label can create. */
 
-/** What stands for all values beyond the first ones, and for none. */
+/** Label of absent values and of all values beyond the limit. */
 export const otherLabel = "other";
 
-/** Creates a label that keeps the first `most` values apart. */
-export function createBoundedLabel(most: number): (value: string | undefined) => string {
-  const known = new Set<string>();
+/** Creates a label function that maps the first `maxValues` distinct values to themselves and all others to `otherLabel`. */
+export function createBoundedLabel(maxValues: number): (value: string | undefined) => string {
+  const seen = new Set<string>();
   return (value) => {
     if (value === undefined) return otherLabel;
-    if (!known.has(value) && known.size >= most) return otherLabel;
-    known.add(value);
+    if (!seen.has(value) && seen.size >= maxValues) return otherLabel;
+    seen.add(value);
     return value;
   };
 }
--- a/packages/entry-box/src/box-loads.ts
+++ b/packages/entry-box/src/box-loads.ts
@@ -1,4 +1,4 @@
-/** Work of boxes at targets: sums over boxes, and one box's part taken out of a sum. */
+/** Load that boxes put on targets, and sums of it over boxes. */
 import type { BoxStatus } from "@linkfall/box-peers";
 import type { Fleet, TargetLoad } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
@@ -6,13 +6,13 @@
 
 export type LoadByTarget = Readonly<Record<string, TargetLoad>>;
 
-/** This box's requests by target, without targets that have none. */
+/** This box's load on each target; targets without load are omitted. */
 export function ownLoads(fleet: Fleet): LoadByTarget {
   const busy = fleet.all().filter(({ own }) => own.inFlight > 0 || own.promptTokens > 0);
   return Object.fromEntries(busy.map(({ listed, own }) => [listed.id, own]));
 }
 
-/** Requests of several boxes by target. */
+/** Sums the loads of several boxes by target. */
 export function sumLoads(loads: readonly LoadByTarget[]): Map<string, TargetLoad> {
   const sums = new Map<string, TargetLoad>();
   for (const [id, load] of loads.flatMap((entry) => Object.entries(entry))) {
@@ -25,13 +25,13 @@
   return sums;
 }
 
-/** A sum without one box's part; targets that are left without work are left out. */
+/** Subtracts one box's loads from a sum; targets without remaining load are omitted. */
 export function subtractLoads(
   sums: ReadonlyMap<string, TargetLoad>,
-  part: LoadByTarget,
+  loads: LoadByTarget,
 ): LoadByTarget {
   const rest = [...sums].map(([id, sum]) => {
-    const own = part[id];
+    const own = loads[id];
     const inFlight = Math.max(0, sum.inFlight - (own?.inFlight ?? 0));
     const promptTokens = Math.max(0, sum.promptTokens - (own?.promptTokens ?? 0));
     return [id, { inFlight, promptTokens }] as const;
@@ -39,7 +39,7 @@
   return Object.fromEntries(rest.filter(([, load]) => load.inFlight + load.promptTokens > 0));
 }
 
-/** Whether a box has requests that wait for weights. */
+/** Whether a box has requests waiting for model weights to load. */
 export function hasWaitingRequests(status: BoxStatus | undefined): boolean {
   if (!status) return false;
   return status.demand.some(
@@ -47,10 +47,10 @@
   );
 }
 
-/** Models that nobody has asked for in this time are left out of a heartbeat. */
+/** Models without a request within this time are omitted from heartbeats. */
 const recentDemandWindowMs: Milliseconds = 3_000;
 
-/** The part of a box's demand that the order giver has to hear. */
+/** The entries of a box's demand that the lease holder needs for placement. */
 export function recentDemand(demand: readonly ModelDemand[]): readonly ModelDemand[] {
   return demand.filter((entry) => entry.idleMs < recentDemandWindowMs);
 }
--- a/packages/entry-box/src/box-ports.ts
+++ b/packages/entry-box/src/box-ports.ts
@@ -1,4 +1,4 @@
-/** What a box that forwards opaque requests needs of its surroundings. */
+/** The platform interfaces that a box depends on. */
 import type { Clock, Random } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
 import type { Metrics } from "@linkfall/metrics";
@@ -8,25 +8,25 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  /** The ports record into it as well. */
+  /** Shared with the ports, which record metrics of their own. */
   readonly metrics: Metrics;
   /** Written by operators only. */
   readonly configurationStream: KeyedStreamPort;
   /** Written by targets only. */
   readonly targetStream: KeyedStreamPort;
-  /** Where boxes leave their addresses. */
+  /** Where boxes register their peer addresses. */
   readonly boxStream: KeyedStreamPort;
   /** Where boxes claim the order lease. */
   readonly leaseStream: KeyedStreamPort;
-  /** Where boxes keep the requests that they hold back. */
+  /** Where boxes persist requests that are held back because they crashed targets. */
   readonly heldStream: KeyedStreamPort;
   /** Key of the record that holds the whole configuration. */
   readonly configurationKey: string;
   readonly records: RecordCodec;
   readonly requests: RequestCodec;
   readonly engines: RoutedEnginePort;
-  /** Share of the time since the last call in which this process was at work, from 0 to 1. */
+  /** Fraction of the time since the last call that this process was busy, from 0 to 1. */
   processorUtilization(): number;
-  /** Turns of this process's event loop since its start. */
+  /** Iterations of the event loop since the process started. */
   loopIterations(): number;
 }
--- a/packages/entry-box/src/box-ranking.steps.ts
+++ b/packages/entry-box/src/box-ranking.steps.ts
@@ -3,7 +3,7 @@
 import { notes } from "@linkfall/test-support";
 import { chooseReaders, type BoxInDomain } from "./box-ranking.js";
 
-const placed = (names: string, domain: string, capacity: number): readonly BoxInDomain[] =>
+const boxesIn = (names: string, domain: string, capacity: number): readonly BoxInDomain[] =>
   names.split(" ").map((box) => ({ box, domain, capacity }));
 
 const boxesOf = (world: object) => notes(world).get<readonly BoxInDomain[]>("boxes");
@@ -19,13 +19,13 @@
     otherDomain: string,
     otherCapacity: number,
   ) {
-    const others = placed(otherNames, otherDomain, otherCapacity);
-    notes(this).set("boxes", [...placed(names, domain, capacity), ...others]);
+    const others = boxesIn(otherNames, otherDomain, otherCapacity);
+    notes(this).set("boxes", [...boxesIn(names, domain, capacity), ...others]);
   },
 );
 
 Then(
-  "of {int} readers one stands in {string} and one in {string}",
+  "of {int} readers one is in {string} and one in {string}",
   function (this: object, count: number, one: string, other: string) {
     const boxes = boxesOf(this);
     const domains = chooseReaders(boxes, count).map(
@@ -35,15 +35,15 @@
   },
 );
 
-Then("{int} readers are {int} boxes", function (this: object, count: number, different: number) {
-  assert.equal(new Set(chooseReaders(boxesOf(this), count)).size, different);
-});
-
 Then(
-  "of {int} readers all are among {string}",
-  function (this: object, count: number, names: string) {
-    const readers = chooseReaders(boxesOf(this), count);
-    assert.equal(readers.length, count);
-    for (const name of readers) assert.ok(names.split(" ").includes(name), name);
+  "{int} readers are {int} distinct boxes",
+  function (this: object, count: number, distinct: number) {
+    assert.equal(new Set(chooseReaders(boxesOf(this), count)).size, distinct);
   },
 );
+
+Then("all {int} readers are among {string}", function (this: object, count: number, names: string) {
+  const readers = chooseReaders(boxesOf(this), count);
+  assert.equal(readers.length, count);
+  for (const name of readers) assert.ok(names.split(" ").includes(name), name);
+});
--- a/packages/entry-box/src/box-ranking.ts
+++ b/packages/entry-box/src/box-ranking.ts
@@ -1,4 +1,4 @@
-/** The order in which boxes take up work that few of them do: strong ones first, the rest by hash. */
+/** Ranks boxes for work that only a few of them do: by capacity, then by hash. */
 import { rankNodes } from "@linkfall/rendezvous";
 
 export interface RankedBox {
@@ -12,7 +12,7 @@
 
 const rankingKey = "orders";
 
-/** Names of the boxes, the first to act first. Boxes that know the same others rank them alike. */
+/** Box names in order of preference. Boxes with the same view of the members compute the same ranking. */
 export function rankBoxes(boxes: readonly RankedBox[]): readonly string[] {
   const capacities = new Map(boxes.map(({ box, capacity }) => [box, capacity]));
   const hashed = rankNodes(rankingKey, [...capacities.keys()]);
@@ -21,8 +21,8 @@
 }
 
 /**
- * Names of the boxes that read the store for all: the first in rank, then the first of each further failure
- * domain, so that none of these takes all of them along; the next in rank where there are fewer domains.
+ * Names of the boxes that read the store on behalf of all: the highest-ranked box of each failure domain, so that
+ * one domain's failure does not stop all reads, then the remaining boxes by rank.
  */
 export function chooseReaders(boxes: readonly BoxInDomain[], count: number): readonly string[] {
   const domainOf = new Map(boxes.map(({ box, domain }) => [box, domain]));
--- a/packages/entry-box/src/box-registry.ts
+++ b/packages/entry-box/src/box-registry.ts
@@ -1,26 +1,26 @@
-/** Finds the other boxes through a stream of the store in which each box leaves its address. */
+/** Discovers other boxes through a stream of the store in which each box registers its address. */
 import type { BoxAddress, Peers } from "@linkfall/box-peers";
 import { type Clock, sleep } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
 import type { KeyedStreamPort } from "@linkfall/ports";
 import { isEndpoint, type Milliseconds } from "@linkfall/types";
 
-/** Pause after the registry could not be read or written. */
+/** Delay after a failed read or write of the registry. */
 const retryDelayMs: Milliseconds = 500;
-/** How often the registry is read again, for boxes that nobody has told of. */
+/** Interval between reads of the registry in a full mesh. */
 const meshPollIntervalMs: Milliseconds = 15_000;
-/** The same where one box hears all others and tells of them. */
+/** Interval between reads while the lease holder reports all boxes. */
 const hubPollIntervalMs: Milliseconds = 60_000;
 
-/** Other writers may leave records under any key; log lines show no more of it. */
+/** Keys come from other writers; log lines show at most this many characters. */
 const maxLoggedKeyLength = 64;
 
-/** What another writer left in place of an address is passed over: it names no box to ask. */
+/** Returns undefined if the value is not an address. */
 function parseAddress(box: string, text: string): BoxAddress | undefined {
   return isEndpoint(text) ? { box, peerAddress: text } : undefined;
 }
 
-/** Registers this box, and learns of others until `stopped` tells to end. */
+/** Registers this box and adds the other registered boxes to the peers until `stopped` returns true. */
 export async function followRegistry(
   { clock, logger }: { readonly clock: Clock; readonly logger: Logger },
   stream: KeyedStreamPort,
@@ -44,7 +44,7 @@
           });
       }
     });
-    const againMs = peers.mesh() ? meshPollIntervalMs : hubPollIntervalMs;
-    await sleep(clock, registered && read.isRight() ? againMs : retryDelayMs);
+    const pollIntervalMs = peers.mesh() ? meshPollIntervalMs : hubPollIntervalMs;
+    await sleep(clock, registered && read.isRight() ? pollIntervalMs : retryDelayMs);
   }
 }
--- a/packages/entry-box/src/box-runtime.ts
+++ b/packages/entry-box/src/box-runtime.ts
@@ -1,4 +1,4 @@
-/** What the services of one box share while they are wired. */
+/** Dependencies shared by the services of one box. */
 import { createPeerClient, type PeerClient } from "@linkfall/box-peers";
 import type { EntrySettings } from "@linkfall/entry-settings";
 import { clockName, createKernel, type Kernel, randomName } from "@linkfall/kernel";
@@ -21,7 +21,7 @@
   readonly peerClient: PeerClient;
 }
 
-/** Creates the parts, with the services that every other one needs. */
+/** Creates the runtime and registers the services that all others depend on. */
 export function createBoxRuntime(settings: EntrySettings, ports: EntryBoxPorts): BoxRuntime {
   const { clock, random, logger } = ports;
   const kernel = createKernel();
--- a/packages/entry-box/src/boxes-with-callers.ts
+++ b/packages/entry-box/src/boxes-with-callers.ts
@@ -1,16 +1,18 @@
-/** How many boxes share what callers bring, such as the retry budget. */
+/** Counts the boxes that receive requests from callers, for limits divided among them. */
 import { peersName } from "@linkfall/box-peers";
 import type { BoxRuntime } from "./box-runtime.js";
 import { strongCapacityThreshold } from "./entries.js";
 import { ownProfile } from "./own-profile.js";
 
-/** Boxes that callers use or are sent to, this one included. */
-export function countBoxesWithCallers(parts: BoxRuntime): number {
-  const peers = parts.kernel.find(peersName);
+/** Number of boxes that callers use or are directed to, including this one. */
+export function countBoxesWithCallers(runtime: BoxRuntime): number {
+  const peers = runtime.kernel.find(peersName);
   if (peers.mesh()) return peers.most();
-  const own = ownProfile(parts);
+  const own = ownProfile(runtime);
   const boxes = [own, ...peers.alive()];
-  const from = strongCapacityThreshold(boxes);
-  const used = boxes.filter((box) => box === own || box.takesRequests || box.capacity >= from);
+  const minCapacity = strongCapacityThreshold(boxes);
+  const used = boxes.filter(
+    (box) => box === own || box.takesRequests || box.capacity >= minCapacity,
+  );
   return used.length;
 }
--- a/packages/entry-box/src/connected.ts
+++ b/packages/entry-box/src/connected.ts
@@ -1,4 +1,4 @@
-/** Whether a box belongs to the better part of all boxes, of which there can be only one. */
+/** Detects whether this box is partitioned from the majority of boxes. */
 import { type Peers, peersName } from "@linkfall/box-peers";
 import { orderLeaseName } from "@linkfall/order-lease";
 import type { Milliseconds } from "@linkfall/types";
@@ -6,20 +6,20 @@
 import type { LeaseHolderView } from "./heartbeat-receiver.js";
 
 /**
- * Silence, as a share of the one that makes a box suspected, after which a box takes itself for cut off: longer than a
- * round of a box that has no callers yet.
+ * Fraction of the suspicion timeout without heartbeats after which a box considers itself isolated. Exceeds the heartbeat
+ * interval of boxes without callers.
  */
 const isolationFraction = 0.65;
 
-/** What a box goes by. */
+/** Recent contact with other boxes; logged under these names. */
 interface PeerContact {
-  /** Other boxes that it has heard lately. */
+  /** Number of other boxes with a recent heartbeat. */
   readonly heard: number;
-  /** Time since it heard the holder of the order lease; absent where it knows none, or never heard it. */
+  /** Time since the last heartbeat of the lease holder; absent if there is none. */
   readonly holderHeardMs?: Milliseconds;
 }
 
-/** Whether this box itself hears most of the boxes that it ever knew. */
+/** Whether this box receives heartbeats from a majority of the boxes it has ever known at once. */
 export function reachesMajority(peers: Pick<Peers, "statuses" | "most">): boolean {
   return (peers.statuses().length + 1) * 2 > peers.most();
 }
@@ -35,34 +35,34 @@
 }
 
 /**
- * Whether this box is connected: it hears most boxes itself, or, where boxes do not all hear each other, the
- * holder of the order lease who does. That is known sooner than who is silent.
+ * Whether this box is connected to the majority: directly, or, outside a full mesh, through a lease holder that
+ * is. Detects isolation earlier than the suspicion of single members.
  */
-function isConnected(peers: Peers, contact: PeerContact, holderHearsMost: boolean): boolean {
-  const lateMs = peers.suspectMs() * isolationFraction;
+function isConnected(peers: Peers, contact: PeerContact, holderReachesMajority: boolean): boolean {
+  const isolationMs = peers.suspectMs() * isolationFraction;
   if (peers.most() === 1) return true;
-  // Also the holder itself, and who was the holder until now.
-  if (reachesMajority(peers) && peers.silentMs() < lateMs) return true;
+  // Covers the lease holder itself, also one that has just lost the lease.
+  if (reachesMajority(peers) && peers.silentMs() < isolationMs) return true;
   if (peers.mesh()) return false;
-  return (contact.holderHeardMs ?? Infinity) < lateMs && holderHearsMost;
+  return (contact.holderHeardMs ?? Infinity) < isolationMs && holderReachesMajority;
 }
 
-/** Creates a look at the connection of this box, which logs each change. */
+/** Creates a check of this box's connection that logs each change of its result. */
 export function createConnectionCheck(
-  parts: BoxRuntime,
-  knowledge: LeaseHolderView,
+  runtime: BoxRuntime,
+  holderView: LeaseHolderView,
 ): () => boolean {
-  let before: boolean | undefined;
+  let wasConnected: boolean | undefined;
   return () => {
-    const peers = parts.kernel.find(peersName);
-    const contact = peerContact(parts);
-    const connected = isConnected(peers, contact, knowledge.reachesMajority);
-    if (connected !== before) {
-      const { reachesMajority: holderHearsMost } = knowledge;
+    const peers = runtime.kernel.find(peersName);
+    const contact = peerContact(runtime);
+    const connected = isConnected(peers, contact, holderView.reachesMajority);
+    if (connected !== wasConnected) {
+      const { reachesMajority: holderHearsMost } = holderView;
       const facts = { connected, most: peers.most(), ...contact, holderHearsMost };
-      parts.ports.logger.event("connectionChanged", facts);
+      runtime.ports.logger.event("connectionChanged", facts);
     }
-    before = connected;
+    wasConnected = connected;
     return connected;
   };
 }
--- a/packages/entry-box/src/create-entry-box.ts
+++ b/packages/entry-box/src/create-entry-box.ts
@@ -1,4 +1,4 @@
-/** Wires the services of a box that forwards opaque requests. */
+/** Assembles the services of a box that forwards opaque requests. */
 import { createPeerServer, peersName } from "@linkfall/box-peers";
 import { crashBlameName } from "@linkfall/crash-blame";
 import { type DesiredFeed, desiredFeedName } from "@linkfall/desired-feed";
@@ -26,7 +26,7 @@
 import { ownProfile } from "./own-profile.js";
 import { createSettingsUpdater, addSeeds } from "./settings-update.js";
 
-/** Addresses that callers may use now. */
+/** Box addresses for callers and the time for which they may be cached. */
 export interface EntryAddresses {
   readonly addresses: readonly string[];
   readonly lifetimeMs: Milliseconds;
@@ -34,44 +34,48 @@
 
 export interface EntryBox {
   start(): Promise<void>;
-  /** Planned stop; resolves when nothing depends on the process any more. */
+  /** Shuts down gracefully; resolves when the process may exit. */
   drain(): Promise<void>;
-  /** Takes settings that were read while the box runs: new seeds at once, the rest from its next start on. */
+  /** Applies settings read while the box runs: new seeds immediately, everything else at the next start. */
   applySettings(read: EntrySettings): void;
   ready(): boolean;
-  /** Addresses for a caller in the given failure domain. */
+  /** Box addresses for a caller in the given failure domain. */
   entries(domain?: string): EntryAddresses;
   metricsText(): string;
-  /** Requests that are held back since targets ended under them. */
+  /** Requests held back because targets crashed while processing them. */
   heldRequests(): readonly HeldRequest[];
-  /** Targets whose limits hold, as this box knows them. */
+  /** Targets with a rate limit in force, as known to this box. */
   limitedTargets(): readonly LimitedTarget[];
-  /** Lets a request through again, at every box; false where it is not held back. */
+  /** Stops holding a request back, on all boxes; returns false if it was not held back. */
   releaseRequest(fingerprint: string): boolean;
 }
 
-/** Accounts that have a series of their own in metrics. */
+/** Accounts with a metric series of their own. */
 const maxAccountLabels = 64;
 const readyPollIntervalMs: Milliseconds = 100;
 
-/** Services in the order in which they need each other; returns where callers connect. */
-function provideServices(parts: BoxRuntime): Front {
-  const { kernel, settings, ports, stop } = parts;
-  const knowledge: LeaseHolderView = { reachesMajority: false, weightsExpectedAt: new Map() };
-  const fleet = provideFleet(parts);
-  provideCrashBlame(parts);
-  provideTargetLimits(parts, knowledge);
-  const feed = provideFeed(parts, fleet);
+/** Registers the services in the order of their dependencies; returns the server that callers connect to. */
+function provideServices(runtime: BoxRuntime): Front {
+  const { kernel, settings, ports, stop } = runtime;
+  const holderView: LeaseHolderView = { reachesMajority: false, weightsExpectedAt: new Map() };
+  const fleet = provideFleet(runtime);
+  provideCrashBlame(runtime);
+  provideTargetLimits(runtime, holderView);
+  const feed = provideFeed(runtime, fleet);
   providePeers(
-    parts,
-    createHeartbeatSource(parts, () => knowledge.followed),
+    runtime,
+    createHeartbeatSource(runtime, () => holderView.followed),
+  );
+  provideOrderLease(runtime);
+  provideOrderDispatcher(runtime);
+  const waiter = createFleetWaiter(runtime);
+  const forward = createForwardContext(
+    runtime,
+    waiter,
+    receiveHeartbeats(runtime, holderView, waiter),
   );
-  provideOrderLease(parts);
-  provideOrderDispatcher(parts);
-  const waiter = createFleetWaiter(parts);
-  const forward = createForwardContext(parts, waiter, receiveHeartbeats(parts, knowledge, waiter));
   const metrics = kernel.find(metricsName);
-  const quota = provideAccountQuota(parts, knowledge);
+  const quota = provideAccountQuota(runtime, holderView);
   const accountLabel = createBoundedLabel(maxAccountLabels);
   const ready = () => feed.ready() && kernel.find(heldStoreName).ready();
   const context = { ready, feed, codec: ports.requests, forward, quota, metrics, accountLabel };
@@ -83,21 +87,21 @@
     limits: () => feed.inForce()?.configuration.limits,
     isClosing: stop.begun,
     handle(request) {
-      parts.activity.recordRequest();
+      runtime.activity.recordRequest();
       return handleRequest(context, request);
     },
   });
 }
 
-/** Boxes that take callers now, as this box hears them. */
-function servingBoxes(parts: BoxRuntime): readonly EntryCandidate[] {
-  const profiles = [ownProfile(parts), ...parts.kernel.find(peersName).alive()];
+/** This box and its live peers, as far as they accept requests. */
+function servingBoxes(runtime: BoxRuntime): readonly EntryCandidate[] {
+  const profiles = [ownProfile(runtime), ...runtime.kernel.find(peersName).alive()];
   return profiles
     .filter(({ ready, leaving }) => ready && !leaving)
     .map(({ frontAddress, ...profile }) => ({ ...profile, address: frontAddress }));
 }
 
-/** Logs when the box serves, and tells the others at once. */
+/** Logs when the box becomes ready and notifies its peers immediately. */
 function announceReady({ kernel, ports }: BoxRuntime, feed: DesiredFeed): void {
   const { clock, logger } = ports;
   const startedAt = clock.now();
@@ -110,12 +114,12 @@
   check();
 }
 
-/** Creates a box; it does nothing before it is started. */
+/** Creates a box that does nothing until it is started. */
 export function createEntryBox(settings: EntrySettings, ports: EntryBoxPorts): EntryBox {
-  const parts = createBoxRuntime(settings, ports);
-  const { kernel, incarnation, stop, peerClient } = parts;
+  const runtime = createBoxRuntime(settings, ports);
+  const { kernel, incarnation, stop, peerClient } = runtime;
   const { logger } = ports;
-  const front = provideServices(parts);
+  const front = provideServices(runtime);
   const feed = kernel.find(desiredFeedName);
   const peers = kernel.find(peersName);
   const lease = kernel.find(orderLeaseName);
@@ -125,7 +129,7 @@
     quota: kernel.find(accountQuotaName).allocate,
     permit: kernel.find(targetLimitsName).allocate,
   });
-  registerGauges(parts, front);
+  registerGauges(runtime, front);
   const blame = kernel.find(crashBlameName);
   const heldStore = kernel.find(heldStoreName);
   const ready = () => feed.ready() && heldStore.ready() && !stop.begun();
@@ -139,7 +143,7 @@
       await kernel.start();
       const self = { box: settings.box.name, peerAddress: settings.box.peer_address };
       void followRegistry(ports, ports.boxStream, self, peers, stop.begun);
-      announceReady(parts, feed);
+      announceReady(runtime, feed);
     },
     async drain() {
       logger.event("boxDraining", { inFlight: front.openRequests() });
@@ -156,7 +160,7 @@
     applySettings: createSettingsUpdater(settings, peers, logger),
     ready,
     entries: (domain) => ({
-      addresses: chooseEntries(servingBoxes(parts), domain),
+      addresses: chooseEntries(servingBoxes(runtime), domain),
       lifetimeMs: settings.callers.entries_lifetime_ms,
     }),
     metricsText: kernel.find(metricsName).expose,
--- a/packages/entry-box/src/entries.feature
+++ b/packages/entry-box/src/entries.feature
@@ -1,4 +1,4 @@
-Feature: Callers are told of boxes that can carry their requests
+Feature: Callers receive the addresses of boxes with enough capacity
 
   Background:
     Given boxes of these capacities
@@ -10,20 +10,20 @@
       | b2  | b      | 1.35     |
       | b3  | b      | 0.3      |
 
-  Scenario: Callers are told of the strong boxes of their failure domain
-    Then callers of "a" are told of "a1 a2"
+  Scenario: Callers receive the high-capacity boxes of their failure domain
+    Then callers in "a" receive the addresses of "a1 a2"
 
-  Scenario: With half of the strong boxes strained, callers are still told of them alone
+  Scenario: With half of the high-capacity boxes strained, callers still receive only these
     Given "a1" is strained
-    Then callers of "a" are told of "a1 a2"
+    Then callers in "a" receive the addresses of "a1 a2"
 
-  Scenario: With most strong boxes of a failure domain strained, its other boxes help
+  Scenario: With most high-capacity boxes of a failure domain strained, callers also receive its other boxes
     Given "a1 a2" are strained
-    Then callers of "a" are told of "a1 a2 a3"
+    Then callers in "a" receive the addresses of "a1 a2 a3"
 
-  Scenario: Callers of a failure domain without boxes are told of strong ones elsewhere
-    Then callers of "c" are told of "a1 a2 b1 b2"
+  Scenario: Callers in a failure domain without boxes receive high-capacity boxes of other domains
+    Then callers in "c" receive the addresses of "a1 a2 b1 b2"
 
-  Scenario: A single box is told of, however strained
+  Scenario: A single box is returned even when it is strained
     Given only "a1", which is strained
-    Then callers of "a" are told of "a1"
+    Then callers in "a" receive the addresses of "a1"
--- a/packages/entry-box/src/entries.steps.ts
+++ b/packages/entry-box/src/entries.steps.ts
@@ -4,7 +4,8 @@
 import { chooseEntries, type EntryCandidate } from "./entries.js";
 
 const boxesOf = (world: object) => notes(world).get<readonly EntryCandidate[]>("boxes");
-const keep = (world: object, boxes: readonly EntryCandidate[]) => notes(world).set("boxes", boxes);
+const setBoxes = (world: object, boxes: readonly EntryCandidate[]) =>
+  notes(world).set("boxes", boxes);
 const split = (names: string) => names.split(" ");
 
 Given("boxes of these capacities", function (this: object, table: DataTable) {
@@ -14,25 +15,25 @@
     capacity: Number(capacity),
     strained: false,
   }));
-  keep(this, boxes);
+  setBoxes(this, boxes);
 });
 
 Given(/^"([^"]*)" (?:is|are) strained$/, function (this: object, names: string) {
   const strained = new Set(split(names));
   const boxes = boxesOf(this).map((box) => ({ ...box, strained: strained.has(box.address) }));
-  keep(this, boxes);
+  setBoxes(this, boxes);
 });
 
 Given("only {string}, which is strained", function (this: object, name: string) {
   const boxes = boxesOf(this).filter(({ address }) => address === name);
-  keep(
+  setBoxes(
     this,
     boxes.map((box) => ({ ...box, strained: true })),
   );
 });
 
 Then(
-  "callers of {string} are told of {string}",
+  "callers in {string} receive the addresses of {string}",
   function (this: object, domain: string, names: string) {
     assert.deepEqual(chooseEntries(boxesOf(this), domain), split(names));
   },
--- a/packages/entry-box/src/entries.ts
+++ b/packages/entry-box/src/entries.ts
@@ -1,45 +1,51 @@
-/** Which boxes a caller is told of. */
+/** Selects the boxes whose addresses a caller receives. */
 
-/** One box that takes callers. */
+/** A box that accepts requests from callers. */
 export interface EntryCandidate {
   readonly address: string;
   readonly domain: string;
-  /** What it can carry, in cores of one speed. */
+  /** Processor capacity, in cores of the reference speed. */
   readonly capacity: number;
-  /** It has little of its processor left. */
+  /** Whether its processor is close to full utilization. */
   readonly strained: boolean;
 }
 
-/** With fewer boxes than this to choose from, a caller is told of more. */
+/** With fewer candidates than this, the selection is widened. */
 const minEntries = 2;
-/** Boxes with this share of the strongest one's capacity are strong as well. */
+/** Boxes with at least this fraction of the highest capacity count as strong. */
 const strongCapacityRatio = 0.5;
-/** With this share of the strong boxes strained, the others are needed too. */
+/** Above this fraction of strained strong boxes, the others are used as well. */
 const maxStrainedFraction = 0.5;
 
-/** Capacity from which on a box counts as strong. */
+/** Minimum capacity of a strong box. */
 export function strongCapacityThreshold(
   boxes: readonly Pick<EntryCandidate, "capacity">[],
 ): number {
   return Math.max(0, ...boxes.map((box) => box.capacity)) * strongCapacityRatio;
 }
 
-/** The boxes that are to take requests while they can carry them: few that know much serve better
- * than many that know little. */
-function preferredBoxes(boxes: readonly EntryCandidate[], from: number): readonly EntryCandidate[] {
-  const strong = boxes.filter((box) => box.capacity >= from);
+/** The strong boxes while few of them are strained, else all: fewer boxes each have a more complete view of the load. */
+function preferredBoxes(
+  boxes: readonly EntryCandidate[],
+  minCapacity: number,
+): readonly EntryCandidate[] {
+  const strong = boxes.filter((box) => box.capacity >= minCapacity);
   const strained = strong.filter((box) => box.strained);
   return strained.length > strong.length * maxStrainedFraction ? boxes : strong;
 }
 
-/** Addresses for a caller: strong boxes of its failure domain where there are enough, else of all. */
+/** Addresses for a caller: preferred boxes of its failure domain if there are enough, else of all domains. */
 export function chooseEntries(
   boxes: readonly EntryCandidate[],
   domain?: string,
 ): readonly string[] {
-  const near = boxes.filter((box) => box.domain === domain);
-  const from = strongCapacityThreshold(boxes);
-  const choices = [preferredBoxes(near, from), preferredBoxes(boxes, from), near];
+  const inDomain = boxes.filter((box) => box.domain === domain);
+  const minCapacity = strongCapacityThreshold(boxes);
+  const choices = [
+    preferredBoxes(inDomain, minCapacity),
+    preferredBoxes(boxes, minCapacity),
+    inDomain,
+  ];
   const chosen = choices.find((choice) => choice.length >= minEntries) ?? boxes;
   return chosen.map((box) => box.address);
 }
--- a/packages/entry-box/src/forward-context.ts
+++ b/packages/entry-box/src/forward-context.ts
@@ -1,4 +1,4 @@
-/** What the forwarding of a box's requests is made of. */
+/** Assembles the dependencies of request forwarding. */
 import { peersName } from "@linkfall/box-peers";
 import { crashBlameName } from "@linkfall/crash-blame";
 import { fleetName } from "@linkfall/fleet";
@@ -23,31 +23,31 @@
 import { targetLimitsName } from "./provide-limits.js";
 import { countBoxesWithCallers } from "./boxes-with-callers.js";
 
-/** Requests that begin to wait within this time are told together: little against the time of a load. */
+/** Requests that start waiting within this time share one announcement; short compared to a load. */
 const announceDelayMs: Milliseconds = 10;
-/** A target that ended refuses within a millisecond or two; one that is cut off does not answer. */
+/** A stopped target refuses the connection within milliseconds; an unreachable one does not answer. */
 const listenProbeTimeoutMs: Milliseconds = 100;
 const microsecondsPerMillisecond = 1000;
 
-/** Tells the box that gives orders of demand, several requests together. */
+/** Announces demand for models to the lease holder, batching concurrent requests. */
 function createDemandAnnouncer({ kernel, ports }: BoxRuntime): () => void {
   const { clock } = ports;
-  let announcing = false;
+  let scheduled = false;
   const announce = () => {
-    announcing = false;
+    scheduled = false;
     const lease = kernel.find(orderLeaseName);
     if (lease.epoch() !== undefined) return kernel.find(orderGiverName).hurry();
     const holder = lease.known()?.holder;
     kernel.find(peersName).send((member) => member.status?.incarnation === holder);
   };
   return () => {
-    if (announcing) return;
-    announcing = true;
+    if (scheduled) return;
+    scheduled = true;
     clock.after(announceDelayMs, announce);
   };
 }
 
-/** A waiter that wakes its requests when what is believed of targets has changed. */
+/** Creates a waiter that wakes waiting requests when the state of a target changes. */
 export function createFleetWaiter({ kernel, ports }: BoxRuntime): ChangeWaiter {
   const waiter = createChangeWaiter(ports.clock);
   kernel.find(fleetName).onChange(waiter.wake);
@@ -55,11 +55,11 @@
 }
 
 export function createForwardContext(
-  parts: BoxRuntime,
+  runtime: BoxRuntime,
   waiter: ChangeWaiter,
   receiver: HeartbeatReceiver,
 ): ForwardContext {
-  const { kernel, settings, ports, demand } = parts;
+  const { kernel, settings, ports, demand } = runtime;
   const { forwarding, retries } = settings;
   const { clock, random, logger } = ports;
   return {
@@ -78,9 +78,9 @@
     demand,
     waiter,
     domain: settings.box.domain,
-    tellOfWait: createDemandAnnouncer(parts),
-    takes: parts.stop.accepts,
-    boxes: () => countBoxesWithCallers(parts),
+    tellOfWait: createDemandAnnouncer(runtime),
+    takes: runtime.stop.accepts,
+    boxes: () => countBoxesWithCallers(runtime),
     expectedWeightsMs: receiver.expectedWeightsMs,
     budget: createRetryBudget(clock, {
       ratio: retries.ratio,
--- a/packages/entry-box/src/front.ts
+++ b/packages/entry-box/src/front.ts
@@ -1,11 +1,11 @@
-/** The address where callers connect: reads requests within the limits and hands them on. */
+/** The HTTP server that callers connect to: reads requests within the configured limits and passes them on. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import { type AnswerSink, createAnswerSink, ownHeaders } from "@linkfall/forwarding";
 import type { CallerLimits, Milliseconds } from "@linkfall/types";
 import { readBody } from "./read-body.js";
 
-/** One request as it was read. */
+/** A request with its complete body. */
 export interface FrontRequest {
   readonly method: string;
   readonly path: string;
@@ -21,21 +21,21 @@
   readonly address: string;
   readonly maxHeaderBytes: number;
   now(): Milliseconds;
-  /** Called for each connection that is taken. */
+  /** Called for each accepted connection. */
   onConnection(): void;
   limits(): CallerLimits | undefined;
-  /** Whether connections are to be closed after their answer. */
+  /** Whether connections are closed after their response. */
   isClosing(): boolean;
   handle(request: FrontRequest): Promise<void>;
 }
 
 export interface Front {
   listen(): Promise<void>;
-  /** Requests that have no final answer yet. */
+  /** Number of requests without a complete response. */
   openRequests(): number;
-  /** Time since the last request began. */
+  /** Time since the last request arrived. */
   idleMs(): Milliseconds;
-  /** Takes no new connections and closes those without a request. */
+  /** Accepts no new connections and closes idle ones. */
   close(): void;
   closeAll(): void;
 }
@@ -73,14 +73,14 @@
   response.end();
 }
 
-/** Creates a front that does not listen yet. */
+/** Creates the server; it does not listen until `listen` is called. */
 export function createFront(input: FrontOptions): Front {
-  let open = 0;
-  let lastAt = input.now();
+  let openRequests = 0;
+  let lastRequestAt = input.now();
 
   const serve = async (message: IncomingMessage, response: ServerResponse) => {
     const arrivedAt = input.now();
-    lastAt = arrivedAt;
+    lastRequestAt = arrivedAt;
     const limits = input.limits() ?? defaultLimits;
     applyLimits(server, limits);
     const sink = createAnswerSink(response, input.isClosing);
@@ -88,7 +88,7 @@
     if (!path.startsWith("/")) return rejectUnread(response, 400);
     const body = await readBody(message, limits.maxBodyBytes);
     if (body.kind === "too_large") return rejectUnread(response, 413);
-    if (body.kind === "cut") return;
+    if (body.kind === "aborted") return;
     await input.handle({
       method: message.method ?? "GET",
       path,
@@ -103,8 +103,8 @@
   const server = createServer(
     { maxHeaderSize: input.maxHeaderBytes, connectionsCheckingInterval: connectionCheckIntervalMs },
     (message, response) => {
-      open += 1;
-      void serve(message, response).finally(() => void (open -= 1));
+      openRequests += 1;
+      void serve(message, response).finally(() => void (openRequests -= 1));
     },
   );
   server.requestTimeout = 0;
@@ -112,15 +112,19 @@
   server.on("clientError", rejectMalformed);
   server.on("connection", input.onConnection);
 
-  const mark = input.address.lastIndexOf(":");
+  const separator = input.address.lastIndexOf(":");
   return {
     listen: () =>
       new Promise((resolve, reject) => {
         server.once("error", reject);
-        server.listen(Number(input.address.slice(mark + 1)), input.address.slice(0, mark), resolve);
+        server.listen(
+          Number(input.address.slice(separator + 1)),
+          input.address.slice(0, separator),
+          resolve,
+        );
       }),
-    openRequests: () => open,
-    idleMs: () => input.now() - lastAt,
+    openRequests: () => openRequests,
+    idleMs: () => input.now() - lastRequestAt,
     close() {
       server.close();
       server.closeIdleConnections();
@@ -129,7 +133,7 @@
   };
 }
 
-/** Answers a request that no target gets. */
+/** Answers a request that is not forwarded to a target. */
 export function respondLocally(
   sink: AnswerSink,
   status: number,
--- a/packages/entry-box/src/gauges.ts
+++ b/packages/entry-box/src/gauges.ts
@@ -1,4 +1,4 @@
-/** Gauges of what a box believes. */
+/** Gauges of the box's current state. */
 import { peersName } from "@linkfall/box-peers";
 import { desiredFeedName } from "@linkfall/desired-feed";
 import { fleetName } from "@linkfall/fleet";
@@ -21,37 +21,41 @@
   );
   metrics.gauge(
     "linkfall_configuration_age_seconds",
-    "Time since the configuration came into force on this box.",
+    "Time since the configuration took effect on this box.",
     () => Math.round((ports.clock.now() - (feed.inForce()?.since ?? 0)) / millisecondsPerSecond),
   );
-  metrics.gauge("linkfall_store_reachable", "1 while the store answers this box.", () =>
+  metrics.gauge("linkfall_store_reachable", "1 while this box can reach the store.", () =>
     feed.reachesStore() ? 1 : 0,
   );
-  metrics.gauge("linkfall_engine_reports_age_ms", "Age of the oldest engine's holdings.", () => {
-    const engines = fleet.all().filter(({ holdings }) => holdings.sequence >= 0);
-    const oldest = Math.min(ports.clock.now(), ...engines.map(({ holdingsAt }) => holdingsAt));
-    return Math.round(ports.clock.now() - oldest);
-  });
-  metrics.gauge("linkfall_store_read_here", "1 while this box reads the store itself.", () =>
+  metrics.gauge(
+    "linkfall_engine_reports_age_ms",
+    "Age of the oldest report of an engine's loaded models.",
+    () => {
+      const engines = fleet.all().filter(({ holdings }) => holdings.sequence >= 0);
+      const oldest = Math.min(ports.clock.now(), ...engines.map(({ holdingsAt }) => holdingsAt));
+      return Math.round(ports.clock.now() - oldest);
+    },
+  );
+  metrics.gauge("linkfall_store_read_here", "1 while this box reads the store directly.", () =>
     feed.reading() ? 1 : 0,
   );
-  metrics.gauge("linkfall_requests_open", "Requests without a final answer.", front.openRequests);
+  metrics.gauge(
+    "linkfall_requests_open",
+    "Requests without a complete response.",
+    front.openRequests,
+  );
   metrics.gauge(
     "linkfall_boxes_heard",
-    "Other boxes that are taken for alive.",
+    "Other boxes that this box considers alive.",
     () => kernel.find(peersName).alive().length,
   );
-  metrics.gauge("linkfall_lease_held", "1 while this box may give orders.", () =>
+  metrics.gauge("linkfall_lease_held", "1 while this box holds the order lease.", () =>
     lease.epoch() === undefined ? 0 : 1,
   );
-  metrics.gauge(
-    "linkfall_targets_known",
-    "Targets that are believed in.",
-    () => fleet.all().length,
-  );
+  metrics.gauge("linkfall_targets_known", "Targets known to this box.", () => fleet.all().length);
   metrics.gauge(
     "linkfall_targets_missing",
-    "Targets whose entry has lapsed.",
-    () => fleet.all().filter((belief) => belief.missingSince !== undefined).length,
+    "Targets whose registration has lapsed.",
+    () => fleet.all().filter((target) => target.missingSince !== undefined).length,
   );
 }
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -1,4 +1,4 @@
-/** From a request as it was read to its way through the box. */
+/** Handles a caller's request: routing, authentication, account limits and forwarding. */
 import type { AccountQuota } from "@linkfall/account-quota";
 import type { ConfigurationInForce, DesiredFeed } from "@linkfall/desired-feed";
 import {
@@ -17,25 +17,24 @@
 import { identify } from "./identify.js";
 
 export interface HandleContext {
-  /** Whether the box knows what it has to know before it serves. */
+  /** Whether the box has loaded the state it needs to serve requests. */
   ready(): boolean;
   readonly feed: DesiredFeed;
   readonly codec: RequestCodec;
   readonly forward: ForwardContext;
   readonly quota: AccountQuota;
   readonly metrics: Metrics;
-  /** Name of an account in metrics. */
+  /** Label of an account in metrics. */
   accountLabel(account: string | undefined): string;
 }
 
 const notReadyRetryAfterMs: Milliseconds = 500;
-/** The account has used up its limit. */
 const overLimitStatus = 429;
 
-/** Works the fingerprint out when it is first asked for: most requests never need theirs. */
+/** Computes the fingerprint on first use, since most requests never need it. */
 function lazyFingerprint(content: RequestContent): () => string {
-  let known: string | undefined;
-  return () => (known ??= fingerprintOf(content));
+  let cached: string | undefined;
+  return () => (cached ??= fingerprintOf(content));
 }
 
 function toForwardedRequest(
@@ -47,7 +46,7 @@
 ): ForwardedRequest | undefined {
   const service = configuration.services.get(shareFor(route, terms.id).service);
   if (!service) return undefined;
-  const heldMs = Math.min(terms.deadlineMs ?? route.timeoutMs, route.timeoutMs);
+  const timeoutMs = Math.min(terms.deadlineMs ?? route.timeoutMs, route.timeoutMs);
   return {
     ...request,
     route,
@@ -56,8 +55,8 @@
     account: account?.name,
     fingerprint: lazyFingerprint({ ...request, account: account?.name }),
     priority: account?.priority ?? route.priority,
-    awaitedUntil: request.arrivedAt + Math.min(heldMs, route.patienceMs ?? heldMs),
-    endsAt: request.arrivedAt + heldMs,
+    awaitedUntil: request.arrivedAt + Math.min(timeoutMs, route.patienceMs ?? timeoutMs),
+    endsAt: request.arrivedAt + timeoutMs,
     position: { lastId: terms.resumeAfter },
     tried: new Set(),
     runs: 0,
@@ -83,7 +82,7 @@
     outcome: end.outcome,
     reason,
   });
-  context.metrics.observe("linkfall_request_ms", "Time until the final answer.", tookMs);
+  context.metrics.observe("linkfall_request_ms", "Time until the response was complete.", tookMs);
   logger.event("requestEnded", {
     request: request.terms.id,
     route: request.route.name,
@@ -106,38 +105,38 @@
   });
 }
 
-/** Answers one request; what it needs to know of the deployment is of the moment of its arrival. */
+/** Handles one request under the configuration in force when it arrives. */
 export async function handleRequest(context: HandleContext, request: FrontRequest): Promise<void> {
   const { feed, codec, forward } = context;
   const terms = codec.readTerms(request.headers);
-  const refused = (status: number, why: string, retryAfterMs?: Milliseconds, more?: object) => {
+  const reject = (status: number, why: string, retryAfterMs?: Milliseconds, more?: object) => {
     const { path } = request;
     forward.logger.event("requestRejected", { request: terms.id, status, why, path, ...more });
     respondLocally(request.sink, status, retryAfterMs);
   };
   const unreadable = codec.unreadable(request.headers);
-  if (unreadable !== undefined) return refused(400, unreadable);
+  if (unreadable !== undefined) return reject(400, unreadable);
   const inForce = feed.inForce();
   if (!inForce || !context.ready())
-    return refused(503, "no configuration yet", notReadyRetryAfterMs);
+    return reject(503, "no configuration yet", notReadyRetryAfterMs);
   const route = inForce.routes.find(request.host, request.path);
-  if (!route) return refused(404, `no route in version ${inForce.configuration.version}`);
+  if (!route) return reject(404, `no route in version ${inForce.configuration.version}`);
   const { version } = inForce.configuration;
   const caller = identify(inForce.keys, route, codec.readKey(request.headers));
   if (caller.kind === "unknown") {
-    return refused(401, caller.why, undefined, { version, key: caller.fingerprint });
+    return reject(401, caller.why, undefined, { version, key: caller.fingerprint });
   }
   const forwarded = toForwardedRequest(request, terms, route, caller.account, inForce);
-  if (!forwarded) return refused(503, "no such service", notReadyRetryAfterMs);
+  if (!forwarded) return reject(503, "no such service", notReadyRetryAfterMs);
   const admission = await admitToQuota(context.quota, caller.account, terms, version);
   if (admission.kind === "refused") {
     const more = { account: forwarded.account, version, retryAfterMs: admission.retryAfterMs };
     context.metrics.count(
       "linkfall_account_refusals_total",
-      "Requests over the limit of their account; accounts beyond the first 64 are summed.",
+      "Requests rejected by their account's limit; accounts beyond the first 64 share a series.",
       { account: context.accountLabel(forwarded.account) },
     );
-    return refused(overLimitStatus, "the account's limit is used up", admission.retryAfterMs, more);
+    return reject(overLimitStatus, "the account's limit is used up", admission.retryAfterMs, more);
   }
   const end = await forwardRequest(forward, forwarded);
   settleQuota(context.quota, admission.use, forwarded, end);
--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -1,4 +1,4 @@
-/** Takes the heartbeats of other boxes: their load, desired state, what the order giver knows. */
+/** Applies the heartbeats of other boxes: their loads, desired state and the lease holder's reports. */
 import {
   type BoxStatus,
   type FollowedReport,
@@ -19,23 +19,23 @@
 import { hasWaitingRequests, sumLoads } from "./box-loads.js";
 
 export interface HeartbeatReceiver {
-  /** Time until weights are expected to be there, as the order giver told. */
+  /** Time until the weights are expected to be loaded, as reported by the lease holder. */
   expectedWeightsMs(wanted: Wanted): Milliseconds | undefined;
 }
 
-/** What was taken of the order giver's reports. */
+/** State received in the lease holder's reports. */
 export interface LeaseHolderView {
   followed?: FollowedReport;
-  /** The order giver hears most boxes. */
+  /** Whether the lease holder receives heartbeats from a majority of boxes. */
   reachesMajority: boolean;
-  /** When models are expected, by `service model`, on this box's clock. */
+  /** When models are expected to be loaded, by `service model`, on this box's clock. */
   weightsExpectedAt: ReadonlyMap<string, Milliseconds>;
 }
 
-/** The loads of boxes that are heard are summed at most this often. */
+/** Minimum interval between two sums over the loads of all peers. */
 const minSumIntervalMs: Milliseconds = 20;
 
-/** Whether the order giver was heard lately enough for its report to count more than the list. */
+/** Whether the lease holder's report is recent enough to take precedence over the registered state of targets. */
 function hasCurrentHolderReport({ kernel, settings }: BoxRuntime): boolean {
   const lease = kernel.find(orderLeaseName);
   if (lease.epoch() !== undefined) return true;
@@ -44,35 +44,35 @@
   return heardMs !== undefined && heardMs < settings.peers.suspect_ms;
 }
 
-/** Asks boxes that are ahead for their configuration, one at a time. */
+/** Fetches the configuration from a box that has a newer version, one fetch at a time. */
 function createConfigurationFetcher({
   kernel,
   peerClient,
 }: BoxRuntime): (other: BoxStatus) => Promise<void> {
-  let asking = false;
+  let fetching = false;
   return async ({ configurationVersion, peerAddress }) => {
     const feed = kernel.find(desiredFeedName);
     const version = feed.inForce()?.configuration.version ?? -1;
-    if (asking || configurationVersion <= version) return;
-    asking = true;
+    if (fetching || configurationVersion <= version) return;
+    fetching = true;
     (await peerClient.configuration(peerAddress)).ifRight(feed.takeConfiguration);
-    asking = false;
+    fetching = false;
   };
 }
 
-/** Sums the loads of the boxes that this one hears, at most every so often. */
+/** Sums the loads reported by peers, at most once per `minSumIntervalMs`. */
 function createPeerLoadAggregator({ kernel, ports }: BoxRuntime): () => void {
-  let summedAt = -Infinity;
+  let lastSummedAt = -Infinity;
   return () => {
     const now = ports.clock.now();
-    if (now - summedAt < minSumIntervalMs) return;
-    summedAt = now;
+    if (now - lastSummedAt < minSumIntervalMs) return;
+    lastSummedAt = now;
     const statuses = kernel.find(peersName).statuses();
     kernel.find(fleetName).takeOthers(sumLoads(statuses.map((status) => status.loads)));
   };
 }
 
-/** Takes targets that another box has read, unless this one reads them itself. */
+/** Applies target changes read by another box, unless this box reads them from the store. */
 function applyTargets({ kernel }: BoxRuntime, { targets }: Heartbeat): void {
   const feed = kernel.find(desiredFeedName);
   if (targets && !(feed.reading() && feed.reachesStore())) feed.takeTargets(targets);
@@ -80,57 +80,57 @@
 
 function applyReport(
   { kernel, ports }: BoxRuntime,
-  knowledge: LeaseHolderView,
+  holderView: LeaseHolderView,
   report: HolderReport,
 ) {
   const fleet = kernel.find(fleetName);
   fleet.withhold(new Map(Object.entries(report.withheld)));
   for (const { id, holdings } of report.engines) fleet.takeHoldings(id, holdings);
   if (report.othersLoads) fleet.takeOthers(new Map(Object.entries(report.othersLoads)));
-  knowledge.followed = report.followed;
-  knowledge.reachesMajority = report.hearsMost;
+  holderView.followed = report.followed;
+  holderView.reachesMajority = report.hearsMost;
   const now = ports.clock.now();
   const expected = Object.entries(report.expected);
-  knowledge.weightsExpectedAt = new Map(expected.map(([key, ms]) => [key, now + ms]));
+  holderView.weightsExpectedAt = new Map(expected.map(([key, ms]) => [key, now + ms]));
 }
 
-/** Begins to take heartbeats. */
+/** Subscribes to the heartbeats of other boxes. */
 export function receiveHeartbeats(
-  parts: BoxRuntime,
-  knowledge: LeaseHolderView,
+  runtime: BoxRuntime,
+  holderView: LeaseHolderView,
   waiter: ChangeWaiter,
 ): HeartbeatReceiver {
-  const { kernel, ports } = parts;
+  const { kernel, ports } = runtime;
   const peers = kernel.find(peersName);
   const lease = kernel.find(orderLeaseName);
-  const giver = kernel.find(orderGiverName);
+  const dispatcher = kernel.find(orderGiverName);
   const blame = kernel.find(crashBlameName);
   const targetLimits = kernel.find(targetLimitsName);
-  const catchUp = createConfigurationFetcher(parts);
-  const sumHeardLoads = createPeerLoadAggregator(parts);
-  kernel.find(fleetName).trustOwnWord(() => hasCurrentHolderReport(parts));
+  const fetchConfiguration = createConfigurationFetcher(runtime);
+  const sumPeerLoads = createPeerLoadAggregator(runtime);
+  kernel.find(fleetName).trustOwnWord(() => hasCurrentHolderReport(runtime));
 
   peers.onHeartbeat((heartbeat) => {
     const { status, report } = heartbeat;
     if (status.lease) lease.hear(status.lease);
-    const givesOrders = lease.epoch() !== undefined;
-    if (peers.mesh() || givesOrders) sumHeardLoads();
-    applyTargets(parts, heartbeat);
+    const holdsLease = lease.epoch() !== undefined;
+    if (peers.mesh() || holdsLease) sumPeerLoads();
+    applyTargets(runtime, heartbeat);
     if (heartbeat.blame) blame.take(status.incarnation, heartbeat.blame);
     if (heartbeat.limits) targetLimits.take(status.incarnation, heartbeat.limits);
-    void catchUp(status);
+    void fetchConfiguration(status);
     if (report && lease.known()?.holder === status.incarnation) {
-      applyReport(parts, knowledge, report);
+      applyReport(runtime, holderView, report);
       waiter.wake();
     }
-    if (givesOrders && hasWaitingRequests(status)) giver.hurry();
+    if (holdsLease && hasWaitingRequests(status)) dispatcher.hurry();
   });
 
   return {
     expectedWeightsMs({ service, model }) {
       const key = `${service} ${model}`;
-      if (lease.epoch() !== undefined) return giver.expected()[key];
-      const at = knowledge.weightsExpectedAt.get(key);
+      if (lease.epoch() !== undefined) return dispatcher.expected()[key];
+      const at = holderView.weightsExpectedAt.get(key);
       return at === undefined ? undefined : Math.max(0, at - ports.clock.now());
     },
   };
--- a/packages/entry-box/src/heartbeat-source.ts
+++ b/packages/entry-box/src/heartbeat-source.ts
@@ -1,4 +1,4 @@
-/** Makes the heartbeats that this box sends. */
+/** Builds the heartbeats that this box sends. */
 import {
   type BoxStatus,
   type FollowedReport,
@@ -18,45 +18,46 @@
 import { targetLimitsName } from "./provide-limits.js";
 import { createReportBuilder } from "./holder-report.js";
 
-/** What this box has read of the list, for one that does not read it or cannot. */
-function targetChangesFor({ kernel }: BoxRuntime, reader: BoxStatus): TargetChanges | undefined {
+/** Target changes read by this box, for a recipient that cannot read them from the store itself. */
+function targetChangesFor({ kernel }: BoxRuntime, recipient: BoxStatus): TargetChanges | undefined {
   const feed = kernel.find(desiredFeedName);
-  if (reader.reading && reader.reachesStore) return undefined;
-  if (!feed.ready() || !feed.reading() || reader.targetsEnd >= feed.targetsEnd()) return undefined;
-  return feed.targetsSince(reader.targetsEnd);
+  if (recipient.reading && recipient.reachesStore) return undefined;
+  if (!feed.ready() || !feed.reading() || recipient.targetsEnd >= feed.targetsEnd())
+    return undefined;
+  return feed.targetsSince(recipient.targetsEnd);
 }
 
-/** What this box knows of requests that end targets and the reader does not. */
-function blameFor({ kernel }: BoxRuntime, reader?: BoxStatus): BlameWord | undefined {
-  const word = kernel.find(crashBlameName).tell(reader?.blameFollowed ?? 0);
-  return word.records.length > 0 ? word : undefined;
+/** Records of requests that crash targets, as far as the recipient lacks them. */
+function blameFor({ kernel }: BoxRuntime, recipient?: BoxStatus): BlameWord | undefined {
+  const message = kernel.find(crashBlameName).tell(recipient?.blameFollowed ?? 0);
+  return message.records.length > 0 ? message : undefined;
 }
 
-/** What this box knows of targets' limits and the reader does not. */
-function limitsFor({ kernel }: BoxRuntime, reader?: BoxStatus): TargetLimitWord | undefined {
-  const word = kernel.find(targetLimitsName).tell(reader?.limitsFollowed ?? 0);
-  return word.records.length > 0 ? word : undefined;
+/** Records of targets' rate limits, as far as the recipient lacks them. */
+function limitsFor({ kernel }: BoxRuntime, recipient?: BoxStatus): TargetLimitWord | undefined {
+  const message = kernel.find(targetLimitsName).tell(recipient?.limitsFollowed ?? 0);
+  return message.records.length > 0 ? message : undefined;
 }
 
-/** Creates the source; it finds its services when the first heartbeat is made. */
+/** Creates the source; it looks up its services when it builds the first heartbeat. */
 export function createHeartbeatSource(
-  parts: BoxRuntime,
+  runtime: BoxRuntime,
   followed: () => FollowedReport | undefined,
 ): HeartbeatSource {
-  const { kernel, demand } = parts;
-  const report = createReportBuilder(parts);
+  const { kernel, demand } = runtime;
+  const report = createReportBuilder(runtime);
   let beat = 0;
 
-  const status = (reader?: BoxStatus): BoxStatus => {
+  const status = (recipient?: BoxStatus): BoxStatus => {
     const feed = kernel.find(desiredFeedName);
     const lease = kernel.find(orderLeaseName);
     const known = lease.known();
-    // Demand and load are most of a status, and of use only to boxes that give orders or hear all.
-    const toHolder = reader !== undefined && reader.incarnation === known?.holder;
+    // Demand and loads dominate the size of a status and are only used by the lease holder and in a full mesh.
+    const toHolder = recipient !== undefined && recipient.incarnation === known?.holder;
     const toAll = kernel.find(peersName).mesh();
     beat += 1;
     return {
-      ...ownProfile(parts),
+      ...ownProfile(runtime),
       beat,
       reachesStore: feed.reachesStore(),
       configurationVersion: feed.inForce()?.configuration.version ?? -1,
@@ -66,24 +67,24 @@
       lease: known,
       ordersForMs: lease.ordersForMs(),
       followed: followed(),
-      limitsFollowed: reader && kernel.find(targetLimitsName).followed(reader.incarnation),
-      blameFollowed: reader && kernel.find(crashBlameName).followed(reader.incarnation),
+      limitsFollowed: recipient && kernel.find(targetLimitsName).followed(recipient.incarnation),
+      blameFollowed: recipient && kernel.find(crashBlameName).followed(recipient.incarnation),
     };
   };
 
   return {
     resting: () =>
-      !parts.activity.takesRequests() && kernel.find(orderLeaseName).epoch() === undefined,
+      !runtime.activity.takesRequests() && kernel.find(orderLeaseName).epoch() === undefined,
     holder: () => kernel.find(orderLeaseName).known()?.holder,
-    message(reader, sightings): Heartbeat {
-      const gives = kernel.find(orderLeaseName).epoch() !== undefined;
+    message(recipient, sightings): Heartbeat {
+      const holdsLease = kernel.find(orderLeaseName).epoch() !== undefined;
       return {
-        status: status(reader),
+        status: status(recipient),
         sightings,
-        report: gives ? report(reader) : undefined,
-        targets: reader && targetChangesFor(parts, reader),
-        blame: blameFor(parts, reader),
-        limits: limitsFor(parts, reader),
+        report: holdsLease ? report(recipient) : undefined,
+        targets: recipient && targetChangesFor(runtime, recipient),
+        blame: blameFor(runtime, recipient),
+        limits: limitsFor(runtime, recipient),
       };
     },
   };
--- a/packages/entry-box/src/holder-report.ts
+++ b/packages/entry-box/src/holder-report.ts
@@ -1,4 +1,4 @@
-/** What the holder of the order lease tells one other box: what changed since that box's last report. */
+/** Builds the lease holder's report for one other box: the changes since the last report that it processed. */
 import {
   type BoxStatus,
   createChangeNumbers,
@@ -15,16 +15,16 @@
 import type { BoxRuntime } from "./box-runtime.js";
 import { reachesMajority } from "./connected.js";
 
-export type ReportBuilder = (reader?: BoxStatus) => HolderReport;
+export type ReportBuilder = (recipient?: BoxStatus) => HolderReport;
 
-/** Members and loads are brought up to date at most this often, however many boxes ask. */
+/** Minimum interval between refreshes of members and loads, independent of the number of boxes. */
 const minRefreshIntervalMs: Milliseconds = 50;
 
 function isSameEngine(left: EngineHoldings, right: EngineHoldings): boolean {
   return left.holdings === right.holdings;
 }
 
-/** What may change of a box under one incarnation. */
+/** Fields of a sighting that may change; the others are constant for one incarnation. */
 const mutableFields: readonly (keyof Sighting)[] = [
   "incarnation",
   "ready",
@@ -35,7 +35,7 @@
   "silent",
 ];
 
-/** Whether a box looks as before, but for the age of what is known. */
+/** Whether two sightings differ at most in their age. */
 function isSameMember(left: Sighting, right: Sighting): boolean {
   return mutableFields.every((field) => left[field] === right[field]);
 }
@@ -43,50 +43,50 @@
 export function createReportBuilder({ kernel, ports, incarnation }: BoxRuntime): ReportBuilder {
   const engines = createChangeNumbers(isSameEngine);
   const members = createChangeNumbers(isSameMember);
-  let refreshedAt = -Infinity;
-  let sums: ReadonlyMap<string, TargetLoad> = new Map();
+  let lastRefreshAt = -Infinity;
+  let totalLoads: ReadonlyMap<string, TargetLoad> = new Map();
 
   const refreshEngines = () => {
     const fleet = kernel.find(fleetName);
-    const asked = fleet.all().filter(({ state }) => state !== undefined);
-    const pairs = asked.map(({ listed, holdings }) => [listed.id, { id: listed.id, holdings }]);
-    engines.update(new Map(pairs as [string, EngineHoldings][]));
+    const polled = fleet.all().filter(({ state }) => state !== undefined);
+    const entries = polled.map(({ listed, holdings }) => [listed.id, { id: listed.id, holdings }]);
+    engines.update(new Map(entries as [string, EngineHoldings][]));
   };
   const refreshBoxes = () => {
     const now = ports.clock.now();
-    if (now - refreshedAt < minRefreshIntervalMs) return;
-    refreshedAt = now;
+    if (now - lastRefreshAt < minRefreshIntervalMs) return;
+    lastRefreshAt = now;
     const peers = kernel.find(peersName);
     members.update(new Map(peers.sightings().map((sighting) => [sighting.box, sighting])));
     const loads = peers.statuses().map((status) => status.loads);
-    sums = sumLoads([ownLoads(kernel.find(fleetName)), ...loads]);
+    totalLoads = sumLoads([ownLoads(kernel.find(fleetName)), ...loads]);
   };
 
-  /** What a box that does not hear all others is told beside. */
-  const ofBoxes = (
+  /** Members and loads for a recipient that is not part of a full mesh. */
+  const boxChangesFor = (
     known: FollowedReport | undefined,
-    reader?: BoxStatus,
+    recipient?: BoxStatus,
   ): { members?: readonly Sighting[]; othersLoads?: LoadByTarget } => {
     if (kernel.find(peersName).mesh()) return {};
     refreshBoxes();
     const changed = members.after(known?.members ?? 0);
-    if (!reader?.takesRequests) return { members: changed };
-    return { members: changed, othersLoads: subtractLoads(sums, reader.loads) };
+    if (!recipient?.takesRequests) return { members: changed };
+    return { members: changed, othersLoads: subtractLoads(totalLoads, recipient.loads) };
   };
 
-  return (reader) => {
-    const giver = kernel.find(orderGiverName);
-    const followed = reader?.followed;
+  return (recipient) => {
+    const dispatcher = kernel.find(orderGiverName);
+    const followed = recipient?.followed;
     const known = followed?.holder === incarnation ? followed : undefined;
     refreshEngines();
-    const boxes = ofBoxes(known, reader);
+    const boxChanges = boxChangesFor(known, recipient);
     return {
       engines: engines.after(known?.engines ?? 0),
-      ...boxes,
+      ...boxChanges,
       followed: { holder: incarnation, engines: engines.newest(), members: members.newest() },
       hearsMost: reachesMajority(kernel.find(peersName)),
-      withheld: Object.fromEntries(giver.withheld()),
-      expected: giver.expected(),
+      withheld: Object.fromEntries(dispatcher.withheld()),
+      expected: dispatcher.expected(),
     };
   };
 }
--- a/packages/entry-box/src/identify.ts
+++ b/packages/entry-box/src/identify.ts
@@ -1,17 +1,17 @@
-/** Whose request it is, by the key that came with it. */
+/** Authenticates callers by API key. */
 import { fingerprint, type KeyTable } from "@linkfall/account-keys";
 import type { ClientAccount, Route } from "@linkfall/types";
 
 export type Caller =
-  /** The account is absent where the route needs no key and none came. */
+  /** The account is absent if the route allows anonymous requests and no key was sent. */
   | { readonly kind: "known"; readonly account?: ClientAccount }
   | { readonly kind: "unknown"; readonly why: string; readonly fingerprint?: string };
 
 /**
- * Identifies the caller of a request. A key that nobody holds is refused on every route: a caller that was
- * taken its key must not go on under another name.
+ * Identifies the caller of a request. An unknown key is rejected on every route, so that a caller whose key was
+ * revoked cannot continue anonymously.
  *
- * @param keys absent where callers need no keys
+ * @param keys absent if no accounts are configured
  */
 export function identify(
   keys: KeyTable | undefined,
@@ -24,5 +24,5 @@
   }
   const account = keys.find(key);
   if (account) return { kind: "known", account };
-  return { kind: "unknown", why: "a key that no account holds", fingerprint: fingerprint(key) };
+  return { kind: "unknown", why: "the key belongs to no account", fingerprint: fingerprint(key) };
 }
--- a/packages/entry-box/src/limit-parts.ts
+++ b/packages/entry-box/src/limit-parts.ts
@@ -1,23 +1,23 @@
-/** Parts of the accounts' limits that are single boxes' own while they are cut off from the others. */
+/** Divides rate limits into shares that boxes may use alone while they are isolated from the others. */
 import { type BoxProfile, peersName } from "@linkfall/box-peers";
 import type { Milliseconds } from "@linkfall/types";
 import type { BoxRuntime } from "./box-runtime.js";
 import { strongCapacityThreshold } from "./entries.js";
 import { ownProfile } from "./own-profile.js";
 
-/** Part of a limit that strong boxes share while they are cut off; the others have the rest. */
+/** Fraction of a limit divided among high-capacity boxes; the others divide the rest. */
 const strongBoxesShare = 0.75;
-/** Part of a box that does not know most others yet: what is one of several strong ones. */
+/** Share of a box that does not know the majority of the others: about that of one of several high-capacity boxes. */
 const minorityShare = 0.1;
-/** Who is silent changes within seconds; parts are worked out at most this often. */
+/** Membership changes within seconds, hence shares are not recomputed more often. */
 const minRefreshIntervalMs: Milliseconds = 100;
 
 type ShareOwner = Pick<BoxProfile, "capacity" | "peerAddress">;
 
-/** Parts as one box sees them now. */
+/** Shares of a limit from 0 to 1, as currently known to one box. */
 export interface LimitShares {
   readonly own: number;
-  /** Of boxes that are taken for silent, without those that leave by plan. */
+  /** Total share of the boxes considered silent, except those that shut down gracefully. */
   readonly silent: number;
 }
 
@@ -25,46 +25,46 @@
   return boxes.reduce((sum, { capacity }) => sum + capacity, 0);
 }
 
-/** Divides a part of a limit between boxes by what they can carry. */
+/** Divides a share of a limit among boxes in proportion to their capacity. */
 function divide(
-  part: number,
+  share: number,
   boxes: readonly ShareOwner[],
 ): readonly (readonly [string, number])[] {
-  const whole = capacityOf(boxes);
-  return boxes.map((box) => [box.peerAddress, (part * box.capacity) / whole] as const);
+  const totalCapacity = capacityOf(boxes);
+  return boxes.map((box) => [box.peerAddress, (share * box.capacity) / totalCapacity] as const);
 }
 
-/** Parts by peer address; they add up to one. Callers are sent to strong boxes first, so that these have most of it. */
+/** Shares by peer address, which add up to one. High-capacity boxes get most of it, since callers are directed to them first. */
 export function limitSharesOf(boxes: readonly ShareOwner[]): ReadonlyMap<string, number> {
-  const from = strongCapacityThreshold(boxes);
-  const strong = boxes.filter((box) => box.capacity >= from);
-  const weak = boxes.filter((box) => box.capacity < from);
-  const ofStrong = weak.length === 0 ? 1 : strongBoxesShare;
-  return new Map([...divide(ofStrong, strong), ...divide(1 - ofStrong, weak)]);
+  const minCapacity = strongCapacityThreshold(boxes);
+  const strong = boxes.filter((box) => box.capacity >= minCapacity);
+  const weak = boxes.filter((box) => box.capacity < minCapacity);
+  const strongShare = weak.length === 0 ? 1 : strongBoxesShare;
+  return new Map([...divide(strongShare, strong), ...divide(1 - strongShare, weak)]);
 }
 
-function computeLimitShares(parts: BoxRuntime): LimitShares {
-  const peers = parts.kernel.find(peersName);
-  const own = ownProfile(parts);
+function computeLimitShares(runtime: BoxRuntime): LimitShares {
+  const peers = runtime.kernel.find(peersName);
+  const own = ownProfile(runtime);
   const known = peers.sightings();
-  const all = limitSharesOf([own, ...known]);
-  const partIn = (box: ShareOwner) => all.get(box.peerAddress) ?? 0;
+  const shares = limitSharesOf([own, ...known]);
+  const shareOf = (box: ShareOwner) => shares.get(box.peerAddress) ?? 0;
   const silent = known.filter((box) => box.silent && !box.leaving);
   return {
-    own: (known.length + 1) * 2 > peers.most() ? partIn(own) : minorityShare,
-    silent: silent.reduce((sum, box) => sum + partIn(box), 0),
+    own: (known.length + 1) * 2 > peers.most() ? shareOf(own) : minorityShare,
+    silent: silent.reduce((sum, box) => sum + shareOf(box), 0),
   };
 }
 
-/** Creates a look at the parts that is worked out anew now and then. */
-export function createLimitShares(parts: BoxRuntime): () => LimitShares {
-  let worked: LimitShares = { own: minorityShare, silent: 0 };
-  let workedAt = -Infinity;
+/** Creates a function that returns the shares, recomputed at most every `minRefreshIntervalMs`. */
+export function createLimitShares(runtime: BoxRuntime): () => LimitShares {
+  let cached: LimitShares = { own: minorityShare, silent: 0 };
+  let cachedAt = -Infinity;
   return () => {
-    const now = parts.ports.clock.now();
-    if (now - workedAt < minRefreshIntervalMs) return worked;
-    workedAt = now;
-    worked = computeLimitShares(parts);
-    return worked;
+    const now = runtime.ports.clock.now();
+    if (now - cachedAt < minRefreshIntervalMs) return cached;
+    cachedAt = now;
+    cached = computeLimitShares(runtime);
+    return cached;
   };
 }
--- a/packages/entry-box/src/loop-watch.steps.ts
+++ b/packages/entry-box/src/loop-watch.steps.ts
@@ -10,16 +10,16 @@
   cancelled: boolean;
 }
 
-/** A clock whose timers fire when the test says so, however late. */
+/** A clock whose timers fire only when the test advances it, possibly late. */
 interface LateClock extends Clock {
-  /** Lets the time come, then fires all timers that are due. */
-  comeTo(time: number): void;
+  /** Sets the time, then fires all timers that are due. */
+  advanceTo(time: number): void;
 }
 
 interface Scene {
   readonly clock: LateClock;
-  readonly watched: Clock;
-  readonly holdUps: number[];
+  readonly monitored: Clock;
+  readonly loggedDelays: number[];
 }
 
 const scenes = new WeakMap<object, Scene>();
@@ -36,7 +36,7 @@
       timers.push(timer);
       return () => void (timer.cancelled = true);
     },
-    comeTo(time) {
+    advanceTo(time) {
       now = time;
       const due = timers.filter(({ dueAt }) => dueAt <= now);
       timers = timers.filter(({ dueAt }) => dueAt > now);
@@ -52,54 +52,55 @@
 }
 
 const delayMs = 50;
-const nothing = () => undefined;
+const noop = () => undefined;
 
-Given("a watched loop", function (this: object) {
+Given("a monitored event loop", function (this: object) {
   const clock = createLateClock();
-  const holdUps: number[] = [];
+  const loggedDelays: number[] = [];
   const logger = {
     event: (_name: string, detail?: Readonly<Record<string, unknown>>) =>
-      void holdUps.push(Number(detail?.delayMs)),
+      void loggedDelays.push(Number(detail?.delayMs)),
   };
-  const watched = monitorEventLoop({ clock, logger, metrics: createMetrics() });
-  scenes.set(this, { clock, watched, holdUps });
+  const monitored = monitorEventLoop({ clock, logger, metrics: createMetrics() });
+  scenes.set(this, { clock, monitored, loggedDelays });
 });
 
 When("a timer fires {int} ms late", function (this: object, lateMs: number) {
-  const { clock, watched } = sceneOf(this);
-  watched.after(delayMs, nothing);
-  clock.comeTo(clock.now() + delayMs + lateMs);
+  const { clock, monitored } = sceneOf(this);
+  monitored.after(delayMs, noop);
+  clock.advanceTo(clock.now() + delayMs + lateMs);
 });
 
 When(
-  "timers that are due within {int} ms fire together {int} ms late",
+  "timers due within {int} ms of each other fire together {int} ms late",
   function (this: object, withinMs: number, lateMs: number) {
-    const { clock, watched } = sceneOf(this);
-    for (let more = 0; more <= withinMs; more += 10) watched.after(delayMs + more, nothing);
-    clock.comeTo(clock.now() + delayMs + lateMs);
+    const { clock, monitored } = sceneOf(this);
+    for (let offsetMs = 0; offsetMs <= withinMs; offsetMs += 10)
+      monitored.after(delayMs + offsetMs, noop);
+    clock.advanceTo(clock.now() + delayMs + lateMs);
   },
 );
 
 When(
-  "a timer is cancelled and its time passes by {int} ms",
+  "a timer is cancelled and its due time passes by {int} ms",
   function (this: object, lateMs: number) {
-    const { clock, watched } = sceneOf(this);
-    watched.after(delayMs, nothing)();
-    clock.comeTo(clock.now() + delayMs + lateMs);
+    const { clock, monitored } = sceneOf(this);
+    monitored.after(delayMs, noop)();
+    clock.advanceTo(clock.now() + delayMs + lateMs);
   },
 );
 
-Then("no hold-up is logged", function (this: object) {
-  assert.deepEqual(sceneOf(this).holdUps, []);
+Then("no delay is logged", function (this: object) {
+  assert.deepEqual(sceneOf(this).loggedDelays, []);
 });
 
-Then("a hold-up of {int} ms is logged", function (this: object, ms: number) {
-  assert.deepEqual(sceneOf(this).holdUps, [ms]);
+Then("a delay of {int} ms is logged", function (this: object, ms: number) {
+  assert.deepEqual(sceneOf(this).loggedDelays, [ms]);
 });
 
 Then(
-  "hold-ups of {int} and {int} ms are logged",
+  "delays of {int} and {int} ms are logged",
   function (this: object, first: number, second: number) {
-    assert.deepEqual(sceneOf(this).holdUps, [first, second]);
+    assert.deepEqual(sceneOf(this).loggedDelays, [first, second]);
   },
 );
--- a/packages/entry-box/src/loop-watch.ts
+++ b/packages/entry-box/src/loop-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Watches how far the event loop is behind, by how late timers fire. A loop that is held up reads nothing: requests, answers and
- * the ends of connections wait. The watch has no timer of its own, since each wake-up costs a small box.
+ * Measures the lag of the event loop by how late the box's timers fire. While the loop is blocked, no requests or responses
+ * are read. The monitor has no timer of its own, which would wake an idle process.
  */
 import type { Clock } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
@@ -13,26 +13,26 @@
   readonly metrics: Metrics;
 }
 
-/** Shorter delays are usual, and counting each would cost more than it tells. */
+/** Shorter delays are normal and not worth the cost of recording. */
 const minRecordedDelayMs: Milliseconds = 20;
-/** A delay that callers notice: it is a third of the shortest objectives, of 300 ms. */
+/** A third of the shortest latency objective, which is 300 ms. */
 const minLoggedDelayMs: Milliseconds = 100;
 
-/** Returns the clock with a watch on its timers. Each hold-up is logged once, whatever number of timers it delays. */
+/** Wraps a clock and monitors its timers. Each blocked period is logged once, regardless of how many timers it delays. */
 export function monitorEventLoop({ clock, logger, metrics }: EventLoopMonitorInput): Clock {
-  let toldAt: Milliseconds = -Infinity;
+  let lastLoggedAt: Milliseconds = -Infinity;
 
-  const note = (dueAt: Milliseconds) => {
+  const recordDelay = (dueAt: Milliseconds) => {
     const now = clock.now();
     const delayMs = Math.round(now - dueAt);
     if (delayMs < minRecordedDelayMs) return;
     metrics.observe(
       "linkfall_loop_delay_ms",
-      "How late timers of the event loop fired, from 20 ms on.",
+      "Delay of late event loop timers; delays under 20 ms are not recorded.",
       delayMs,
     );
-    if (delayMs < minLoggedDelayMs || dueAt <= toldAt) return;
-    toldAt = now;
+    if (delayMs < minLoggedDelayMs || dueAt <= lastLoggedAt) return;
+    lastLoggedAt = now;
     logger.event("loopHeldUp", { delayMs });
   };
 
@@ -43,7 +43,7 @@
     after(delay, action) {
       const dueAt = clock.now() + delay;
       return clock.after(delay, () => {
-        note(dueAt);
+        recordDelay(dueAt);
         action();
       });
     },
--- a/packages/entry-box/src/own-profile.ts
+++ b/packages/entry-box/src/own-profile.ts
@@ -1,4 +1,4 @@
-/** What this box tells of itself to everybody. */
+/** This box's profile, as sent to all other boxes. */
 import type { BoxProfile } from "@linkfall/box-peers";
 import { desiredFeedName } from "@linkfall/desired-feed";
 import type { BoxRuntime } from "./box-runtime.js";
--- a/packages/entry-box/src/planned-stop.feature
+++ b/packages/entry-box/src/planned-stop.feature
@@ -1,15 +1,15 @@
-Feature: A planned stop takes only what can still end
+Feature: During a graceful shutdown a box accepts only requests that can still finish
 
-  Scenario: A stream is begun early in the grace and never late
-    Given a stop with 8000 ms of grace
+  Scenario: A stream is taken early in the grace period only
+    Given a shutdown with a grace period of 8000 ms
     Then a stream with an objective of 1500 ms is taken
-    When the stop has begun 2300 ms ago
+    When the shutdown began 2300 ms ago
     Then a stream with an objective of 1500 ms is taken
-    When the stop has begun 3300 ms ago
+    When the shutdown began 3300 ms ago
     Then a stream with an objective of 1500 ms is not taken
 
-  Scenario: A short answer is taken as long as it can end
-    Given a stop with 8000 ms of grace
-    When the stop has begun 6500 ms ago
+  Scenario: A short request is taken as long as it can finish
+    Given a shutdown with a grace period of 8000 ms
+    When the shutdown began 6500 ms ago
     Then an answer with an objective of 150 ms is taken
     And an answer with an objective of 800 ms is not taken
--- a/packages/entry-box/src/planned-stop.steps.ts
+++ b/packages/entry-box/src/planned-stop.steps.ts
@@ -17,7 +17,7 @@
   return scene;
 }
 
-Given("a stop with {int} ms of grace", function (this: object, graceMs: number) {
+Given("a shutdown with a grace period of {int} ms", function (this: object, graceMs: number) {
   const clock = createVirtualClock();
   const stop = createPlannedStop(clock, {
     callers: { max_header_bytes: 1_024, entries_lifetime_ms: 1_500 },
@@ -26,7 +26,7 @@
   scenes.set(this, { clock, stop, startedAt: clock.now() });
 });
 
-When("the stop has begun {int} ms ago", async function (this: object, ms: number) {
+When("the shutdown began {int} ms ago", async function (this: object, ms: number) {
   const { clock, stop, startedAt } = sceneOf(this);
   stop.begin();
   await clock.runUntil(startedAt + ms);
@@ -34,8 +34,8 @@
 
 Then(
   /^an? (stream|answer) with an objective of (\d+) ms is (taken|not taken)$/,
-  function (this: object, kind: string, objectiveMs: string, taken: string) {
+  function (this: object, kind: string, objectiveMs: string, outcome: string) {
     const route = { streaming: kind === "stream", objectiveMs: Number(objectiveMs) };
-    assert.equal(sceneOf(this).stop.accepts(route), taken === "taken");
+    assert.equal(sceneOf(this).stop.accepts(route), outcome === "taken");
   },
 );
--- a/packages/entry-box/src/planned-stop.ts
+++ b/packages/entry-box/src/planned-stop.ts
@@ -1,4 +1,4 @@
-/** The course of a planned stop: leave the answers, serve on until callers have moved, then end. */
+/** Graceful shutdown: the box is no longer advertised, serves until callers have moved away, then exits. */
 import type { EntrySettings } from "@linkfall/entry-settings";
 import { type Clock, sleep } from "@linkfall/kernel";
 import type { Milliseconds, Route } from "@linkfall/types";
@@ -7,21 +7,21 @@
 export interface PlannedStop {
   begin(): void;
   begun(): boolean;
-  /** Whether a request of the route can still end before the process must. */
+  /** Whether a request of the route can still finish before the process has to exit. */
   accepts(route: Pick<Route, "streaming" | "objectiveMs">): boolean;
-  /** Resolves when the process may end. */
+  /** Resolves when the process may exit. */
   finish(front: Pick<Front, "idleMs" | "openRequests" | "close">): Promise<void>;
 }
 
-/** Kept back of the grace for the process's own end. */
+/** Part of the grace period reserved for the process to exit. */
 const exitReserveMs: Milliseconds = 500;
 const pollIntervalMs: Milliseconds = 50;
-/** Some callers keep an answer of the directory this many times as long as they are told. */
+/** Some callers cache addresses this many times longer than their lifetime. */
 const staleAddressFactor = 3;
-/** A whole answer is expected to take at most this many times its route's objective. */
+/** A response without streaming is expected within this many times its route's objective. */
 const maxObjectivesPerAnswer = 2;
-/** A stream's objective is about its first event: how long it goes on nobody knows beforehand. It is
- * begun only in this part of the grace, so that the rest is left for it. */
+/** Streams are accepted only in this first fraction of the grace period, since their objective covers only the first
+ * event and their duration is unknown. */
 const streamAdmissionFraction = 0.3;
 
 export function createPlannedStop(
@@ -31,8 +31,8 @@
   let beganAt: Milliseconds | undefined;
   const lifetimeMs = settings.callers.entries_lifetime_ms;
   const graceMs = settings.stop.grace_ms;
-  const lastMs = graceMs - exitReserveMs;
-  const sinceMs = () => (beganAt === undefined ? 0 : clock.now() - beganAt);
+  const finishLimitMs = graceMs - exitReserveMs;
+  const elapsedMs = () => (beganAt === undefined ? 0 : clock.now() - beganAt);
   return {
     begin() {
       beganAt ??= clock.now();
@@ -40,17 +40,18 @@
     begun: () => beganAt !== undefined,
     accepts({ streaming, objectiveMs }) {
       if (beganAt === undefined) return true;
-      if (streaming && sinceMs() > graceMs * streamAdmissionFraction) return false;
-      return lastMs - sinceMs() > objectiveMs * maxObjectivesPerAnswer;
+      if (streaming && elapsedMs() > graceMs * streamAdmissionFraction) return false;
+      return finishLimitMs - elapsedMs() > objectiveMs * maxObjectivesPerAnswer;
     },
     async finish(front) {
-      // Callers that were told of this address may connect until their answer has run out.
-      const listenMs = Math.min(lifetimeMs * staleAddressFactor, lastMs / 2);
-      while (sinceMs() < listenMs && (sinceMs() < lifetimeMs || front.idleMs() < lifetimeMs)) {
+      // Callers that cached this address may still connect until it expires.
+      const listenMs = Math.min(lifetimeMs * staleAddressFactor, finishLimitMs / 2);
+      while (elapsedMs() < listenMs && (elapsedMs() < lifetimeMs || front.idleMs() < lifetimeMs)) {
         await sleep(clock, pollIntervalMs);
       }
       front.close();
-      while (front.openRequests() > 0 && sinceMs() < lastMs) await sleep(clock, pollIntervalMs);
+      while (front.openRequests() > 0 && elapsedMs() < finishLimitMs)
+        await sleep(clock, pollIntervalMs);
     },
   };
 }
--- a/packages/entry-box/src/provide-blame.ts
+++ b/packages/entry-box/src/provide-blame.ts
@@ -1,4 +1,4 @@
-/** What this box knows of requests that end targets: told to the others at once, and kept in the store. */
+/** Records of requests that crash targets: sent to the other boxes immediately and persisted in the store. */
 import {
   type CrashBlame,
   crashBlameName,
@@ -14,11 +14,11 @@
 
 export const heldStoreName = serviceName<HeldStore>("held-store");
 
-export function provideCrashBlame(parts: BoxRuntime): CrashBlame {
-  const { kernel, ports } = parts;
+export function provideCrashBlame(runtime: BoxRuntime): CrashBlame {
+  const { kernel, ports } = runtime;
   const { clock, logger, heldStream } = ports;
   const blame = kernel.provide(crashBlameName, createCrashBlame(clock));
-  blame.onNews(createPeerNotifier(parts));
+  blame.onNews(createPeerNotifier(runtime));
   reportDecisions(blame, { logger, metrics: kernel.find(metricsName) });
   const store = createHeldStore(blame, heldStream, { clock, logger });
   kernel.provide(heldStoreName, store, store);
--- a/packages/entry-box/src/provide-limits.ts
+++ b/packages/entry-box/src/provide-limits.ts
@@ -1,4 +1,4 @@
-/** Limits that targets name: what this box has heard of them, and who hands out their permits. */
+/** Rate limits announced by targets, and the allocation of their permits among boxes. */
 import { fleetName } from "@linkfall/fleet";
 import { serviceName } from "@linkfall/kernel";
 import { metricsName } from "@linkfall/metrics";
@@ -18,34 +18,37 @@
   else ports.logger.event("targetLimited", { target, perSecond, source });
 }
 
-export function provideTargetLimits(parts: BoxRuntime, knowledge: LeaseHolderView): TargetLimits {
-  const { kernel, settings, ports, peerClient } = parts;
+export function provideTargetLimits(
+  runtime: BoxRuntime,
+  holderView: LeaseHolderView,
+): TargetLimits {
+  const { kernel, settings, ports, peerClient } = runtime;
   const fleet = kernel.find(fleetName);
-  const limitParts = createLimitShares(parts);
+  const limitShares = createLimitShares(runtime);
   const limits = createTargetLimits(
     ports.clock,
     {
       self: settings.box.peer_address,
-      allocators: (target) => currentAllocators(parts, target),
+      allocators: (target) => currentAllocators(runtime, target),
       ask: (address, ask) => peerClient.permit(address, ask),
-      connected: createConnectionCheck(parts, knowledge),
-      ownPart: () => limitParts().own,
-      silentPart: () => limitParts().silent,
-      boxes: () => countBoxesWithCallers(parts),
+      connected: createConnectionCheck(runtime, holderView),
+      ownPart: () => limitShares().own,
+      silentPart: () => limitShares().silent,
+      boxes: () => countBoxesWithCallers(runtime),
     },
     (target) => fleet.find(target)?.born,
   );
   fleet.onLifeEnded(limits.forget);
-  const tell = createPeerNotifier(parts);
+  const notifyPeers = createPeerNotifier(runtime);
   limits.onChange((change) => {
-    logChange(parts, change);
-    tell();
+    logChange(runtime, change);
+    notifyPeers();
   });
   kernel
     .find(metricsName)
     .gauge(
       "linkfall_limited_targets",
-      "Targets that have named the requests a second that they take.",
+      "Targets that have announced a limit of requests per second.",
       () => limits.limited().length,
     );
   return kernel.provide(targetLimitsName, limits);
--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -1,4 +1,4 @@
-/** Services that give orders to engines: the lease and what it allows. */
+/** Services that send load and unload orders to engines, under the order lease. */
 import { type Peers, peersName } from "@linkfall/box-peers";
 import { desiredFeedName } from "@linkfall/desired-feed";
 import { fleetName } from "@linkfall/fleet";
@@ -17,9 +17,9 @@
 import { rankBoxes } from "./box-ranking.js";
 import { ownProfile } from "./own-profile.js";
 
-/** What the lease has to know of the other boxes. */
-function leasePeers(parts: BoxRuntime, peers: Peers): LeasePeers {
-  const { kernel, settings, incarnation } = parts;
+/** The view of other boxes that the order lease depends on. */
+function leasePeers(runtime: BoxRuntime, peers: Peers): LeasePeers {
+  const { kernel, settings, incarnation } = runtime;
   const feed = kernel.find(desiredFeedName);
   return {
     heardMs: peers.heardMs,
@@ -29,19 +29,19 @@
     leaving: (holder) => peers.find(holder)?.leaving ?? false,
     rank() {
       const serving = peers.alive().filter((box) => box.ready);
-      return rankBoxes([ownProfile(parts), ...serving]).indexOf(settings.box.name);
+      return rankBoxes([ownProfile(runtime), ...serving]).indexOf(settings.box.name);
     },
     allWithoutStore() {
-      const heard = peers.statuses();
-      if (feed.reachesStore() || heard.length * 2 < peers.most()) return false;
-      return heard.every((status) => !status.reachesStore);
+      const statuses = peers.statuses();
+      if (feed.reachesStore() || statuses.length * 2 < peers.most()) return false;
+      return statuses.every((status) => !status.reachesStore);
     },
   };
 }
 
-export function provideOrderLease(parts: BoxRuntime): OrderLease {
-  const { kernel, settings, ports, incarnation } = parts;
-  const peers = leasePeers(parts, kernel.find(peersName));
+export function provideOrderLease(runtime: BoxRuntime): OrderLease {
+  const { kernel, settings, ports, incarnation } = runtime;
+  const peers = leasePeers(runtime, kernel.find(peersName));
   const lease = createOrderLease(kernel, incarnation, ports.leaseStream, peers, {
     enginesFence: settings.lease.engines_fence,
     leaseMs: settings.lease.lease_ms,
@@ -63,7 +63,7 @@
   const feed = kernel.find(desiredFeedName);
   const peers = kernel.find(peersName);
   const targetLimits = kernel.find(targetLimitsName);
-  const giver: OrderGiver = createOrderGiver(kernel, {
+  const dispatcher: OrderGiver = createOrderGiver(kernel, {
     self: settings.box.name,
     fleet,
     engines: ports.engines,
@@ -74,8 +74,8 @@
     noteLimit: (target, notice) =>
       targetLimits.hear({ target, notice, sentMsAgo: 0, served: false }),
     announce() {
-      fleet.withhold(giver.withheld());
-      // In a large deployment all others hear of it in their next round.
+      fleet.withhold(dispatcher.withheld());
+      // In a large deployment the other boxes receive it in their next heartbeat round.
       if (peers.mesh()) peers.send();
       else peers.send((member) => hasWaitingRequests(member.status));
     },
@@ -87,5 +87,5 @@
       giveUpMs: placement.give_up_ms,
     },
   });
-  return kernel.provide(orderGiverName, giver, giver);
+  return kernel.provide(orderGiverName, dispatcher, dispatcher);
 }
--- a/packages/entry-box/src/provide-quota.ts
+++ b/packages/entry-box/src/provide-quota.ts
@@ -1,4 +1,4 @@
-/** Limits of client accounts: which boxes allocate for an account, and what this one may do alone. */
+/** Rate limits of client accounts: the boxes that allocate them, and the share of this box while it is isolated. */
 import { type AccountQuota, createAccountQuota } from "@linkfall/account-quota";
 import { serviceName } from "@linkfall/kernel";
 import { currentAllocators } from "./allocators.js";
@@ -9,27 +9,30 @@
 
 export const accountQuotaName = serviceName<AccountQuota>("account-quota");
 
-const partDigits = 3;
-const rounded = (part: number) => Number(part.toFixed(partDigits));
+const shareDigits = 3;
+const rounded = (share: number) => Number(share.toFixed(shareDigits));
 
-export function provideAccountQuota(parts: BoxRuntime, knowledge: LeaseHolderView): AccountQuota {
-  const { kernel, settings, ports, peerClient } = parts;
+export function provideAccountQuota(
+  runtime: BoxRuntime,
+  holderView: LeaseHolderView,
+): AccountQuota {
+  const { kernel, settings, ports, peerClient } = runtime;
   const { accounts, box } = settings;
-  const limitParts = createLimitShares(parts);
+  const limitShares = createLimitShares(runtime);
 
   const quota = createAccountQuota(
     ports.clock,
     {
       self: box.peer_address,
-      allocators: (account) => currentAllocators(parts, account),
+      allocators: (account) => currentAllocators(runtime, account),
       ask: (address, ask) => peerClient.quota(address, ask),
-      connected: createConnectionCheck(parts, knowledge),
+      connected: createConnectionCheck(runtime, holderView),
       onAlone: (account, granted, part) =>
         ports.logger.event("quotaAlone", { account, granted, part: rounded(part) }),
       onShort: (allotted) =>
         ports.logger.event("quotaShort", { ...allotted, part: rounded(allotted.part) }),
-      ownPart: () => limitParts().own,
-      silentPart: () => limitParts().silent,
+      ownPart: () => limitShares().own,
+      silentPart: () => limitShares().silent,
     },
     {
       windowSeconds: accounts.window_s,
--- a/packages/entry-box/src/provide-state.ts
+++ b/packages/entry-box/src/provide-state.ts
@@ -1,4 +1,4 @@
-/** Services that hold what a box believes: targets, configuration, other boxes. */
+/** Services that hold a box's view of targets, configuration and other boxes. */
 import { createPeers, type HeartbeatSource, type Peers, peersName } from "@linkfall/box-peers";
 import { createDesiredFeed, type DesiredFeed, desiredFeedName } from "@linkfall/desired-feed";
 import { createFleet, type Fleet, fleetName } from "@linkfall/fleet";
@@ -8,9 +8,8 @@
 import { createStoreReaders } from "./store-readers.js";
 
 /**
- * Changes of targets of this share of the time in which all boxes have to know of them are read together;
- * the rest is left for telling the others. Targets change several times a second, so that this sets how
- * often the store is read.
+ * Fraction of the time by which all boxes must have received a target change that is spent on batching reads of the
+ * store; the rest is left for propagation. Targets change several times per second, so this determines the read rate.
  */
 const batchingFraction = 0.3;
 const lapseCheckIntervalMs: Milliseconds = 250;
@@ -28,15 +27,15 @@
   return kernel.provide(fleetName, fleet);
 }
 
-export function provideFeed(parts: BoxRuntime, fleet: Fleet): DesiredFeed {
-  const { kernel, settings, ports } = parts;
+export function provideFeed(runtime: BoxRuntime, fleet: Fleet): DesiredFeed {
+  const { kernel, settings, ports } = runtime;
   const { store, targets } = settings;
   const feed = createDesiredFeed(kernel, {
     configurationStream: ports.configurationStream,
     targetStream: ports.targetStream,
     codec: ports.records,
     fleet,
-    peers: createStoreReaders(parts),
+    peers: createStoreReaders(runtime),
     times: {
       waitMs: store.wait_ms,
       gatherMs: 0,
--- a/packages/entry-box/src/read-body.ts
+++ b/packages/entry-box/src/read-body.ts
@@ -1,29 +1,29 @@
-/** Reads the body of a caller's request whole, within its limit. */
+/** Reads the complete body of a request, up to a size limit. */
 import type { IncomingMessage } from "node:http";
 
 export type ReadBody =
-  | { readonly kind: "whole"; readonly bytes: Buffer }
+  | { readonly kind: "complete"; readonly bytes: Buffer }
   | { readonly kind: "too_large" }
-  /** The caller went before the end. */
-  | { readonly kind: "cut" };
+  /** The caller disconnected before the end of the body. */
+  | { readonly kind: "aborted" };
 
-/** Resolves when the body is whole, too large, or cut. */
-export function readBody(message: IncomingMessage, limitBytes: number): Promise<ReadBody> {
+/** Resolves when the body is complete, exceeds `maxBytes`, or the caller disconnects. */
+export function readBody(message: IncomingMessage, maxBytes: number): Promise<ReadBody> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
-    let size = 0;
-    const declared = Number(message.headers["content-length"] ?? 0);
-    if (declared > limitBytes) return resolve({ kind: "too_large" });
+    let sizeBytes = 0;
+    const declaredBytes = Number(message.headers["content-length"] ?? 0);
+    if (declaredBytes > maxBytes) return resolve({ kind: "too_large" });
     message.on("data", (chunk: Buffer) => {
-      size += chunk.length;
-      if (size > limitBytes) return resolve({ kind: "too_large" });
+      sizeBytes += chunk.length;
+      if (sizeBytes > maxBytes) return resolve({ kind: "too_large" });
       chunks.push(chunk);
     });
     message.once("end", () => {
-      if (message.complete) resolve({ kind: "whole", bytes: Buffer.concat(chunks) });
-      else resolve({ kind: "cut" });
+      if (message.complete) resolve({ kind: "complete", bytes: Buffer.concat(chunks) });
+      else resolve({ kind: "aborted" });
     });
-    message.once("error", () => resolve({ kind: "cut" }));
-    message.once("close", () => resolve({ kind: "cut" }));
+    message.once("error", () => resolve({ kind: "aborted" }));
+    message.once("close", () => resolve({ kind: "aborted" }));
   });
 }
--- a/packages/entry-box/src/settings-update.steps.ts
+++ b/packages/entry-box/src/settings-update.steps.ts
@@ -5,9 +5,9 @@
 import { createSettingsUpdater } from "./settings-update.js";
 
 interface Scene {
-  readonly take: (read: EntrySettings) => void;
-  readonly learnt: string[];
-  /** Details of the last line that was logged. */
+  readonly update: (read: EntrySettings) => void;
+  readonly addedSeeds: string[];
+  /** Fields of the last logged event. */
   logged: Readonly<Record<string, unknown>>;
 }
 
@@ -20,45 +20,48 @@
   return scene;
 }
 
-function settingsWith(seeds: string, more: readonly string[] = []): EntrySettings {
+function settingsWith(seeds: string, extraLines: readonly string[] = []): EntrySettings {
   const addresses = ["front", "ready", "directory", "peer", "metrics"].map(
     (name, index) => `${name}_address = 10.0.0.1:${index + 1}`,
   );
   const lines = ["[box]", "name = b1", "domain = d1", ...addresses, `seeds = ${seeds}`];
-  const text = [...lines, "[store]", "address = 10.0.0.9:1", ...more].join("\n");
+  const text = [...lines, "[store]", "address = 10.0.0.9:1", ...extraLines].join("\n");
   return readEntrySettings(text).unsafeCoerce();
 }
 
 Given("a box that started with seeds {string}", function (this: object, seeds: string) {
-  const learnt: string[] = [];
+  const addedSeeds: string[] = [];
   const peers: Pick<Peers, "learn"> = {
-    learn: ({ peerAddress }) => void learnt.push(peerAddress),
+    learn: ({ peerAddress }) => void addedSeeds.push(peerAddress),
   };
   const logger = {
     event: (_name: string, detail: Readonly<Record<string, unknown>> = {}) =>
       void (sceneOf(this).logged = detail),
   };
-  const take = createSettingsUpdater(settingsWith(seeds), peers, logger);
-  scenes.set(this, { take, learnt, logged: {} });
+  const update = createSettingsUpdater(settingsWith(seeds), peers, logger);
+  scenes.set(this, { update, addedSeeds, logged: {} });
 });
 
 When("its settings are read with seeds {string}", function (this: object, seeds: string) {
-  const { take, learnt } = sceneOf(this);
-  learnt.length = 0;
-  take(settingsWith(seeds));
+  const { update, addedSeeds } = sceneOf(this);
+  addedSeeds.length = 0;
+  update(settingsWith(seeds));
 });
 
 When(
   "its settings are read with {string} in {string}",
   function (this: object, line: string, section: string) {
-    sceneOf(this).take(settingsWith(seedsAtStart, [section, line]));
+    sceneOf(this).update(settingsWith(seedsAtStart, [section, line]));
   },
 );
 
-Then("the seeds taken are {string}", function (this: object, seeds: string) {
-  assert.equal(sceneOf(this).learnt.join(" "), seeds);
+Then("the added seeds are {string}", function (this: object, seeds: string) {
+  assert.equal(sceneOf(this).addedSeeds.join(" "), seeds);
 });
 
-Then("{string} waits for the next start", function (this: object, keys: string) {
-  assert.equal(sceneOf(this).logged.atNextStart, keys);
-});
+Then(
+  "the keys that take effect at the next start are {string}",
+  function (this: object, keys: string) {
+    assert.equal(sceneOf(this).logged.atNextStart, keys);
+  },
+);
--- a/packages/entry-box/src/settings-update.ts
+++ b/packages/entry-box/src/settings-update.ts
@@ -1,20 +1,20 @@
-/** What a running box does about settings that change. */
+/** Applies changed settings to a running box. */
 import type { Peers } from "@linkfall/box-peers";
 import type { EntrySettings } from "@linkfall/entry-settings";
 import type { Logger } from "@linkfall/logger";
 import { changedKeys } from "@linkfall/settings-watch";
 
-/** What a new reading of the settings brings, by what a running box can do about it. */
+/** Differences of new settings, by when they take effect. */
 export interface SettingsChange {
-  /** Peer addresses that no earlier reading named. */
+  /** Peer addresses that were not in any earlier settings. */
   readonly newSeeds: readonly string[];
-  /** Other keys that differ from what the box runs with, as `section.key`; they hold from the next start on. */
+  /** Other keys that differ from the running settings, as `section.key`; they take effect at the next start. */
   readonly atNextStart: readonly string[];
 }
 
 const seedsKey = "box.seeds";
 
-/** Compares a reading with the settings of the start and the seeds that are known by now. */
+/** Compares new settings with those of the start and the seeds added since then. */
 export function planSettingsChange(
   atStart: EntrySettings,
   knownSeeds: ReadonlySet<string>,
@@ -26,12 +26,12 @@
   };
 }
 
-/** Tells the box of others that may be up; their names come with their first heartbeat. */
+/** Adds the addresses of boxes that may be running; their names become known with their first heartbeat. */
 export function addSeeds(peers: Pick<Peers, "learn">, addresses: readonly string[]): void {
   for (const peerAddress of addresses) peers.learn({ box: "seed", peerAddress });
 }
 
-/** Creates what takes each further reading of the settings, in their order. */
+/** Creates a function that applies each newer version of the settings, called in order. */
 export function createSettingsUpdater(
   atStart: EntrySettings,
   peers: Pick<Peers, "learn">,
--- a/packages/entry-box/src/store-readers.ts
+++ b/packages/entry-box/src/store-readers.ts
@@ -1,4 +1,4 @@
-/** Which boxes read desired state from the store: all of a small deployment, a few of a large one. */
+/** Selects the boxes that read desired state from the store: all in a small deployment, a few in a large one. */
 import { peersName } from "@linkfall/box-peers";
 import type { FeedPeers } from "@linkfall/desired-feed";
 import { orderLeaseName } from "@linkfall/order-lease";
@@ -6,7 +6,6 @@
 import { chooseReaders } from "./box-ranking.js";
 import type { BoxRuntime } from "./box-runtime.js";
 
-/** The decision is taken at most this often. */
 const minDecisionIntervalMs: Milliseconds = 100;
 
 export function createStoreReaders({
@@ -24,12 +23,12 @@
     if (kernel.find(orderLeaseName).known()?.holder === incarnation) return true;
     const readers = peers.statuses().filter((status) => status.reading);
     if (readers.length === 0) return true;
-    // A reader that the store refuses is no use to the others: the next one takes its place.
-    const failing = new Set(readers.filter((one) => !one.reachesStore).map(({ box }) => box));
+    // A reader that cannot reach the store is replaced by the next one in rank.
+    const failing = new Set(readers.filter((reader) => !reader.reachesStore).map(({ box }) => box));
     const { name, domain, processor_share, processor_speed } = settings.box;
-    const able = peers.alive().filter((one) => !one.leaving && !failing.has(one.box));
+    const eligible = peers.alive().filter((peer) => !peer.leaving && !failing.has(peer.box));
     const self = { box: name, domain, capacity: processor_share * processor_speed };
-    return chooseReaders([self, ...able], settings.store.readers).includes(name);
+    return chooseReaders([self, ...eligible], settings.store.readers).includes(name);
   };
 
   return {
--- a/packages/entry-box/src/tell-others.ts
+++ b/packages/entry-box/src/tell-others.ts
@@ -1,22 +1,22 @@
-/** Tells other boxes at once of what can't wait for the next round of heartbeats. */
+/** Sends heartbeats early for changes that cannot wait for the next round. */
 import { peersName } from "@linkfall/box-peers";
 import type { Milliseconds } from "@linkfall/types";
 import type { BoxRuntime } from "./box-runtime.js";
 
-/** News of one moment are told in one message. */
+/** Changes within this time share one heartbeat. */
 const notifyDelayMs: Milliseconds = 10;
 
-/** Tells the others soon; what is found meanwhile goes with it. */
+/** Creates a function that schedules a heartbeat; calls before it is sent have no further effect. */
 export function createPeerNotifier({
   kernel,
   ports,
 }: Pick<BoxRuntime, "kernel" | "ports">): () => void {
-  let telling = false;
+  let scheduled = false;
   return () => {
-    if (telling) return;
-    telling = true;
+    if (scheduled) return;
+    scheduled = true;
     ports.clock.after(notifyDelayMs, () => {
-      telling = false;
+      scheduled = false;
       kernel.find(peersName).send();
     });
   };
