--- a/packages/entry-box/src/accounts.steps.ts
+++ b/packages/entry-box/src/accounts.steps.ts
@@ -79,7 +79,7 @@
   "a box that knew {int} boxes at once and receives heartbeats from {int} others reaches the majority: {string}",
   (maxKnown: number, otherBoxes: number, answer: string) => {
     const statuses = Array.from({ length: otherBoxes }, () => ({}) as BoxStatus);
-    const peers = { statuses: () => statuses, most: () => maxKnown };
+    const peers = { statuses: () => statuses, maxKnownBoxes: () => maxKnown };
     assert.equal(reachesMajority(peers) ? "yes" : "no", answer);
   },
 );
--- a/packages/entry-box/src/box-registry.ts
+++ b/packages/entry-box/src/box-registry.ts
@@ -36,7 +36,7 @@
       for (const { key, value } of records) {
         if (value === undefined) continue;
         const address = parseAddress(key, value);
-        if (address) peers.learn(address);
+        if (address) peers.addPeer(address);
         else
           logger.event("badRecord", {
             key: key.slice(0, maxLoggedKeyLength),
@@ -44,7 +44,7 @@
           });
       }
     });
-    const pollIntervalMs = peers.mesh() ? meshPollIntervalMs : hubPollIntervalMs;
+    const pollIntervalMs = peers.isFullMesh() ? meshPollIntervalMs : hubPollIntervalMs;
     await sleep(clock, registered && read.isRight() ? pollIntervalMs : retryDelayMs);
   }
 }
--- a/packages/entry-box/src/boxes-with-callers.ts
+++ b/packages/entry-box/src/boxes-with-callers.ts
@@ -7,7 +7,7 @@
 /** Number of boxes that callers use or are directed to, including this one. */
 export function countBoxesWithCallers(runtime: BoxRuntime): number {
   const peers = runtime.kernel.find(peersName);
-  if (peers.mesh()) return peers.most();
+  if (peers.isFullMesh()) return peers.maxKnownBoxes();
   const own = ownProfile(runtime);
   const boxes = [own, ...peers.alive()];
   const minCapacity = strongCapacityThreshold(boxes);
--- a/packages/entry-box/src/connected.ts
+++ b/packages/entry-box/src/connected.ts
@@ -20,8 +20,8 @@
 }
 
 /** Whether this box receives heartbeats from a majority of the boxes it has ever known at once. */
-export function reachesMajority(peers: Pick<Peers, "statuses" | "most">): boolean {
-  return (peers.statuses().length + 1) * 2 > peers.most();
+export function reachesMajority(peers: Pick<Peers, "statuses" | "maxKnownBoxes">): boolean {
+  return (peers.statuses().length + 1) * 2 > peers.maxKnownBoxes();
 }
 
 function peerContact({ kernel }: BoxRuntime): PeerContact {
@@ -30,7 +30,7 @@
   const holder = lease.known()?.holder;
   return {
     heard: peers.statuses().length,
-    holderHeardMs: holder === undefined ? undefined : peers.heardMs(holder),
+    holderHeardMs: holder === undefined ? undefined : peers.sinceHeartbeatMs(holder),
   };
 }
 
@@ -39,11 +39,11 @@
  * is. Detects isolation earlier than the suspicion of single members.
  */
 function isConnected(peers: Peers, contact: PeerContact, holderReachesMajority: boolean): boolean {
-  const isolationMs = peers.suspectMs() * isolationFraction;
-  if (peers.most() === 1) return true;
+  const isolationMs = peers.suspicionTimeoutMs() * isolationFraction;
+  if (peers.maxKnownBoxes() === 1) return true;
   // Covers the lease holder itself, also one that has just lost the lease.
-  if (reachesMajority(peers) && peers.silentMs() < isolationMs) return true;
-  if (peers.mesh()) return false;
+  if (reachesMajority(peers) && peers.sinceAnyHeartbeatMs() < isolationMs) return true;
+  if (peers.isFullMesh()) return false;
   return (contact.holderHeardMs ?? Infinity) < isolationMs && holderReachesMajority;
 }
 
@@ -59,7 +59,7 @@
     const connected = isConnected(peers, contact, holderView.reachesMajority);
     if (connected !== wasConnected) {
       const { reachesMajority: holderHearsMost } = holderView;
-      const facts = { connected, most: peers.most(), ...contact, holderHearsMost };
+      const facts = { connected, most: peers.maxKnownBoxes(), ...contact, holderHearsMost };
       runtime.ports.logger.event("connectionChanged", facts);
     }
     wasConnected = connected;
--- a/packages/entry-box/src/create-entry-box.ts
+++ b/packages/entry-box/src/create-entry-box.ts
@@ -109,7 +109,7 @@
     if (!feed.ready()) return void clock.after(readyPollIntervalMs, check);
     const version = feed.inForce()?.configuration.version;
     logger.event("boxReady", { afterMs: Math.round(clock.now() - startedAt), version });
-    kernel.find(peersName).send();
+    kernel.find(peersName).sendHeartbeats();
   };
   check();
 }
@@ -148,7 +148,7 @@
     async drain() {
       logger.event("boxDraining", { inFlight: front.openRequests() });
       stop.begin();
-      peers.send();
+      peers.sendHeartbeats();
       void lease.release();
       await stop.finish(front);
       logger.event("boxStopped", { inFlight: front.openRequests() });
--- a/packages/entry-box/src/forward-context.ts
+++ b/packages/entry-box/src/forward-context.ts
@@ -38,7 +38,7 @@
     const lease = kernel.find(orderLeaseName);
     if (lease.epoch() !== undefined) return kernel.find(orderGiverName).hurry();
     const holder = lease.known()?.holder;
-    kernel.find(peersName).send((member) => member.status?.incarnation === holder);
+    kernel.find(peersName).sendHeartbeats((member) => member.status?.incarnation === holder);
   };
   return () => {
     if (scheduled) return;
--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -1,9 +1,9 @@
 /** Applies the heartbeats of other boxes: their loads, desired state and the lease holder's reports. */
 import {
   type BoxStatus,
-  type FollowedReport,
+  type ReportPosition,
   type Heartbeat,
-  type HolderReport,
+  type LeaseHolderReport,
   peersName,
 } from "@linkfall/box-peers";
 import { crashBlameName } from "@linkfall/crash-blame";
@@ -25,7 +25,7 @@
 
 /** State received in the lease holder's reports. */
 export interface LeaseHolderView {
-  followed?: FollowedReport;
+  followed?: ReportPosition;
   /** Whether the lease holder receives heartbeats from a majority of boxes. */
   reachesMajority: boolean;
   /** When models are expected to be loaded, by `service model`, on this box's clock. */
@@ -40,7 +40,8 @@
   const lease = kernel.find(orderLeaseName);
   if (lease.epoch() !== undefined) return true;
   const holder = lease.known()?.holder;
-  const heardMs = holder === undefined ? undefined : kernel.find(peersName).heardMs(holder);
+  const heardMs =
+    holder === undefined ? undefined : kernel.find(peersName).sinceHeartbeatMs(holder);
   return heardMs !== undefined && heardMs < settings.peers.suspect_ms;
 }
 
@@ -81,7 +82,7 @@
 function applyReport(
   { kernel, ports }: BoxRuntime,
   holderView: LeaseHolderView,
-  report: HolderReport,
+  report: LeaseHolderReport,
 ) {
   const fleet = kernel.find(fleetName);
   fleet.withhold(new Map(Object.entries(report.withheld)));
@@ -114,7 +115,7 @@
     const { status, report } = heartbeat;
     if (status.lease) lease.hear(status.lease);
     const holdsLease = lease.epoch() !== undefined;
-    if (peers.mesh() || holdsLease) sumPeerLoads();
+    if (peers.isFullMesh() || holdsLease) sumPeerLoads();
     applyTargets(runtime, heartbeat);
     if (heartbeat.blame) blame.take(status.incarnation, heartbeat.blame);
     if (heartbeat.limits) targetLimits.take(status.incarnation, heartbeat.limits);
--- a/packages/entry-box/src/heartbeat-source.ts
+++ b/packages/entry-box/src/heartbeat-source.ts
@@ -1,7 +1,7 @@
 /** Builds the heartbeats that this box sends. */
 import {
   type BoxStatus,
-  type FollowedReport,
+  type ReportPosition,
   type Heartbeat,
   type HeartbeatSource,
   peersName,
@@ -42,7 +42,7 @@
 /** Creates the source; it looks up its services when it builds the first heartbeat. */
 export function createHeartbeatSource(
   runtime: BoxRuntime,
-  followed: () => FollowedReport | undefined,
+  followed: () => ReportPosition | undefined,
 ): HeartbeatSource {
   const { kernel, demand } = runtime;
   const report = createReportBuilder(runtime);
@@ -54,7 +54,7 @@
     const known = lease.known();
     // Demand and loads dominate the size of a status and are only used by the lease holder and in a full mesh.
     const toHolder = recipient !== undefined && recipient.incarnation === known?.holder;
-    const toAll = kernel.find(peersName).mesh();
+    const toAll = kernel.find(peersName).isFullMesh();
     beat += 1;
     return {
       ...ownProfile(runtime),
@@ -73,10 +73,10 @@
   };
 
   return {
-    resting: () =>
+    isIdle: () =>
       !runtime.activity.takesRequests() && kernel.find(orderLeaseName).epoch() === undefined,
     holder: () => kernel.find(orderLeaseName).known()?.holder,
-    message(recipient, sightings): Heartbeat {
+    createHeartbeat(recipient, sightings): Heartbeat {
       const holdsLease = kernel.find(orderLeaseName).epoch() !== undefined;
       return {
         status: status(recipient),
--- a/packages/entry-box/src/holder-report.ts
+++ b/packages/entry-box/src/holder-report.ts
@@ -1,10 +1,10 @@
 /** Builds the lease holder's report for one other box: the changes since the last report that it processed. */
 import {
   type BoxStatus,
-  createChangeNumbers,
+  createChangeTracker,
   type EngineHoldings,
-  type FollowedReport,
-  type HolderReport,
+  type ReportPosition,
+  type LeaseHolderReport,
   peersName,
   type Sighting,
 } from "@linkfall/box-peers";
@@ -15,7 +15,7 @@
 import type { BoxRuntime } from "./box-runtime.js";
 import { reachesMajority } from "./connected.js";
 
-export type ReportBuilder = (recipient?: BoxStatus) => HolderReport;
+export type ReportBuilder = (recipient?: BoxStatus) => LeaseHolderReport;
 
 /** Minimum interval between refreshes of members and loads, independent of the number of boxes. */
 const minRefreshIntervalMs: Milliseconds = 50;
@@ -41,8 +41,8 @@
 }
 
 export function createReportBuilder({ kernel, ports, incarnation }: BoxRuntime): ReportBuilder {
-  const engines = createChangeNumbers(isSameEngine);
-  const members = createChangeNumbers(isSameMember);
+  const engines = createChangeTracker(isSameEngine);
+  const members = createChangeTracker(isSameMember);
   let lastRefreshAt = -Infinity;
   let totalLoads: ReadonlyMap<string, TargetLoad> = new Map();
 
@@ -64,12 +64,12 @@
 
   /** Members and loads for a recipient that is not part of a full mesh. */
   const boxChangesFor = (
-    known: FollowedReport | undefined,
+    known: ReportPosition | undefined,
     recipient?: BoxStatus,
   ): { members?: readonly Sighting[]; othersLoads?: LoadByTarget } => {
-    if (kernel.find(peersName).mesh()) return {};
+    if (kernel.find(peersName).isFullMesh()) return {};
     refreshBoxes();
-    const changed = members.after(known?.members ?? 0);
+    const changed = members.changedAfter(known?.members ?? 0);
     if (!recipient?.takesRequests) return { members: changed };
     return { members: changed, othersLoads: subtractLoads(totalLoads, recipient.loads) };
   };
@@ -81,9 +81,13 @@
     refreshEngines();
     const boxChanges = boxChangesFor(known, recipient);
     return {
-      engines: engines.after(known?.engines ?? 0),
+      engines: engines.changedAfter(known?.engines ?? 0),
       ...boxChanges,
-      followed: { holder: incarnation, engines: engines.newest(), members: members.newest() },
+      followed: {
+        holder: incarnation,
+        engines: engines.latestNumber(),
+        members: members.latestNumber(),
+      },
       hearsMost: reachesMajority(kernel.find(peersName)),
       withheld: Object.fromEntries(dispatcher.withheld()),
       expected: dispatcher.expected(),
--- a/packages/entry-box/src/limit-parts.ts
+++ b/packages/entry-box/src/limit-parts.ts
@@ -51,7 +51,7 @@
   const shareOf = (box: ShareOwner) => shares.get(box.peerAddress) ?? 0;
   const silent = known.filter((box) => box.silent && !box.leaving);
   return {
-    own: (known.length + 1) * 2 > peers.most() ? shareOf(own) : minorityShare,
+    own: (known.length + 1) * 2 > peers.maxKnownBoxes() ? shareOf(own) : minorityShare,
     silent: silent.reduce((sum, box) => sum + shareOf(box), 0),
   };
 }
--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -22,18 +22,18 @@
   const { kernel, settings, incarnation } = runtime;
   const feed = kernel.find(desiredFeedName);
   return {
-    heardMs: peers.heardMs,
+    heardMs: peers.sinceHeartbeatMs,
     ownEarlierLife: (holder) => holder !== incarnation && boxOf(holder) === settings.box.name,
-    ordersForMs: (holder) => peers.find(holder)?.ordersForMs ?? 0,
-    claimed: () => peers.send(() => true),
-    leaving: (holder) => peers.find(holder)?.leaving ?? false,
+    ordersForMs: (holder) => peers.findStatus(holder)?.ordersForMs ?? 0,
+    claimed: () => peers.sendHeartbeats(() => true),
+    leaving: (holder) => peers.findStatus(holder)?.leaving ?? false,
     rank() {
       const serving = peers.alive().filter((box) => box.ready);
       return rankBoxes([ownProfile(runtime), ...serving]).indexOf(settings.box.name);
     },
     allWithoutStore() {
       const statuses = peers.statuses();
-      if (feed.reachesStore() || statuses.length * 2 < peers.most()) return false;
+      if (feed.reachesStore() || statuses.length * 2 < peers.maxKnownBoxes()) return false;
       return statuses.every((status) => !status.reachesStore);
     },
   };
@@ -76,8 +76,8 @@
     announce() {
       fleet.withhold(dispatcher.withheld());
       // In a large deployment the other boxes receive it in their next heartbeat round.
-      if (peers.mesh()) peers.send();
-      else peers.send((member) => hasWaitingRequests(member.status));
+      if (peers.isFullMesh()) peers.sendHeartbeats();
+      else peers.sendHeartbeats((member) => hasWaitingRequests(member.status));
     },
     rules: {
       plan: { loadOfReplica: placement.load_of_replica, horizonMs: placement.horizon_ms },
--- a/packages/entry-box/src/settings-update.steps.ts
+++ b/packages/entry-box/src/settings-update.steps.ts
@@ -31,8 +31,8 @@
 
 Given("a box that started with seeds {string}", function (this: object, seeds: string) {
   const addedSeeds: string[] = [];
-  const peers: Pick<Peers, "learn"> = {
-    learn: ({ peerAddress }) => void addedSeeds.push(peerAddress),
+  const peers: Pick<Peers, "addPeer"> = {
+    addPeer: ({ peerAddress }) => void addedSeeds.push(peerAddress),
   };
   const logger = {
     event: (_name: string, detail: Readonly<Record<string, unknown>> = {}) =>
--- a/packages/entry-box/src/settings-update.ts
+++ b/packages/entry-box/src/settings-update.ts
@@ -27,14 +27,14 @@
 }
 
 /** Adds the addresses of boxes that may be running; their names become known with their first heartbeat. */
-export function addSeeds(peers: Pick<Peers, "learn">, addresses: readonly string[]): void {
-  for (const peerAddress of addresses) peers.learn({ box: "seed", peerAddress });
+export function addSeeds(peers: Pick<Peers, "addPeer">, addresses: readonly string[]): void {
+  for (const peerAddress of addresses) peers.addPeer({ box: "seed", peerAddress });
 }
 
 /** Creates a function that applies each newer version of the settings, called in order. */
 export function createSettingsUpdater(
   atStart: EntrySettings,
-  peers: Pick<Peers, "learn">,
+  peers: Pick<Peers, "addPeer">,
   logger: Logger,
 ): (read: EntrySettings) => void {
   const knownSeeds = new Set(atStart.box.seeds);
--- a/packages/entry-box/src/store-readers.ts
+++ b/packages/entry-box/src/store-readers.ts
@@ -19,7 +19,7 @@
 
   const decide = (): boolean => {
     const peers = kernel.find(peersName);
-    if (peers.mesh()) return true;
+    if (peers.isFullMesh()) return true;
     if (kernel.find(orderLeaseName).known()?.holder === incarnation) return true;
     const readers = peers.statuses().filter((status) => status.reading);
     if (readers.length === 0) return true;
--- a/packages/entry-box/src/tell-others.ts
+++ b/packages/entry-box/src/tell-others.ts
@@ -17,7 +17,7 @@
     scheduled = true;
     ports.clock.after(notifyDelayMs, () => {
       scheduled = false;
-      kernel.find(peersName).send();
+      kernel.find(peersName).sendHeartbeats();
     });
   };
 }
