--- a/packages/box-peers/src/box-peers.feature
+++ b/packages/box-peers/src/box-peers.feature
@@ -1,65 +1,64 @@
-Feature: Boxes know each other at any size of the deployment
+Feature: Boxes track each other in deployments of any size
 
-  Scenario: In a small deployment every box hears every other one
+  Scenario: In a small deployment every box exchanges heartbeats with every other one
     Given 8 boxes of which one holds the order lease
-    When 3000 ms go by among the boxes
-    Then every box takes 7 others for alive
-    And every box has heard 7 others itself
+    When 3000 ms pass for all boxes
+    Then every box considers 7 others alive
+    And every box has recent heartbeats from 7 others
 
-  Scenario: Two boxes exchange one heartbeat in a round, whichever of them begins
+  Scenario: Two boxes exchange only one heartbeat per round
     Given 8 boxes of which one holds the order lease
-    When 6000 ms go by among the boxes
-    Then a box sends less than 13 heartbeats a second
+    When 6000 ms pass for all boxes
+    Then a box sends less than 13 heartbeats per second
 
-  Scenario: In a large deployment every box knows of every other one, and few messages go
+  Scenario: In a large deployment every box knows all others with few messages
     Given 60 boxes of which one holds the order lease
-    When 6000 ms go by among the boxes
-    Then every box takes 59 others for alive
-    And a box sends less than 10 heartbeats a second
+    When 6000 ms pass for all boxes
+    Then every box considers 59 others alive
+    And a box sends less than 10 heartbeats per second
 
-  Scenario: A box that stops is known to be gone everywhere
+  Scenario: A stopped box is detected by all others
     Given 60 boxes of which one holds the order lease
-    When 6000 ms go by among the boxes
+    When 6000 ms pass for all boxes
     And box 7 stops
-    And 3500 ms go by among the boxes
-    Then every box takes 58 others for alive
+    And 3500 ms pass for all boxes
+    Then every box considers 58 others alive
 
-  Scenario: A box without callers makes its rounds farther apart, and is known to be gone as well
+  Scenario: A box without callers sends fewer heartbeats, and its stop is still detected
     Given 60 boxes of which one holds the order lease
-    When 6000 ms go by among the boxes
+    When 6000 ms pass for all boxes
     And box 30 stops
-    And 6000 ms go by among the boxes
-    Then every box takes 58 others for alive
-    And box 20 has sent less than box 5
+    And 6000 ms pass for all boxes
+    Then every box considers 58 others alive
+    And box 20 has sent fewer heartbeats than box 5
 
-  Scenario: Boxes are not forgotten while the order lease passes on
+  Scenario: Boxes remain known while the order lease moves to another box
     Given 60 boxes of which one holds the order lease
-    When 6000 ms go by among the boxes
-    And the holder stops
-    And 2500 ms go by among the boxes
-    Then every box takes at least 55 others for alive
+    When 6000 ms pass for all boxes
+    And the lease holder stops
+    And 2500 ms pass for all boxes
+    Then every box considers at least 55 others alive
     When box 3 holds the order lease
-    And 5000 ms go by among the boxes
-    Then every box takes 58 others for alive
+    And 5000 ms pass for all boxes
+    Then every box considers 58 others alive
 
-  Scenario: A box that was suspended has heard nobody lately before it hears them again
-    A box whose machine had slept took what it had heard before for fresh: that the store was away for all, so that it went on giving orders, and that it was
-    connected, so that it went on allotting limits. The steady clock, by which it measured, does not count a suspension.
+  Scenario: Heartbeats received before a suspension of the machine expire
+    Guards against a resumed box that acts on outdated heartbeats because a monotonic clock does not count the suspension.
     Given 5 boxes of which one holds the order lease
-    When 3000 ms go by among the boxes
-    Then every box has heard 4 others itself
+    When 3000 ms pass for all boxes
+    Then every box has recent heartbeats from 4 others
     When all machines are suspended for 5000 ms
-    Then every box has heard 0 others itself
-    When 1000 ms go by among the boxes
-    Then every box has heard 4 others itself
+    Then every box has recent heartbeats from 0 others
+    When 1000 ms pass for all boxes
+    Then every box has recent heartbeats from 4 others
 
-  Scenario: A round lengthens with the deployment
-    Then with 7, 86 and 429 others a round of 400 ms and 4 ms a box takes 400, 400 and 1716 ms
+  Scenario: The round interval grows with the deployment
+    Then with 7, 86 and 429 others a round of at least 400 ms and 4 ms per box takes 400, 400 and 1716 ms
 
-  Scenario: Boxes ask readers that the store serves, and two of them while it refuses the holder
-    Given a holder and the readers "r1 r2 r3", of which the store refuses "r2"
+  Scenario: Rounds go to readers that reach the store, and to two of them while the lease holder does not
+    Given a holder and the readers "r1 r2 r3", of which "r2" cannot reach the store
     Then rounds 0 to 3 go to the holder and "r1", "r3", "r1", "r3"
-    Given the store refuses the holder as well
+    Given the holder cannot reach the store either
     Then rounds 0 to 3 go to the holder and "r1 r3", "r1 r3", "r1 r3", "r1 r3"
-    Given the store refuses all readers
+    Given no reader can reach the store
     Then rounds 0 to 2 go to the holder and "r1 r2", "r3 r1", "r2 r3"
--- a/packages/box-peers/src/box-peers.steps.ts
+++ b/packages/box-peers/src/box-peers.steps.ts
@@ -70,7 +70,7 @@
   };
 }
 
-/** Heartbeats as a box makes them; the holder tells of every box that it knows. */
+/** Creates a box's heartbeats; the lease holder reports all boxes that it knows. */
 function sourceOf(scene: Scene, index: number, peers: () => Peers): HeartbeatSource {
   let beat = 0;
   const followed = { holder: nameOf(index), engines: 0, members: 0 };
@@ -151,7 +151,7 @@
   },
 );
 
-When("{int} ms go by among the boxes", async function (this: object, ms: number) {
+When("{int} ms pass for all boxes", async function (this: object, ms: number) {
   const scene = sceneOf(this);
   scene.passedMs += ms;
   await scene.clock.runUntil(scene.clock.now() + ms);
@@ -170,7 +170,7 @@
   return stopBox(sceneOf(this), index);
 });
 
-When("the holder stops", function (this: object) {
+When("the lease holder stops", function (this: object) {
   return stopBox(sceneOf(this), 0);
 });
 
@@ -180,33 +180,33 @@
 
 const running = (scene: Scene) => scene.boxes.filter((box) => !box.stopped);
 
-Then("every box takes {int} others for alive", function (this: object, count: number) {
+Then("every box considers {int} others alive", function (this: object, count: number) {
   for (const { address, peers } of running(sceneOf(this))) {
     assert.equal(peers.alive().length, count, address);
   }
 });
 
-Then("every box takes at least {int} others for alive", function (this: object, count: number) {
+Then("every box considers at least {int} others alive", function (this: object, count: number) {
   for (const { address, peers } of running(sceneOf(this))) {
     assert.ok(peers.alive().length >= count, `${address} ${peers.alive().length}`);
   }
 });
 
-Then("every box has heard {int} others itself", function (this: object, count: number) {
+Then("every box has recent heartbeats from {int} others", function (this: object, count: number) {
   for (const { peers } of sceneOf(this).boxes) assert.equal(peers.statuses().length, count);
 });
 
 Then(
-  "a box sends less than {int} heartbeats a second",
-  function (this: object, mostASecond: number) {
+  "a box sends less than {int} heartbeats per second",
+  function (this: object, maxPerSecond: number) {
     const { boxes, passedMs } = sceneOf(this);
     const sent = boxes.reduce((sum, box) => sum + box.sent, 0);
-    assert.ok((sent * 1_000) / passedMs / boxes.length < mostASecond);
+    assert.ok((sent * 1_000) / passedMs / boxes.length < maxPerSecond);
   },
 );
 
 Then(
-  "with {int}, {int} and {int} others a round of {int} ms and {int} ms a box takes {int}, {int} and {int} ms",
+  "with {int}, {int} and {int} others a round of at least {int} ms and {int} ms per box takes {int}, {int} and {int} ms",
   (
     few: number,
     some: number,
@@ -223,16 +223,16 @@
 );
 
 Then(
-  "box {int} has sent less than box {int}",
-  function (this: object, resting: number, busy: number) {
+  "box {int} has sent fewer heartbeats than box {int}",
+  function (this: object, idle: number, busy: number) {
     const { boxes } = sceneOf(this);
-    assert.ok(boxes[resting].sent < boxes[busy].sent);
+    assert.ok(boxes[idle].sent < boxes[busy].sent);
   },
 );
 
 const partnerScenes = new WeakMap<object, Map<string, boolean>>();
 
-/** Members by name, each with whether the store serves it. */
+/** Members by name, with whether they can reach the store. */
 function membersOf(world: object): readonly Member[] {
   return [...(partnerScenes.get(world) ?? [])].map(([box, reachesStore]) => {
     const member = createMember({ box, peerAddress: box }, 0);
@@ -243,31 +243,33 @@
 }
 
 Given(
-  "a holder and the readers {string}, of which the store refuses {string}",
-  function (this: object, readers: string, refused: string) {
-    const served = ["holder", ...readers.split(" ")].map((box) => [box, box !== refused] as const);
-    partnerScenes.set(this, new Map(served));
+  "a holder and the readers {string}, of which {string} cannot reach the store",
+  function (this: object, readers: string, unreachable: string) {
+    const members = ["holder", ...readers.split(" ")].map(
+      (box) => [box, box !== unreachable] as const,
+    );
+    partnerScenes.set(this, new Map(members));
   },
 );
 
-Given("the store refuses the holder as well", function (this: object) {
+Given("the holder cannot reach the store either", function (this: object) {
   partnerScenes.get(this)?.set("holder", false);
 });
 
-Given("the store refuses all readers", function (this: object) {
+Given("no reader can reach the store", function (this: object) {
   const known = partnerScenes.get(this) ?? new Map<string, boolean>();
   for (const box of known.keys()) known.set(box, false);
 });
 
 Then(/^rounds 0 to \d+ go to the holder and (.+)$/, function (this: object, listed: string) {
   const expected = [...listed.matchAll(/"([^"]+)"/g)].map(([, boxes]) => boxes);
-  const rules = { fanout: 1, searchFanout: 1, randomEvery: 1_000 };
+  const options = { fanout: 1, searchFanout: 1, randomEvery: 1_000 };
   const rounds = expected.map((_, round) => {
-    // Round 0 asks one at random as well; the same turns come again later.
+    // Round 0 also adds a random partner, hence an equivalent later round is used.
     const input = { members: membersOf(this), holder: "holder", holderReachable: true };
-    const turn = { ...input, round: round + 12 };
-    const asked = selectPartners(turn, rules, seededRandom(1));
-    return asked.slice(1).map(({ address }) => address.box);
+    const candidates = { ...input, round: round + 12 };
+    const partners = selectPartners(candidates, options, seededRandom(1));
+    return partners.slice(1).map(({ address }) => address.box);
   });
   assert.deepEqual(
     rounds.map((boxes) => boxes.join(" ")),
--- a/packages/box-peers/src/change-numbers.ts
+++ b/packages/box-peers/src/change-numbers.ts
@@ -1,11 +1,11 @@
-/** Numbers the changes of named values, so that each reader is told only what it lacks. */
+/** Numbers the changes of keyed values, so that each reader receives only what it lacks. */
 
 export interface ChangeTracker<Value> {
-  /** Takes the values of now; those that are not named any more are forgotten. */
+  /** Sets the current values; keys that are missing are removed. */
   update(values: ReadonlyMap<string, Value>): void;
-  /** Values that have changed after the given number. */
+  /** Values that changed after the given number. */
   changedAfter(number: number): readonly Value[];
-  /** The number of the newest change. */
+  /** Number of the latest change; 0 before the first one. */
   latestNumber(): number;
 }
 
@@ -14,17 +14,17 @@
   readonly number: number;
 }
 
-/** Creates numbers from 1 on; `same` tells whether a value has not changed. */
+/** Creates a tracker that numbers changes from 1; `same` compares two values of a key. */
 export function createChangeTracker<Value>(
-  same: (before: Value, now: Value) => boolean,
+  same: (previous: Value, now: Value) => boolean,
 ): ChangeTracker<Value> {
   const numbered = new Map<string, NumberedValue<Value>>();
   let newest = 0;
   return {
     update(values) {
       for (const [name, value] of values) {
-        const before = numbered.get(name);
-        if (before && same(before.value, value)) continue;
+        const previous = numbered.get(name);
+        if (previous && same(previous.value, value)) continue;
         newest += 1;
         numbered.set(name, { value, number: newest });
       }
--- a/packages/box-peers/src/member-table.ts
+++ b/packages/box-peers/src/member-table.ts
@@ -1,4 +1,4 @@
-/** All other boxes that one box knows, and which of them it takes for alive. */
+/** The other boxes known to this box, and whether it considers them alive. */
 import type { Clock } from "@linkfall/kernel";
 import type { Incarnation, Milliseconds } from "@linkfall/types";
 import { createMember, type Member, applySighting, applyStatus } from "./member.js";
@@ -6,98 +6,100 @@
 import { fitsFullMesh, type PartnerOptions, computeRoundIntervalMs } from "./partners.js";
 
 export interface MemberOptions extends PartnerOptions {
-  /** Where other boxes reach this one. */
+  /** Address at which other boxes reach this one. */
   readonly selfAddress: string;
-  /** Shortest time between two rounds of heartbeats. */
+  /** Minimum interval between two heartbeat rounds. */
   readonly roundMs: Milliseconds;
-  /** Time between two rounds for each other box, where that is longer. */
+  /** Interval between two rounds per other box; replaces `roundMs` where the total is longer. */
   readonly roundPerBoxMs: Milliseconds;
-  /** A box that was not heard for this long gets no callers. */
+  /** A box without a heartbeat for this long is suspected; scaled with the round interval. */
   readonly suspectMs: Milliseconds;
-  /** A box that the holder of the order lease vouched for is believed in for this long after the
-   * holder fell silent. */
+  /** Time after the lease holder's last heartbeat for which its reports still keep boxes alive. */
   readonly vouchedMs: Milliseconds;
-  /** A box that was not heard for this long is forgotten. */
+  /** A box without a heartbeat for this long is removed. */
   readonly forgetMs: Milliseconds;
 }
 
-/** What a look at the table found. */
+/** Result of a check for silent members. */
 export interface SilentMembers {
-  /** Boxes that are no longer taken for alive since this look. */
+  /** Boxes newly considered not alive. */
   readonly suspected: readonly Member[];
-  /** Boxes that were let go of. */
+  /** Boxes removed from the table. */
   readonly gone: readonly Member[];
 }
 
-/** What a status says beyond what was known of its box. */
+/** How a received status compares to the one known before. */
 export type StatusUpdate = "old" | "newer" | "new_incarnation";
 
 export interface MemberTable {
   all(): readonly Member[];
   find(incarnation: Incarnation): Member | undefined;
-  /** Notes where a box may be asked; undefined for this box itself. */
+  /** Adds the address of a box; returns undefined for this box itself. */
   add(address: BoxAddress): Member | undefined;
-  /** Takes what a box tells of itself and of others. */
+  /** Applies a box's status and its sightings of others. */
   applyHeartbeat(heartbeat: Heartbeat): StatusUpdate;
   isAlive(member: Member): boolean;
-  /** A box as this one tells of it; none where nothing is known of it but its address. */
+  /** The sighting of a box to send to others; empty if only its address is known. */
   toSightings(member: Member): readonly Sighting[];
-  /** Looks for boxes that have fallen silent, and forgets those that were silent for long. */
+  /** Marks boxes that have become silent as suspected, and removes those silent for `forgetMs`. */
   detectSilent(): SilentMembers;
-  /** Most boxes that were known at once, this one included. */
+  /** Highest number of boxes known at the same time, including this one. */
   maxKnownBoxes(): number;
   /** Whether every box exchanges heartbeats with every other one. */
   isFullMesh(): boolean;
-  /** Time between two rounds of heartbeats. */
+  /** Interval between two heartbeat rounds. */
   roundIntervalMs(): Milliseconds;
-  /** Silence after which a box is suspected: a few rounds. */
+  /** Time without a heartbeat after which a box is suspected; a few rounds. */
   suspicionTimeoutMs(): Milliseconds;
 }
 
-/** In a large deployment, boxes without callers make their rounds so many times as far apart. */
+/** Factor by which boxes without callers lengthen their rounds in a large deployment. */
 export const idleRoundFactor = 2;
 
-/** Creates a table of no boxes. */
-export function createMemberTable(clock: Clock, rules: MemberOptions): MemberTable {
+/** Creates an empty table. */
+export function createMemberTable(clock: Clock, options: MemberOptions): MemberTable {
   const members = new Map<string, Member>();
-  /** Boxes that were heard themselves. */
-  const heard = new Map<Incarnation, Member>();
-  let most = 1;
+  /** Members that have sent a heartbeat themselves. */
+  const byIncarnation = new Map<Incarnation, Member>();
+  let maxKnownBoxes = 1;
 
   const all = () => [...members.values()];
-  const find = (incarnation: Incarnation) => heard.get(incarnation);
-  const mesh = () => fitsFullMesh(members.size, rules);
-  const intervalMs = () => computeRoundIntervalMs(rules.roundMs, rules.roundPerBoxMs, members.size);
-  const suspectMs = () => (rules.suspectMs * intervalMs()) / rules.roundMs;
-  const mayRestMs = (member: Member) =>
-    mesh() || member.profile?.takesRequests ? suspectMs() : suspectMs() * idleRoundFactor;
+  const find = (incarnation: Incarnation) => byIncarnation.get(incarnation);
+  const isFullMesh = () => fitsFullMesh(members.size, options);
+  const roundIntervalMs = () =>
+    computeRoundIntervalMs(options.roundMs, options.roundPerBoxMs, members.size);
+  const suspicionTimeoutMs = () => (options.suspectMs * roundIntervalMs()) / options.roundMs;
+  const maxSilenceMs = (member: Member) =>
+    isFullMesh() || member.profile?.takesRequests
+      ? suspicionTimeoutMs()
+      : suspicionTimeoutMs() * idleRoundFactor;
 
-  const learn = (address: BoxAddress): Member | undefined => {
-    if (address.peerAddress === rules.selfAddress) return undefined;
+  const add = (address: BoxAddress): Member | undefined => {
+    if (address.peerAddress === options.selfAddress) return undefined;
     const known = members.get(address.peerAddress);
     if (known) return known;
     const member = createMember(address, clock.now());
     members.set(address.peerAddress, member);
-    most = Math.max(most, members.size + 1);
+    maxKnownBoxes = Math.max(maxKnownBoxes, members.size + 1);
     return member;
   };
 
   const isAlive = (member: Member): boolean => {
     const now = clock.now();
-    if (now - member.lastSeenAt <= mayRestMs(member)) return true;
-    if (member.vouchedBy === undefined) return false;
-    const holder = find(member.vouchedBy);
-    return holder !== undefined && clock.elapsed() - holder.lastHeartbeatAt <= rules.vouchedMs;
+    if (now - member.lastSeenAt <= maxSilenceMs(member)) return true;
+    if (member.reportedAliveBy === undefined) return false;
+    const holder = find(member.reportedAliveBy);
+    return holder !== undefined && clock.elapsed() - holder.lastHeartbeatAt <= options.vouchedMs;
   };
 
-  const takeSightings = ({ status, sightings, report }: Heartbeat) => {
+  const applySightings = ({ status, sightings, report }: Heartbeat) => {
     const now = clock.now();
     for (const sighting of sightings) {
-      const member = learn(sighting);
+      const member = add(sighting);
       if (member) applySighting(member, sighting, now);
     }
     for (const sighting of report?.members ?? []) {
-      const member = learn(sighting);
+      const member = add(sighting);
       if (member) applySighting(member, sighting, now, status.incarnation);
     }
   };
@@ -105,24 +107,24 @@
   const isSuspect = (member: Member) =>
     member.profile !== undefined && !member.suspected && !isAlive(member);
   const isLongSilent = (member: Member) => {
-    const last = Math.max(member.lastSeenAt, member.addedAt);
-    return !isAlive(member) && clock.now() - last > rules.forgetMs;
+    const lastContactAt = Math.max(member.lastSeenAt, member.addedAt);
+    return !isAlive(member) && clock.now() - lastContactAt > options.forgetMs;
   };
 
   return {
     all,
     find,
-    add: learn,
+    add,
     applyHeartbeat(heartbeat) {
-      takeSightings(heartbeat);
+      applySightings(heartbeat);
       const { status } = heartbeat;
-      const member = learn(status);
-      const before = member?.status?.incarnation;
+      const member = add(status);
+      const previous = member?.status?.incarnation;
       if (!member || !applyStatus(member, status, clock.now(), clock.elapsed())) return "old";
       member.suspected = false;
-      if (before === status.incarnation) return "newer";
-      if (before !== undefined) heard.delete(before);
-      heard.set(status.incarnation, member);
+      if (previous === status.incarnation) return "newer";
+      if (previous !== undefined) byIncarnation.delete(previous);
+      byIncarnation.set(status.incarnation, member);
       return "new_incarnation";
     },
     isAlive,
@@ -141,13 +143,13 @@
       const gone = all().filter(isLongSilent);
       for (const member of gone) {
         members.delete(member.address.peerAddress);
-        if (member.status) heard.delete(member.status.incarnation);
+        if (member.status) byIncarnation.delete(member.status.incarnation);
       }
       return { suspected, gone };
     },
-    maxKnownBoxes: () => most,
-    isFullMesh: mesh,
-    roundIntervalMs: intervalMs,
-    suspicionTimeoutMs: suspectMs,
+    maxKnownBoxes: () => maxKnownBoxes,
+    isFullMesh,
+    roundIntervalMs,
+    suspicionTimeoutMs,
   };
 }
--- a/packages/box-peers/src/member.ts
+++ b/packages/box-peers/src/member.ts
@@ -1,20 +1,20 @@
-/** What a box knows of one other box, and when it takes that box for alive. */
+/** State of one other box, as known to this box. */
 import type { Incarnation, Milliseconds } from "@linkfall/types";
 import type { BoxAddress, BoxProfile, BoxStatus, Sighting } from "./messages.js";
 
-/** One other box; changed in place by the table that owns it. */
+/** Another box; mutated only by the table that owns it. */
 export interface Member {
   readonly address: BoxAddress;
   readonly addedAt: Milliseconds;
   profile?: BoxProfile;
-  /** Newest status that came from the box itself. */
+  /** Latest status received from the box itself. */
   status?: BoxStatus;
-  /** When that status came, by the clock's `elapsed`: what this box heard before it slept gives it no right. */
+  /** Time of that status by the clock's `elapsed`, which counts suspended time: older statuses expire during a suspension. */
   lastHeartbeatAt: Milliseconds;
-  /** When any box last heard it, as far as sightings tell. */
+  /** Time of its latest heartbeat to any box, as reported by sightings. */
   lastSeenAt: Milliseconds;
-  /** The holder of the order lease by whose word the box is alive, until it says otherwise. */
-  vouchedBy?: Incarnation;
+  /** The lease holder that reported the box as alive, until it reports otherwise. */
+  reportedAliveBy?: Incarnation;
   suspected: boolean;
 }
 
@@ -23,15 +23,15 @@
   return { address, addedAt: now, lastHeartbeatAt: never, lastSeenAt: never, suspected: false };
 }
 
-/** Takes a status that came from the box itself; returns whether it is news. */
+/** Applies a status received from the box itself; returns whether it is newer than the known one. */
 export function applyStatus(
   member: Member,
   status: BoxStatus,
   now: Milliseconds,
   elapsed: Milliseconds,
 ): boolean {
-  const before = member.status;
-  if (before?.incarnation === status.incarnation && status.beat <= before.beat) return false;
+  const previous = member.status;
+  if (previous?.incarnation === status.incarnation && status.beat <= previous.beat) return false;
   member.status = status;
   member.profile = status;
   member.lastHeartbeatAt = elapsed;
@@ -39,7 +39,7 @@
   return true;
 }
 
-/** Takes what another box tells of this one; `holder` where that box vouches for all others. */
+/** Applies another box's sighting of a member; `holder` is set if it comes from the lease holder's report. */
 export function applySighting(
   member: Member,
   sighting: Sighting,
@@ -52,5 +52,5 @@
     member.lastSeenAt = seenAt;
   }
   if (holder === undefined || member.profile?.incarnation !== sighting.incarnation) return;
-  member.vouchedBy = sighting.silent ? undefined : holder;
+  member.reportedAliveBy = sighting.silent ? undefined : holder;
 }
--- a/packages/box-peers/src/messages.ts
+++ b/packages/box-peers/src/messages.ts
@@ -1,4 +1,4 @@
-/** What boxes tell each other in their heartbeats. */
+/** Messages that boxes exchange in their heartbeats. */
 import type { TargetLoad } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { LeaseWord } from "@linkfall/order-lease";
@@ -12,119 +12,119 @@
   TargetLimitWord,
 } from "@linkfall/types";
 
-/** What every box has to know of every other one. It changes seldom. */
+/** Properties of a box that all other boxes need; they rarely change. */
 export interface BoxProfile {
   readonly box: string;
   readonly incarnation: Incarnation;
-  /** Where callers connect. */
+  /** Address for callers. */
   readonly frontAddress: string;
-  /** Where other boxes connect. */
+  /** Address for other boxes. */
   readonly peerAddress: string;
   readonly domain: string;
-  /** What it can carry, in cores of one speed. */
+  /** Processor capacity, in cores of the reference speed. */
   readonly capacity: number;
   readonly ready: boolean;
   readonly leaving: boolean;
-  /** It has little of its processor left. */
+  /** Whether its processor is close to full utilization. */
   readonly strained: boolean;
-  /** Callers have sent it requests lately. */
+  /** Whether it recently received requests from callers. */
   readonly takesRequests: boolean;
-  /** It reads desired state from the store itself. */
+  /** Whether it reads desired state directly from the store. */
   readonly reading: boolean;
 }
 
-/** How far a box has followed the reports of the holder of the order lease. */
+/** Position of a box in the lease holder's reports. */
 export interface ReportPosition {
   readonly holder: Incarnation;
   readonly engines: number;
   readonly members: number;
 }
 
-/** One box, as it tells of itself. */
+/** Status of a box, sent by itself. */
 export interface BoxStatus extends BoxProfile {
-  /** Grows with each heartbeat of this incarnation. */
+  /** Sequence number of the heartbeat within this incarnation. */
   readonly beat: number;
   readonly reachesStore: boolean;
   readonly configurationVersion: number;
-  /** How far the list of targets has been read. */
+  /** Offset up to which the list of targets has been read. */
   readonly targetsEnd: Offset;
   readonly loads: Readonly<Record<string, TargetLoad>>;
   readonly demand: readonly ModelDemand[];
   readonly lease?: LeaseWord;
-  /** Time for which the sender may go on giving orders, where it may. */
+  /** Remaining time for which the sender may issue orders, if it holds the lease. */
   readonly ordersForMs?: Milliseconds;
   readonly followed?: ReportPosition;
-  /** How far the sender has followed the reader in what boxes tell of requests that end targets. */
+  /** Number up to which the sender has received the recipient's records of requests that crash targets. */
   readonly blameFollowed?: number;
-  /** How far the sender has followed the reader in what boxes tell of targets' limits. */
+  /** Number up to which the sender has received the recipient's records of targets' rate limits. */
   readonly limitsFollowed?: number;
 }
 
-/** What one engine holds, as the holder of the order lease has read it. */
+/** Models loaded in one engine, as read by the lease holder. */
 export interface EngineHoldings {
   readonly id: string;
   readonly holdings: Holdings;
 }
 
-/** A box as another one has heard of it. */
+/** A box as observed by another one. */
 export interface Sighting extends BoxProfile {
-  /** Time since it was heard. */
+  /** Time since its latest heartbeat. */
   readonly ageMs: Milliseconds;
-  /** The sender takes it for gone. */
+  /** Whether the sender considers it not alive. */
   readonly silent: boolean;
 }
 
-/** What the holder of the order lease tells one other box. */
+/** Report of the lease holder to one other box. */
 export interface LeaseHolderReport {
-  /** Engines that have changed since the reader's last report. */
+  /** Engines that have changed since the recipient's last report. */
   readonly engines: readonly EngineHoldings[];
-  /** Boxes that have changed since the reader's last report; absent where all boxes hear each other. */
+  /** Boxes that have changed since the recipient's last report; absent in a full mesh. */
   readonly members?: readonly Sighting[];
-  /** How far the reader has followed once it has taken this. */
+  /** Position of the recipient after it has applied this report. */
   readonly followed: ReportPosition;
-  /** The holder hears most of the boxes that it ever knew. */
+  /** Whether the lease holder receives heartbeats from a majority of the boxes it has ever known. */
   readonly hearsMost: boolean;
   readonly withheld: Readonly<Record<string, readonly string[]>>;
-  /** Time until models are there, by `service model`. */
+  /** Time until models are expected to be loaded, by `service model`. */
   readonly expected: Readonly<Record<string, Milliseconds>>;
-  /** Requests of all boxes but the reader, by target; absent where the reader hears all boxes. */
+  /** Load of all boxes except the recipient, by target; absent in a full mesh. */
   readonly othersLoads?: Readonly<Record<string, TargetLoad>>;
 }
 
-/** Changes of the list of targets, for a box that does not read it from the store. */
+/** Changes of the list of targets, for a box that does not read the list from the store. */
 export interface TargetChanges {
-  /** The list as of this offset. */
+  /** Offset of the list after these changes. */
   readonly end: Offset;
-  /** `changed` is the whole list. */
+  /** Whether `changed` contains the complete list. */
   readonly whole: boolean;
   readonly changed: readonly ListedTarget[];
   readonly gone: readonly string[];
-  /** Targets whose entries can't be read: they are left alone. */
+  /** Targets whose entries cannot be parsed; their known state is kept. */
   readonly unreadable?: readonly string[];
 }
 
-/** Where another box can be asked. */
+/** Name and peer address of a box. */
 export interface BoxAddress {
   readonly box: string;
   readonly peerAddress: string;
 }
 
-/** One message between two boxes; its answer has the same form. */
+/** Message from one box to another; the reply has the same type. */
 export interface Heartbeat {
   readonly status: BoxStatus;
-  /** Some of the boxes that the sender knows. */
+  /** A sample of the boxes known to the sender. */
   readonly sightings: readonly Sighting[];
-  /** Present where the sender holds the order lease. */
+  /** Present if the sender holds the order lease. */
   readonly report?: LeaseHolderReport;
-  /** Present where the sender reads the list and the reader does not. */
+  /** Present if the sender reads the list from the store and the recipient does not. */
   readonly targets?: TargetChanges;
-  /** What the sender knows of requests that end targets; absent where the reader knows it. */
+  /** Records of requests that crash targets; absent if the recipient has them all. */
   readonly blame?: BlameWord;
-  /** What the sender knows of targets' limits; absent where the reader knows it. */
+  /** Records of targets' rate limits; absent if the recipient has them all. */
   readonly limits?: TargetLimitWord;
 }
 
-/** The configuration as one box has read it, in the form in which the store gave it. */
+/** The configuration as stored, copied from the box that read it. */
 export interface ConfigurationCopy {
   readonly version: number;
   readonly text?: string;
--- a/packages/box-peers/src/partners.ts
+++ b/packages/box-peers/src/partners.ts
@@ -1,29 +1,29 @@
-/** Chooses the boxes that a round of heartbeats goes to. */
+/** Selects the boxes that receive the heartbeats of a round. */
 import type { Random } from "@linkfall/kernel";
 import type { Incarnation, Milliseconds } from "@linkfall/types";
 import type { Member } from "./member.js";
 
-/** Settings of the choice. */
+/** Settings of the partner selection. */
 export interface PartnerOptions {
-  /** Up to this many other boxes each round goes to all. */
+  /** Highest number of other boxes with which heartbeats form a full mesh. */
   readonly fanout: number;
-  /** Boxes that a large deployment's round goes to while the holder of the order lease is unheard. */
+  /** Random partners per round in a large deployment while the lease holder is unreachable. */
   readonly searchFanout: number;
-  /** Every so many rounds one box at random is asked beside those that know most. */
+  /** Every this many rounds one random box is added to the partners. */
   readonly randomEvery: number;
 }
 
 export interface PartnerCandidates {
   readonly members: readonly Member[];
-  /** The box that hears all others. */
+  /** The lease holder, which exchanges heartbeats with all boxes. */
   readonly holder?: Incarnation;
-  /** Whether that box is heard. */
+  /** Whether the lease holder's heartbeats are recent. */
   readonly holderReachable: boolean;
-  /** Number of this round. */
+  /** Sequence number of the round. */
   readonly round: number;
 }
 
-/** Up to `count` different members at random. */
+/** Selects up to `count` distinct random members. */
 export function sample(
   members: readonly Member[],
   count: number,
@@ -35,15 +35,15 @@
   return [...chosen];
 }
 
-/** Whether every box exchanges heartbeats with every other one. */
-export function fitsFullMesh(others: number, rules: PartnerOptions): boolean {
-  return others <= rules.fanout;
+/** Whether the deployment is small enough for every box to exchange heartbeats with every other one. */
+export function fitsFullMesh(others: number, options: PartnerOptions): boolean {
+  return others <= options.fanout;
 }
 
-/** Whether the store served the box when it was last heard. */
+/** Whether the box could reach the store at its latest heartbeat. */
 const reachesStore = ({ status }: Member): boolean => status?.reachesStore !== false;
 
-/** Up to `count` members, other ones each round until all have had their turn. */
+/** Selects up to `count` members in rotation over the rounds. */
 function roundRobin(members: readonly Member[], count: number, round: number): readonly Member[] {
   if (members.length <= count) return members;
   return Array.from({ length: count }, (_, index) => {
@@ -52,28 +52,29 @@
 }
 
 /**
- * Boxes of this round: all of a small deployment. In a large one the holder of the order lease, which
- * hears everybody; by turns one of the others that read the store, of those that it serves while there are some;
- * and now and then one at random.
+ * Selects the partners of a round: all boxes of a small deployment. In a large one, the lease holder, which
+ * exchanges heartbeats with all boxes; store readers in rotation, preferably those that reach the store; and
+ * every `randomEvery` rounds a random box.
  */
 export function selectPartners(
-  { members, holder, holderReachable: holderHeard, round }: PartnerCandidates,
-  rules: PartnerOptions,
+  { members, holder, holderReachable, round }: PartnerCandidates,
+  options: PartnerOptions,
   random: Random,
 ): readonly Member[] {
-  if (fitsFullMesh(members.length, rules)) return members;
-  const hub = members.filter((member) => member.profile?.incarnation === holder);
-  if (!holderHeard) return [...new Set([...hub, ...sample(members, rules.searchFanout, random)])];
-  const readers = members.filter((member) => !hub.includes(member) && member.profile?.reading);
-  const able = readers.filter(reachesStore);
-  // A holder that the store refuses has no news: boxes hear of changes half as often unless they ask two readers.
-  const count = hub.some(reachesStore) ? 1 : 2;
-  const reader = roundRobin(able.length > 0 ? able : readers, count, round);
-  const extra = round % rules.randomEvery === 0 ? sample(members, 1, random) : [];
-  return [...new Set([...hub, ...reader, ...extra])];
+  if (fitsFullMesh(members.length, options)) return members;
+  const holders = members.filter((member) => member.profile?.incarnation === holder);
+  if (!holderReachable)
+    return [...new Set([...holders, ...sample(members, options.searchFanout, random)])];
+  const readers = members.filter((member) => !holders.includes(member) && member.profile?.reading);
+  const reachable = readers.filter(reachesStore);
+  // A holder that cannot reach the store has no changes to report; a second reader compensates for it.
+  const readerCount = holders.some(reachesStore) ? 1 : 2;
+  const reader = roundRobin(reachable.length > 0 ? reachable : readers, readerCount, round);
+  const extra = round % options.randomEvery === 0 ? sample(members, 1, random) : [];
+  return [...new Set([...holders, ...reader, ...extra])];
 }
 
-/** Interval between rounds: each further box lengthens it, so that the holder's work stays bounded. */
+/** Interval between rounds; it grows with the number of boxes to bound the lease holder's load. */
 export function computeRoundIntervalMs(
   baseMs: Milliseconds,
   perBoxMs: Milliseconds,
--- a/packages/box-peers/src/peers.ts
+++ b/packages/box-peers/src/peers.ts
@@ -1,4 +1,4 @@
-/** Knows the other boxes: by the heartbeats that they exchange and by what others tell of them. */
+/** Tracks the other boxes through heartbeats and the sightings contained in them. */
 import {
   type CancelTimer,
   clockName,
@@ -16,62 +16,61 @@
 import type { PeerClient } from "./transport.js";
 
 export interface PeerOptions extends MemberOptions {
-  /** Sightings in one heartbeat. */
+  /** Maximum number of sightings in a heartbeat. */
   readonly sightings: number;
 }
 
-/** What this box puts into its heartbeats. */
+/** Provides the content of this box's heartbeats. */
 export interface HeartbeatSource {
-  /** A message for one reader, or for a box that has not been heard yet. */
-  createHeartbeat(reader: BoxStatus | undefined, sightings: readonly Sighting[]): Heartbeat;
-  /** The holder of the order lease, as far as this box knows. */
+  /** Creates a heartbeat; `recipient` is undefined for a box that has not sent one yet. */
+  createHeartbeat(recipient: BoxStatus | undefined, sightings: readonly Sighting[]): Heartbeat;
+  /** The lease holder known to this box. */
   holder(): Incarnation | undefined;
-  /** Whether this box has no callers now. */
+  /** Whether this box currently has no callers. */
   isIdle(): boolean;
 }
 
 export interface Peers extends Service {
-  /** Notes where a box may be asked. */
+  /** Adds the address of a box to contact. */
   addPeer(address: BoxAddress): void;
-  /** Answers the heartbeat of another box with this one's. */
+  /** Applies the heartbeat of another box and returns this box's reply. */
   receive(heartbeat: Heartbeat): Heartbeat;
-  /** Boxes that are taken for alive, without this one. */
+  /** Profiles of the boxes considered alive, without this one. */
   alive(): readonly BoxProfile[];
-  /** Statuses that came from boxes themselves lately. */
+  /** Statuses of the boxes that recently sent a heartbeat to this one. */
   statuses(): readonly BoxStatus[];
-  /** Every known box as this one tells of it. */
+  /** Sightings of all known boxes. */
   sightings(): readonly Sighting[];
-  /** Time since the box itself was heard. */
+  /** Time since the last heartbeat from the box itself. */
   sinceHeartbeatMs(incarnation: Incarnation): Milliseconds | undefined;
-  /** Time since any other box was heard; 0 where none is known. */
+  /** Time since the last heartbeat from any other box; 0 if none is known. */
   sinceAnyHeartbeatMs(): Milliseconds;
-  /** Silence after which a box is suspected. */
+  /** Time without a heartbeat after which a box is suspected. */
   suspicionTimeoutMs(): Milliseconds;
   findStatus(incarnation: Incarnation): BoxStatus | undefined;
-  /** Most boxes that were known at once, this one included. */
+  /** Highest number of boxes known at the same time, including this one. */
   maxKnownBoxes(): number;
   /** Whether every box exchanges heartbeats with every other one. */
   isFullMesh(): boolean;
-  /** Sends a heartbeat now to the boxes of a round, or to those that are chosen. */
-  sendHeartbeats(chosen?: (member: Member) => boolean): void;
+  /** Sends heartbeats immediately to the partners of the current round, or to all members that match `filter`. */
+  sendHeartbeats(filter?: (member: Member) => boolean): void;
   onHeartbeat(listener: (heartbeat: Heartbeat) => void): void;
 }
 
 export const peersName = serviceName<Peers>("peers");
 
-/** Calls to one box: one at a time, and one more where there is news meanwhile. */
+/** The call to one box in progress; `repeat` requests another one after it. */
 interface PendingCall {
   repeat: boolean;
 }
 
-/** One of so many heartbeats tells a box of another that it knows already, should it have missed it. */
+/** One in this many heartbeats carries a sighting that the recipient should already have, in case it was lost. */
 const redundantSightingPeriod = 4;
-/** Share of the interval by which rounds vary, so that boxes do not act in step. */
+/** Fraction of the interval by which rounds vary, to keep boxes from synchronizing. */
 const jitterFraction = 0.2;
 /**
- * A box heard within this share of the interval is not asked in a round: each exchange tells both sides
- * everything, so that one of each pair in a round is enough. The longest time between two exchanges
- * stays under two rounds.
+ * A box with a heartbeat within this fraction of the interval is skipped in a round, since an exchange informs both
+ * sides. Two boxes still exchange heartbeats at least every two rounds.
  */
 const recentContactFraction = 0.6;
 
@@ -79,52 +78,52 @@
   kernel: Kernel,
   client: PeerClient,
   source: HeartbeatSource,
-  rules: PeerOptions,
+  options: PeerOptions,
 ): Peers {
   const clock = kernel.find(clockName);
   const random = kernel.find(randomName);
   const logger = kernel.find(loggerName);
-  const table = createMemberTable(clock, rules);
-  const calling = new Map<Member, PendingCall>();
+  const table = createMemberTable(clock, options);
+  const pendingCalls = new Map<Member, PendingCall>();
   const listeners: ((heartbeat: Heartbeat) => void)[] = [];
   let round = 0;
   let stopped = false;
   let cancel: CancelTimer = () => undefined;
 
-  const take = (heartbeat: Heartbeat) => {
+  const applyHeartbeat = (heartbeat: Heartbeat) => {
     const { box, incarnation } = heartbeat.status;
-    const taken = table.applyHeartbeat(heartbeat);
-    if (taken === "old") return;
-    if (taken === "new_incarnation") logger.event("memberJoined", { box, incarnation });
+    const update = table.applyHeartbeat(heartbeat);
+    if (update === "old") return;
+    if (update === "new_incarnation") logger.event("memberJoined", { box, incarnation });
     for (const listener of listeners) listener(heartbeat);
   };
 
-  /** A box that hears all others, or follows the holder's reports, knows them already, but for new ones. */
-  const sightingsFor = (reader?: BoxStatus): readonly Member[] => {
-    const knowsOthers =
-      reader !== undefined && (table.isFullMesh() || reader.followed !== undefined);
-    if (knowsOthers && random.below(redundantSightingPeriod) !== 0) return [];
+  /** Members to include; a recipient in a full mesh or with the lease holder's reports needs only a rare one. */
+  const sightingsFor = (recipient?: BoxStatus): readonly Member[] => {
+    const knowsMembers =
+      recipient !== undefined && (table.isFullMesh() || recipient.followed !== undefined);
+    if (knowsMembers && random.below(redundantSightingPeriod) !== 0) return [];
     const alive = table.all().filter(table.isAlive);
-    return sample(alive, knowsOthers ? 1 : rules.sightings, random);
+    return sample(alive, knowsMembers ? 1 : options.sightings, random);
   };
 
-  const message = (reader?: BoxStatus): Heartbeat => {
-    return source.createHeartbeat(reader, sightingsFor(reader).flatMap(table.toSightings));
+  const createMessage = (recipient?: BoxStatus): Heartbeat => {
+    return source.createHeartbeat(recipient, sightingsFor(recipient).flatMap(table.toSightings));
   };
 
-  const ask = async (member: Member): Promise<void> => {
+  const exchangeWith = async (member: Member): Promise<void> => {
     const call: PendingCall = { repeat: false };
-    calling.set(member, call);
-    const reply = await client.exchange(member.address.peerAddress, message(member.status));
-    calling.delete(member);
-    reply.ifRight(take);
-    if (call.repeat && reply.isRight() && !stopped) await ask(member);
+    pendingCalls.set(member, call);
+    const reply = await client.exchange(member.address.peerAddress, createMessage(member.status));
+    pendingCalls.delete(member);
+    reply.ifRight(applyHeartbeat);
+    if (call.repeat && reply.isRight() && !stopped) await exchangeWith(member);
   };
-  /** Asks now, or as soon as the call under way is answered. */
-  const askSoon = (member: Member) => {
-    const call = calling.get(member);
+  /** Exchanges heartbeats now, or right after the call in progress. */
+  const requestExchange = (member: Member) => {
+    const call = pendingCalls.get(member);
     if (call) call.repeat = true;
-    else void ask(member);
+    else void exchangeWith(member);
   };
 
   const logSilent = () => {
@@ -135,27 +134,28 @@
     for (const { address } of gone) logger.event("memberGone", { box: address.box });
   };
 
-  const partners = (): readonly Member[] => {
+  const currentPartners = (): readonly Member[] => {
     const holder = source.holder();
-    const heardAt = holder === undefined ? undefined : table.find(holder)?.lastHeartbeatAt;
-    const holderHeard =
-      heardAt !== undefined && clock.elapsed() - heardAt <= table.suspicionTimeoutMs();
+    const lastHeartbeatAt = holder === undefined ? undefined : table.find(holder)?.lastHeartbeatAt;
+    const holderReachable =
+      lastHeartbeatAt !== undefined &&
+      clock.elapsed() - lastHeartbeatAt <= table.suspicionTimeoutMs();
     return selectPartners(
-      { members: table.all(), holder, holderReachable: holderHeard, round },
-      rules,
+      { members: table.all(), holder, holderReachable, round },
+      options,
       random,
     );
   };
 
   const isDue = (member: Member) =>
-    !calling.has(member) &&
+    !pendingCalls.has(member) &&
     clock.elapsed() - member.lastHeartbeatAt > table.roundIntervalMs() * recentContactFraction;
 
   const runRound = () => {
     if (stopped) return;
     round += 1;
     logSilent();
-    for (const member of partners()) if (isDue(member)) void ask(member);
+    for (const member of currentPartners()) if (isDue(member)) void exchangeWith(member);
     const jitter = 1 + jitterFraction * (random.fraction() - 0.5);
     const factor = source.isIdle() && !table.isFullMesh() ? idleRoundFactor : 1;
     cancel = clock.after(table.roundIntervalMs() * factor * jitter, runRound);
@@ -164,8 +164,8 @@
   return {
     addPeer: (address) => void table.add(address),
     receive(heartbeat) {
-      take(heartbeat);
-      return message(heartbeat.status);
+      applyHeartbeat(heartbeat);
+      return createMessage(heartbeat.status);
     },
     alive: () =>
       table.all().flatMap((member) => (table.isAlive(member) ? (member.profile ?? []) : [])),
@@ -183,16 +183,16 @@
       return member && clock.elapsed() - member.lastHeartbeatAt;
     },
     sinceAnyHeartbeatMs() {
-      const heardAt = table.all().map((member) => member.lastHeartbeatAt);
-      return heardAt.length === 0 ? 0 : clock.elapsed() - Math.max(...heardAt);
+      const lastHeartbeatAt = table.all().map((member) => member.lastHeartbeatAt);
+      return lastHeartbeatAt.length === 0 ? 0 : clock.elapsed() - Math.max(...lastHeartbeatAt);
     },
     suspicionTimeoutMs: table.suspicionTimeoutMs,
     findStatus: (incarnation) => table.find(incarnation)?.status,
     maxKnownBoxes: table.maxKnownBoxes,
     isFullMesh: table.isFullMesh,
-    sendHeartbeats(chosen) {
-      const members = chosen ? table.all().filter(chosen) : partners();
-      for (const member of members) askSoon(member);
+    sendHeartbeats(filter) {
+      const members = filter ? table.all().filter(filter) : currentPartners();
+      for (const member of members) requestExchange(member);
     },
     onHeartbeat: (listener) => void listeners.push(listener),
     async start() {
--- a/packages/box-peers/src/transport.ts
+++ b/packages/box-peers/src/transport.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between boxes over gRPC, each one JSON text, all those to one box on one stream: a call for
- * each costs a small box about ten times as much.
+ * Transport of messages between boxes: JSON over one gRPC stream per box, which is much cheaper than a unary
+ * call per message.
  */
 import {
   Client,
@@ -21,17 +21,17 @@
 import type { ConfigurationCopy, Heartbeat } from "./messages.js";
 import { decodeMessage, maxMessageBytes, encodeMessage } from "./wire-format.js";
 
-/** What a box answers to others. */
+/** Handles messages from other boxes. */
 export interface PeerHandler {
   exchange(heartbeat: Heartbeat): Heartbeat;
   configuration(): ConfigurationCopy;
-  /** Allots a part of an account's limit. */
+  /** Allocates part of an account's rate limit. */
   quota(ask: QuotaAsk): Promise<QuotaGrant>;
-  /** Hands out a permit at a target that has named a limit. */
+  /** Grants a permit for a target with a rate limit. */
   permit(ask: PermitAsk): Promise<PermitGrant>;
 }
 
-/** Asks other boxes. */
+/** Sends messages to other boxes. */
 export interface PeerClient {
   exchange(address: string, heartbeat: Heartbeat): Promise<Either<PeerUnreachable, Heartbeat>>;
   configuration(address: string): Promise<Either<PeerUnreachable, ConfigurationCopy>>;
@@ -45,7 +45,7 @@
   close(): void;
 }
 
-/** One message; its answer has the same kind. */
+/** A message; its answer has the same kind. */
 type Ask =
   | { readonly kind: "heartbeat"; readonly heartbeat: Heartbeat }
   | { readonly kind: "configuration" }
@@ -67,7 +67,7 @@
   responseDeserialize: decodeMessage,
 };
 
-/** A stream not used for so long is closed: a large deployment's boxes meet many others now and then. */
+/** Unused streams are closed, since boxes of a large deployment contact many others only occasionally. */
 const idleTimeoutMs: Milliseconds = 15_000;
 const channelOptions = {
   "grpc.max_receive_message_length": maxMessageBytes,
@@ -99,52 +99,52 @@
   return { kind: "peer_unreachable", reason, mayHaveArrived: true };
 }
 
-/** Creates a client that keeps one stream to each box that it asks. */
-export function createPeerClient(clock: Clock, callMs: Milliseconds): PeerClient {
+/** Creates a client that keeps one stream per box. */
+export function createPeerClient(clock: Clock, callTimeoutMs: Milliseconds): PeerClient {
   const streams = new Map<string, OpenStream>();
 
-  const closeUnused = () => {
-    const oldest = clock.now() - idleTimeoutMs;
+  const closeIdle = () => {
+    const idleSince = clock.now() - idleTimeoutMs;
     for (const [address, { stream, lastUsedAt: usedAt }] of streams) {
-      if (usedAt >= oldest) continue;
+      if (usedAt >= idleSince) continue;
       stream.close();
       streams.delete(address);
     }
   };
   const streamTo = (address: string): AskStream<Ask, Answer> => {
-    const known = streams.get(address);
-    if (known) {
-      known.lastUsedAt = clock.now();
-      return known.stream;
+    const existing = streams.get(address);
+    if (existing) {
+      existing.lastUsedAt = clock.now();
+      return existing.stream;
     }
-    closeUnused();
-    const stream = createAskStream<Ask, Answer>(clock, callMs, () => dial(address));
+    closeIdle();
+    const stream = createAskStream<Ask, Answer>(clock, callTimeoutMs, () => dial(address));
     streams.set(address, { stream, lastUsedAt: clock.now() });
     return stream;
   };
 
   return {
     async exchange(address, heartbeat) {
-      const answered = await streamTo(address).ask({ kind: "heartbeat", heartbeat });
-      return answered.chain((answer) =>
+      const reply = await streamTo(address).ask({ kind: "heartbeat", heartbeat });
+      return reply.chain((answer) =>
         answer.kind === "heartbeat" ? Right(answer.heartbeat) : Left(unexpectedAnswer(answer)),
       );
     },
     async configuration(address) {
-      const answered = await streamTo(address).ask({ kind: "configuration" });
-      return answered.chain((answer) =>
+      const reply = await streamTo(address).ask({ kind: "configuration" });
+      return reply.chain((answer) =>
         answer.kind === "configuration" ? Right(answer.copy) : Left(unexpectedAnswer(answer)),
       );
     },
     async quota(address, ask) {
-      const answered = await streamTo(address).ask({ kind: "quota", ask });
-      return answered.chain((answer) =>
+      const reply = await streamTo(address).ask({ kind: "quota", ask });
+      return reply.chain((answer) =>
         answer.kind === "quota" ? Right(answer.grant) : Left(unexpectedAnswer(answer)),
       );
     },
     async permit(address, ask) {
-      const answered = await streamTo(address).ask({ kind: "permit", ask });
-      return answered.chain((answer) =>
+      const reply = await streamTo(address).ask({ kind: "permit", ask });
+      return reply.chain((answer) =>
         answer.kind === "permit" ? Right(answer.grant) : Left(unexpectedAnswer(answer)),
       );
     },
@@ -168,7 +168,7 @@
   }
 }
 
-/** Creates a server that answers other boxes. */
+/** Creates a server for messages from other boxes. */
 export function createPeerServer(handler: PeerHandler): PeerServer {
   const server = new Server(channelOptions);
   const implementation: UntypedServiceImplementation = {
--- a/packages/box-peers/src/wire-format.feature
+++ b/packages/box-peers/src/wire-format.feature
@@ -1,14 +1,14 @@
-Feature: Messages between boxes are short on the wire
+Feature: Messages between boxes are compact on the wire
 
-  Scenario: What is written is read again, whatever it holds
-    Then 300 random messages are read as they were written
+  Scenario: Decoding returns the encoded message
+    Then 300 random messages are decoded as they were encoded
 
-  Scenario: A heartbeat that tells of many engines is written in a fifth of its text
-    Given a heartbeat that tells of 60 engines with 3 models each
-    Then it is written in less than 0.2 of its text
+  Scenario: A heartbeat with many engines is compressed to a fifth of its JSON text
+    Given a heartbeat with 60 engines with 3 models each
+    Then it is encoded in less than 0.2 of its JSON text
 
-  Scenario: Short messages are left as they are
-    Then a message of 100 characters is written with 1 byte more than its text
+  Scenario: Short messages are not compressed
+    Then a message of 100 characters is encoded with 1 byte more than its JSON text
 
-  Scenario: Bytes of another form are refused
-    Then bytes of another form are not read
+  Scenario: Malformed bytes are rejected
+    Then malformed bytes are not decoded
--- a/packages/box-peers/src/wire-format.steps.ts
+++ b/packages/box-peers/src/wire-format.steps.ts
@@ -5,7 +5,7 @@
 import fc from "fast-check";
 import { decodeMessage, encodeMessage } from "./wire-format.js";
 
-Then("{int} random messages are read as they were written", (runs: number) => {
+Then("{int} random messages are decoded as they were encoded", (runs: number) => {
   const message = fc
     .tuple(fc.json({ maxDepth: 4 }), fc.string({ maxLength: 2_000 }))
     .map(([body, text]) => ({ body, text }));
@@ -18,36 +18,39 @@
 });
 
 Given(
-  "a heartbeat that tells of {int} engines with {int} models each",
+  "a heartbeat with {int} engines with {int} models each",
   function (this: object, engines: number, models: number) {
     const random = seededRandom(5);
-    const named = (index: number) => ({ name: `model-${index}`, version: 1, adapters: [] });
-    const told = Array.from({ length: engines }, () => ({
+    const modelOf = (index: number) => ({ name: `model-${index}`, version: 1, adapters: [] });
+    const reported = Array.from({ length: engines }, () => ({
       id: `i-${random.identifier()}`,
       holdings: {
         sequence: random.below(40),
-        models: Array.from({ length: models }, () => named(random.below(166))),
+        models: Array.from({ length: models }, () => modelOf(random.below(166))),
       },
     }));
-    notes(this).set("message", { kind: "heartbeat", report: { engines: told } });
+    notes(this).set("message", { kind: "heartbeat", report: { engines: reported } });
   },
 );
 
-Then("it is written in less than {float} of its text", function (this: object, share: number) {
-  const message = notes(this).get<object>("message");
-  const written = encodeMessage(message).length / JSON.stringify(message).length;
-  assert.ok(written < share, String(written));
-});
+Then(
+  "it is encoded in less than {float} of its JSON text",
+  function (this: object, maxRatio: number) {
+    const message = notes(this).get<object>("message");
+    const ratio = encodeMessage(message).length / JSON.stringify(message).length;
+    assert.ok(ratio < maxRatio, String(ratio));
+  },
+);
 
 Then(
-  "a message of {int} characters is written with {int} byte more than its text",
-  (characters: number, more: number) => {
+  "a message of {int} characters is encoded with {int} byte more than its JSON text",
+  (characters: number, overheadBytes: number) => {
     const text = "x".repeat(characters);
-    assert.equal(encodeMessage(text).length, JSON.stringify(text).length + more);
+    assert.equal(encodeMessage(text).length, JSON.stringify(text).length + overheadBytes);
   },
 );
 
-Then("bytes of another form are not read", () => {
+Then("malformed bytes are not decoded", () => {
   for (const bytes of [Buffer.from([]), Buffer.from([1, 2, 3]), Buffer.from([0, 123])]) {
     assert.throws(() => decodeMessage(bytes));
   }
--- a/packages/box-peers/src/wire-format.ts
+++ b/packages/box-peers/src/wire-format.ts
@@ -1,25 +1,25 @@
 /**
- * The bytes of messages between boxes: JSON text, compressed where it is long. Heartbeats name the same fields and
- * engines again and again, and links between failure domains are dear.
+ * Wire format of messages between boxes: JSON, deflated if it is long. Heartbeats are repetitive, and traffic between
+ * failure domains is expensive.
  */
 import { constants, deflateRawSync, inflateRawSync } from "node:zlib";
 
-/** First byte of a message: how the rest of it is written. */
+/** First byte of a message: the encoding of the rest. */
 const plainFormat = 0;
 const compressedFormat = 1;
 
-/** Shorter messages are sent as they are: little is gained, and compressing takes time. */
+/** Shorter messages are not worth compressing. */
 const minCompressedBytes = 400;
-/** A small window and little memory: messages are some kilobytes long, and boxes are small. */
+/** A small window and little memory suit messages of a few kilobytes. */
 const compression = {
   level: constants.Z_BEST_SPEED,
   windowBits: 13,
   memLevel: 6,
 };
-/** Longest message, written out: a whole configuration with many routes fits. */
+/** Maximum uncompressed size of a message; fits a complete configuration with many routes. */
 export const maxMessageBytes = 16 * 1024 * 1024;
 
-/** Writes one message. */
+/** Encodes a message. */
 export function encodeMessage(message: unknown): Buffer {
   const text = Buffer.from(JSON.stringify(message));
   const compress = text.length >= minCompressedBytes;
@@ -27,7 +27,7 @@
   return Buffer.concat([Buffer.of(compress ? compressedFormat : plainFormat), body]);
 }
 
-/** Reads one message; throws on bytes that `toBytes` did not write, which ends the stream that they came on. */
+/** Decodes a message; throws on malformed bytes, which closes the stream they arrived on. */
 export function decodeMessage(bytes: Buffer): never {
   const body = bytes.subarray(1);
   const compressed = bytes[0] === compressedFormat;
