--- a/packages/box-peers/src/partners.ts
+++ b/packages/box-peers/src/partners.ts
@@ -69,9 +69,9 @@
   const reachable = readers.filter(reachesStore);
   // A holder that cannot reach the store has no changes to report; a second reader compensates for it.
   const readerCount = holders.some(reachesStore) ? 1 : 2;
-  const reader = roundRobin(reachable.length > 0 ? reachable : readers, readerCount, round);
+  const turnReaders = roundRobin(reachable.length > 0 ? reachable : readers, readerCount, round);
   const extra = round % options.randomEvery === 0 ? sample(members, 1, random) : [];
-  return [...new Set([...holders, ...reader, ...extra])];
+  return [...new Set([...holders, ...turnReaders, ...extra])];
 }
 
 /** Interval between rounds; it grows with the number of boxes to bound the lease holder's load. */
--- a/packages/box-peers/src/transport.ts
+++ b/packages/box-peers/src/transport.ts
@@ -105,8 +105,8 @@
 
   const closeIdle = () => {
     const idleSince = clock.now() - idleTimeoutMs;
-    for (const [address, { stream, lastUsedAt: usedAt }] of streams) {
-      if (usedAt >= idleSince) continue;
+    for (const [address, { stream, lastUsedAt }] of streams) {
+      if (lastUsedAt >= idleSince) continue;
       stream.close();
       streams.delete(address);
     }
