--- a/packages/operator-service/src/writes.ts
+++ b/packages/operator-service/src/writes.ts
@@ -55,12 +55,12 @@
   const awaitInForce = async (revision: Revision): Promise<WriteAnswer> => {
     const end = clock.now() + inForceLimitMs;
     for (;;) {
-      const { boxes, reached } = membership.readTo(revision);
+      const { boxes, reached } = membership.readProgress(revision);
       if (reached === boxes || clock.now() >= end) {
         return { kind: "accepted", revision, boxes, inForceOn: reached };
       }
       // Their next heartbeats would tell, too, but later than an operator wants to wait.
-      membership.askBehind(revision);
+      membership.pollLaggingPeers(revision);
       await sleep(clock, inForceStepMs);
     }
   };
