--- a/packages/membership/src/electorate.ts
+++ b/packages/membership/src/electorate.ts
@@ -1,20 +1,20 @@
 /**
- * The boxes whose majority confirms an outage of the log: those that were known, or listed, when the log was last in reach.
- * Those that fall silent after that still count: a box that forgets all others would otherwise take itself for the majority.
+ * Number of boxes of which a majority confirms an outage of the log: the boxes known or listed when the log was last
+ * reachable. Boxes that become silent later still count, since an isolated box would otherwise form its own majority.
  */
 
 export interface Electorate {
-  /** Takes the number of boxes that are known now. Without the log in reach it may grow, but not shrink. */
-  update(boxes: number, logInReach: boolean): void;
+  /** Sets the number of known boxes; while the log is unreachable the size never shrinks. */
+  update(boxes: number, logReachable: boolean): void;
   size(): number;
 }
 
-/** Creates the electorate of a box that knows only itself. */
+/** Creates an electorate that consists of this box only. */
 export function createElectorate(): Electorate {
   let size = 1;
   return {
-    update(boxes, logInReach) {
-      size = logInReach ? boxes : Math.max(size, boxes);
+    update(boxes, logReachable) {
+      size = logReachable ? boxes : Math.max(size, boxes);
     },
     size: () => size,
   };
--- a/packages/membership/src/exchange.ts
+++ b/packages/membership/src/exchange.ts
@@ -1,4 +1,4 @@
-/** Heartbeats with single peers: what is told to them, and what is taken from their answers. */
+/** Exchanges heartbeats with single peers and applies their content. */
 import type { CrashBlame } from "@linkfall/crash-blame";
 import type { Logger } from "@linkfall/logger";
 import type { BlameExchange, Heartbeat, HeartbeatReply, PeerPort } from "@linkfall/ports";
@@ -6,7 +6,7 @@
 import type { StateStore } from "@linkfall/state-store";
 import type { Incarnation, MemberEntry, MemberSummary } from "@linkfall/types";
 
-/** Most records of the log passed on in one answer. */
+/** Maximum number of log records in one reply. */
 const maxRecordsPerReply = 64;
 
 export interface ExchangeDependencies {
@@ -14,40 +14,43 @@
   readonly store: StateStore;
   readonly logger: Logger;
   readonly blame: CrashBlame;
-  /** What this box tells of itself and of others. */
+  /** Creates a heartbeat with this box's own state and its view of others. */
   createHeartbeat(): Heartbeat;
-  /** Takes what a peer told. */
+  /** Applies a peer's heartbeat. */
   applyHeartbeat(from: MemberEntry, members: readonly MemberEntry[], summary: MemberSummary): void;
 }
 
 export interface Exchange {
-  /** Sends a heartbeat, one to an address at a time: a peer that does not answer holds up nobody else's. */
+  /** Sends a heartbeat unless one to the same address is still pending. */
   sendHeartbeat(address: string): Promise<void>;
-  /** Answers a peer's heartbeat. */
+  /** Applies a peer's heartbeat and returns the reply. */
   receive(message: Heartbeat): HeartbeatReply;
 }
 
 /** Creates the exchange of one box. */
-export function createExchange(input: ExchangeDependencies): Exchange {
-  const { peers, store, logger, blame, createHeartbeat: message, applyHeartbeat: hear } = input;
-  const beating = new Set<string>();
-  /** What the box at an address has said of itself, and how far it has followed this one. */
-  const readers = new Map<string, { readonly start: Incarnation; readonly followed: number }>();
+export function createExchange(dependencies: ExchangeDependencies): Exchange {
+  const { peers, store, logger, blame, createHeartbeat, applyHeartbeat } = dependencies;
+  const pendingAddresses = new Set<string>();
+  /** Incarnation of the box at an address, and the position up to which it has received this box's crash records. */
+  const peerStates = new Map<
+    string,
+    { readonly incarnation: Incarnation; readonly followed: number }
+  >();
 
-  const blameFor = (reader: Incarnation, followed: number): BlameExchange => {
-    const word = blame.tell(followed);
-    const told = word.records.length > 0 ? word : undefined;
-    return { word: told, of: reader, followed: blame.followed(reader) };
+  const blameFor = (recipient: Incarnation, followed: number): BlameExchange => {
+    const message = blame.tell(followed);
+    const newRecords = message.records.length > 0 ? message : undefined;
+    return { word: newRecords, of: recipient, followed: blame.followed(recipient) };
   };
-  const takeBlame = (from: MemberEntry, told: BlameExchange | undefined) => {
-    if (told?.word) blame.take(from.incarnation, told.word);
+  const applyBlame = (from: MemberEntry, received: BlameExchange | undefined) => {
+    if (received?.word) blame.take(from.incarnation, received.word);
   };
   const blameAt = (address: string): BlameExchange => {
-    const reader = readers.get(address);
-    return blameFor(reader?.start ?? "", reader?.followed ?? 0);
+    const recipient = peerStates.get(address);
+    return blameFor(recipient?.incarnation ?? "", recipient?.followed ?? 0);
   };
 
-  const takeStateFrom = async (address: string) => {
+  const fetchStateFrom = async (address: string) => {
     const fetched = await peers.fetchState(address);
     fetched
       .chain((answer) => parseState(answer.data))
@@ -56,16 +59,16 @@
       });
   };
 
-  const takeReply = async (address: string, reply: HeartbeatReply) => {
-    hear(reply.from, reply.members, reply.summary);
-    takeBlame(reply.from, reply.blame);
-    const start = reply.from.incarnation;
-    readers.set(address, { start, followed: reply.blame?.followed ?? 0 });
+  const applyReply = async (address: string, reply: HeartbeatReply) => {
+    applyHeartbeat(reply.from, reply.members, reply.summary);
+    applyBlame(reply.from, reply.blame);
+    const incarnation = reply.from.incarnation;
+    peerStates.set(address, { incarnation, followed: reply.blame?.followed ?? 0 });
     store.ingest(reply.records);
     const { offset, ready } = reply.summary;
     const isBehind = offset > store.state().offset;
-    if (isBehind && reply.records.length === 0) await takeStateFrom(address);
-    // As far as a peer that serves: this is the state, whether or not the log can be read.
+    if (isBehind && reply.records.length === 0) await fetchStateFrom(address);
+    // The state is complete once it is as recent as that of a ready peer, even if the log is unreachable.
     if (ready && !isBehind && !store.ready()) {
       store.markReady();
       logger.event("restoredFromPeer", { offset: store.state().offset });
@@ -74,16 +77,19 @@
 
   return {
     async sendHeartbeat(address) {
-      if (beating.has(address)) return;
-      beating.add(address);
-      const sent = await peers.heartbeat(address, { ...message(), blame: blameAt(address) });
-      if (sent.isRight()) await takeReply(address, sent.unsafeCoerce());
-      beating.delete(address);
+      if (pendingAddresses.has(address)) return;
+      pendingAddresses.add(address);
+      const sent = await peers.heartbeat(address, {
+        ...createHeartbeat(),
+        blame: blameAt(address),
+      });
+      if (sent.isRight()) await applyReply(address, sent.unsafeCoerce());
+      pendingAddresses.delete(address);
     },
     receive(heartbeat) {
-      hear(heartbeat.from, heartbeat.members, heartbeat.summary);
-      takeBlame(heartbeat.from, heartbeat.blame);
-      const own = message();
+      applyHeartbeat(heartbeat.from, heartbeat.members, heartbeat.summary);
+      applyBlame(heartbeat.from, heartbeat.blame);
+      const own = createHeartbeat();
       const isAboutThis = heartbeat.blame?.of === own.from.incarnation;
       const followed = isAboutThis ? (heartbeat.blame?.followed ?? 0) : 0;
       return {
--- a/packages/membership/src/heard-words.ts
+++ b/packages/membership/src/heard-words.ts
@@ -1,8 +1,8 @@
-/** The last word of each box that is heard directly. */
+/** The latest summary received directly from each box. */
 import type { Clock } from "@linkfall/kernel";
 import type { Incarnation, MemberSummary, Milliseconds } from "@linkfall/types";
 
-/** What a box last said about itself, and when. */
+/** Latest summary sent by a box, and the time of its receipt. */
 export interface PeerSummary {
   readonly incarnation: Incarnation;
   readonly summary: MemberSummary;
@@ -10,25 +10,26 @@
 }
 
 export interface PeerSummaries {
-  record(start: Incarnation, summary: MemberSummary): void;
-  forget(start: Incarnation): void;
+  record(incarnation: Incarnation, summary: MemberSummary): void;
+  forget(incarnation: Incarnation): void;
   all(): readonly PeerSummary[];
-  /** Words that are recent enough to tell how things stand. */
+  /** Summaries that are not older than the maximum age. */
   recent(): readonly PeerSummary[];
 }
 
 /**
- * Creates the words of one box; none has been heard.
+ * Creates an empty collection.
  *
- * @param lifeMs time after which a word no longer counts as recent
+ * @param maxAgeMs age up to which a summary counts as recent
  */
-export function createPeerSummaries(clock: Clock, lifeMs: Milliseconds): PeerSummaries {
-  const words = new Map<Incarnation, PeerSummary>();
+export function createPeerSummaries(clock: Clock, maxAgeMs: Milliseconds): PeerSummaries {
+  const summaries = new Map<Incarnation, PeerSummary>();
   return {
-    record: (start, summary) =>
-      void words.set(start, { incarnation: start, summary, receivedAt: clock.now() }),
-    forget: (start) => void words.delete(start),
-    all: () => [...words.values()],
-    recent: () => [...words.values()].filter((word) => clock.now() - word.receivedAt <= lifeMs),
+    record: (incarnation, summary) =>
+      void summaries.set(incarnation, { incarnation, summary, receivedAt: clock.now() }),
+    forget: (incarnation) => void summaries.delete(incarnation),
+    all: () => [...summaries.values()],
+    recent: () =>
+      [...summaries.values()].filter((entry) => clock.now() - entry.receivedAt <= maxAgeMs),
   };
 }
--- a/packages/membership/src/isolation.ts
+++ b/packages/membership/src/isolation.ts
@@ -1,21 +1,21 @@
 /**
- * Whether a box may go on serving. A box that reaches neither the log nor anyone who does cannot
- * know whether a configuration has been accepted since. Only when a majority of the boxes confirms
- * that the log is silent for them too is it an outage of the log, in which nothing is accepted.
+ * Decides whether a box may continue to serve. A box that reaches the log neither directly nor through peers
+ * may have missed a newer configuration, unless a majority of boxes confirms an outage of the log, during
+ * which no configuration is accepted.
  */
 import type { Milliseconds } from "@linkfall/types";
 
-/** What this box knows about its contact with the log. */
+/** This box's contact with the log and with other boxes. */
 export interface LogContact {
-  /** Time since this box, or a peer that it hears, last read the log. */
+  /** Time since this box, or a peer in contact with it, last read the log. */
   readonly sinceLogReadMs: Milliseconds;
-  /** Boxes of which word comes, directly or through others, this one included. */
+  /** Boxes with recent heartbeats, direct or relayed, including this one. */
   readonly aliveBoxes: number;
-  /** All boxes that are known and not forgotten, this one included. */
+  /** All known boxes, including this one. */
   readonly knownBoxes: number;
 }
 
-/** Says whether the box is cut off and must refuse requests. */
+/** Whether the box is isolated and must reject requests. */
 export function isIsolated(contact: LogContact, staleServingMs: Milliseconds): boolean {
   if (contact.sinceLogReadMs <= staleServingMs) return false;
   const majorityConfirms = 2 * contact.aliveBoxes > contact.knownBoxes;
--- a/packages/membership/src/member-table.ts
+++ b/packages/membership/src/member-table.ts
@@ -1,101 +1,102 @@
 /**
- * What is known of other boxes. A member is one start of a box; its heartbeat counter is passed on
- * by everyone, so a cut between two boxes alone makes neither suspect the other.
+ * The known members. A member is one incarnation of a box; its heartbeat counter is relayed by all boxes, so
+ * that a broken link between two boxes does not make them suspect each other.
  */
 import type { Incarnation, MemberEntry, Milliseconds } from "@linkfall/types";
 
-/** A member and the local time at which its counter last moved. */
+/** A member and the local time at which its heartbeat counter last increased. */
 export interface Member {
   readonly entry: MemberEntry;
   readonly lastHeartbeatAt: Milliseconds;
 }
 
-/** Limits in milliseconds of the local clock. */
+/** Timeouts by the local clock. */
 export interface MemberTimeouts {
   readonly suspectMs: Milliseconds;
   readonly forgetMs: Milliseconds;
 }
 
 export interface MemberTable {
-  /** Takes entries as passed on by a peer. */
+  /** Merges entries relayed by a peer. */
   merge(entries: readonly MemberEntry[], now: Milliseconds): void;
-  /** Takes the word of a box about itself; earlier starts of the same box are over. */
+  /** Applies an entry sent by the box itself; removes earlier incarnations of that box. */
   applyDirect(entry: MemberEntry, now: Milliseconds): void;
-  /** Drops members that have been silent too long. */
+  /** Removes members without a heartbeat for `forgetMs`. */
   removeExpired(now: Milliseconds): void;
-  /** Members whose heartbeat moves, leaving ones included, sorted by name. */
+  /** Members with a recent heartbeat, including leaving ones, sorted by incarnation. */
   alive(now: Milliseconds): readonly MemberEntry[];
-  /** All that are not forgotten. */
+  /** All members that have not been removed. */
   known(): readonly Member[];
   find(incarnation: Incarnation): Member | undefined;
 }
 
-/** What the table tells when something changes. */
+/** Callbacks for members that are added and removed. */
 export interface MemberEvents {
   joined(entry: MemberEntry): void;
   gone(entry: MemberEntry): void;
 }
 
-/** A start of which no word up to `heartbeat` is taken any more. */
+/** A removed incarnation; heartbeats up to `heartbeat` are ignored. */
 interface EndedIncarnation {
   readonly heartbeat: number;
   readonly until: Milliseconds;
 }
 
-/** Creates the table of the box `self`, which never stands in it. */
+/** Creates an empty table; entries of `self` are ignored. */
 export function createMemberTable(
   self: Incarnation,
-  limits: MemberTimeouts,
-  changes: MemberEvents,
+  timeouts: MemberTimeouts,
+  events: MemberEvents,
 ): MemberTable {
   const members = new Map<Incarnation, Member>();
-  /** Starts that are over or forgotten, while old word of them may still come. */
+  /** Removed incarnations, kept while other boxes may still relay them. */
   const ended = new Map<Incarnation, EndedIncarnation>();
 
-  /** Forgets a member; it is taken again only with a higher heartbeat than `heartbeat`. */
-  const end = (incarnation: Incarnation, heartbeat: number, now: Milliseconds) => {
+  /** Removes a member; only a heartbeat above `heartbeat` adds it again. */
+  const endIncarnation = (incarnation: Incarnation, heartbeat: number, now: Milliseconds) => {
     const member = members.get(incarnation);
     if (!member) return;
     members.delete(incarnation);
-    ended.set(incarnation, { heartbeat, until: now + 2 * limits.forgetMs });
-    changes.gone(member.entry);
+    ended.set(incarnation, { heartbeat, until: now + 2 * timeouts.forgetMs });
+    events.gone(member.entry);
   };
 
-  const take = (entry: MemberEntry, now: Milliseconds) => {
-    const endedAt = ended.get(entry.incarnation)?.heartbeat ?? -1;
-    if (entry.incarnation === self || entry.heartbeat <= endedAt) return;
+  const applyEntry = (entry: MemberEntry, now: Milliseconds) => {
+    const endedHeartbeat = ended.get(entry.incarnation)?.heartbeat ?? -1;
+    if (entry.incarnation === self || entry.heartbeat <= endedHeartbeat) return;
     ended.delete(entry.incarnation);
-    const held = members.get(entry.incarnation);
-    if (held && entry.heartbeat <= held.entry.heartbeat) return;
-    const leaving = entry.leaving || (held?.entry.leaving ?? false);
+    const known = members.get(entry.incarnation);
+    if (known && entry.heartbeat <= known.entry.heartbeat) return;
+    const leaving = entry.leaving || (known?.entry.leaving ?? false);
     members.set(entry.incarnation, { entry: { ...entry, leaving }, lastHeartbeatAt: now });
-    if (!held) changes.joined(entry);
+    if (!known) events.joined(entry);
   };
 
   return {
     merge(entries, now) {
-      for (const entry of entries) take(entry, now);
+      for (const entry of entries) applyEntry(entry, now);
     },
     applyDirect(entry, now) {
       for (const { entry: other } of [...members.values()]) {
-        const earlierStart = other.box === entry.box && other.incarnation !== entry.incarnation;
-        if (earlierStart) end(other.incarnation, Infinity, now);
+        const isEarlierIncarnation =
+          other.box === entry.box && other.incarnation !== entry.incarnation;
+        if (isEarlierIncarnation) endIncarnation(other.incarnation, Infinity, now);
       }
-      take(entry, now);
+      applyEntry(entry, now);
     },
     removeExpired(now) {
       for (const [incarnation, member] of [...members]) {
-        // Silent, perhaps because this box was cut off: it may come back with a later heartbeat.
-        if (now - member.lastHeartbeatAt > limits.forgetMs)
-          end(incarnation, member.entry.heartbeat, now);
+        // A later heartbeat adds the member again, for example after this box was isolated.
+        if (now - member.lastHeartbeatAt > timeouts.forgetMs)
+          endIncarnation(incarnation, member.entry.heartbeat, now);
       }
-      for (const [incarnation, start] of [...ended]) {
-        if (now > start.until) ended.delete(incarnation);
+      for (const [incarnation, endedEntry] of [...ended]) {
+        if (now > endedEntry.until) ended.delete(incarnation);
       }
     },
     alive: (now) =>
       [...members.values()]
-        .filter((member) => now - member.lastHeartbeatAt <= limits.suspectMs)
+        .filter((member) => now - member.lastHeartbeatAt <= timeouts.suspectMs)
         .map((member) => member.entry)
         .sort((a, b) => (a.incarnation < b.incarnation ? -1 : 1)),
     known: () => [...members.values()],
--- a/packages/membership/src/membership.steps.ts
+++ b/packages/membership/src/membership.steps.ts
@@ -17,14 +17,14 @@
 });
 const tableOf = (world: object) => notes(world).get<MemberTable>("table");
 
-Given("a member that was heard at 0 ms with heartbeat 1", function (this: object) {
+Given("a member seen at 0 ms with heartbeat 1", function (this: object) {
   const changes = { joined: () => undefined, gone: () => undefined };
   const table = createMemberTable("b@1", { suspectMs: 1_000, forgetMs: 5_000 }, changes);
   table.applyDirect(entry("c@1", 1), 0);
   notes(this).set("table", table);
 });
 
-When("another box passes on its heartbeat 2 at 900 ms", function (this: object) {
+When("another box relays its heartbeat 2 at 900 ms", function (this: object) {
   tableOf(this).merge([entry("c@1", 2)], 900);
 });
 
@@ -33,19 +33,19 @@
   assert.equal(tableOf(this).alive(1_901).length, 0);
 });
 
-When("a later start of the same box is heard at 100 ms", function (this: object) {
+When("a later incarnation of the same box sends a heartbeat at 100 ms", function (this: object) {
   tableOf(this).applyDirect(entry("c@2", 1), 100);
 });
 
-When("another box still passes on the earlier start", function (this: object) {
+When("another box still relays the earlier incarnation", function (this: object) {
   tableOf(this).merge([entry("c@1", 7)], 200);
 });
 
-When("it has been silent so long that it is forgotten", function (this: object) {
+When("it has been silent long enough to be removed", function (this: object) {
   tableOf(this).removeExpired(5_001);
 });
 
-When("another box still passes on its heartbeat 1", function (this: object) {
+When("another box still relays its heartbeat 1", function (this: object) {
   tableOf(this).merge([entry("c@1", 1)], 5_100);
 });
 
@@ -53,7 +53,7 @@
   assert.equal(tableOf(this).known().length, 0);
 });
 
-When("it is heard again with heartbeat 50", function (this: object) {
+When("it sends heartbeat 50", function (this: object) {
   tableOf(this).applyDirect(entry("c@1", 50), 5_200);
 });
 
@@ -61,7 +61,7 @@
   assert.equal(tableOf(this).alive(5_300).length, 1);
 });
 
-Then("only the later start is known", function (this: object) {
+Then("only the later incarnation is known", function (this: object) {
   const known = tableOf(this)
     .known()
     .map((member) => member.entry.incarnation);
@@ -69,7 +69,7 @@
 });
 
 Then(
-  "with the log silent for {int} ms, {int} of {int} boxes heard, a box is {string}",
+  "with the log silent for {int} ms and {int} of {int} boxes alive, a box is {string}",
   (freshMs: number, aliveBoxes: number, knownBoxes: number, verdict: string) => {
     const isolated = isIsolated(
       { sinceLogReadMs: freshMs, aliveBoxes, knownBoxes },
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,4 +1,4 @@
-/** Heartbeats to peers, and what they carry: members, log records and demand. */
+/** Membership of boxes, maintained by heartbeats that also carry log positions and records of crashes. */
 import { settingsName } from "@linkfall/config";
 import { crashBlameName } from "@linkfall/crash-blame";
 import {
@@ -32,45 +32,47 @@
 import { selectRoundPeers } from "./round-peers.js";
 import { createSuspicionMonitor } from "./suspicion.js";
 
-/** Rounds without word after which a peer no longer counts as heard. */
+/** Rounds for which a summary counts as recent. */
 const recentRounds = 5;
 
-/** How many of the boxes that are heard have read to an offset. */
+/** How many of the boxes in recent contact have read the log up to an offset. */
 export interface ReadProgress {
+  /** Boxes in recent contact, including this one. */
   readonly boxes: number;
+  /** Boxes among these that have read up to the offset. */
   readonly reached: number;
 }
 
 export interface Membership {
   self(): MemberEntry;
-  /** Members whose heartbeat moves, this box first, leaving ones included. */
+  /** This box, then the members with a recent heartbeat, including leaving ones. */
   alive(): readonly MemberEntry[];
-  /** Boxes that may be named to callers: alive, not leaving, not shown as leaving by the list. */
+  /** Boxes to advertise to callers: alive, and leaving neither by their own entry nor by the platform's list. */
   serving(): readonly MemberEntry[];
   known(): readonly Member[];
   find(incarnation: Incarnation): MemberEntry | undefined;
-  /** Names of targets that the platform's list shows as leaving. */
+  /** Names of targets marked as leaving in the platform's list. */
   leavingTargets(): ReadonlySet<string>;
-  /** Marks this box as leaving; there is no way back. */
+  /** Marks this box as leaving; irreversible. */
   leave(): void;
-  /** Whether this box is cut off and must not serve. */
+  /** Whether this box is isolated and must not serve. */
   isolated(): boolean;
-  /** Boxes heard in the last moments, this one included, and how many of them have read so far. */
+  /** Counts the boxes in recent contact that have read the log up to an offset. */
   readProgress(offset: Offset): ReadProgress;
-  /** Asks those of them that had not read so far by their last word for a newer one. */
+  /** Sends a heartbeat to each peer whose latest summary is behind the offset. */
   pollLaggingPeers(offset: Offset): void;
-  /** Answers the peers' messages. */
+  /** Applies a peer's heartbeat and returns the reply. */
   receive(message: Heartbeat): HeartbeatReply;
   stateForPeer(): PeerState;
 }
 
 export const membershipName = serviceName<Membership>("membership");
 
-/** What is known of other boxes, and the last word of those that are heard directly. */
+/** The known members, and the latest summaries of those in direct contact. */
 interface KnownBoxes {
   readonly table: MemberTable;
   readonly summaries: PeerSummaries;
-  /** Logs each member whose heartbeat has come to stand still. */
+  /** Logs each member that has become suspected. */
   logSuspected(): void;
 }
 
@@ -78,7 +80,7 @@
   const clock = kernel.find(clockName);
   const logger = kernel.find(loggerName);
   const { heartbeat_ms, suspect_ms, forget_ms } = kernel.find(settingsName).membership;
-  const heard = createPeerSummaries(clock, recentRounds * heartbeat_ms);
+  const summaries = createPeerSummaries(clock, recentRounds * heartbeat_ms);
   const suspicion = createSuspicionMonitor(
     () => table.known(),
     (member) => logger.event("memberSuspected", { member }),
@@ -87,26 +89,28 @@
   const table = createMemberTable(kernel.find(incarnationName), limits, {
     joined: ({ incarnation }) => logger.event("memberJoined", { member: incarnation }),
     gone({ incarnation }) {
-      heard.forget(incarnation);
+      summaries.forget(incarnation);
       suspicion.forget(incarnation);
       logger.event("memberGone", { member: incarnation });
     },
   });
-  const noteSuspected = () =>
+  const logSuspected = () =>
     suspicion.update(table.alive(clock.now()).map(({ incarnation }) => incarnation));
-  return { table, summaries: heard, logSuspected: noteSuspected };
+  return { table, summaries, logSuspected };
 }
 
-/** How this box stands towards the log: read by itself, or by others that it hears. */
-function createLogContact(kernel: Kernel, heard: PeerSummaries) {
+/** Tracks how recently this box and its peers have read the log. */
+function createLogContact(kernel: Kernel, summaries: PeerSummaries) {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
   const follower = kernel.find(logFollowerName);
 
-  /** Time since anyone that this box hears read the log. */
+  /** Time since this box or any peer in recent contact read the log. */
   const sinceLogReadMs = () => {
     const now = clock.now();
-    const ages = heard.recent().map((word) => word.summary.logSilentMs + now - word.receivedAt);
+    const ages = summaries
+      .recent()
+      .map((entry) => entry.summary.logSilentMs + now - entry.receivedAt);
     return Math.min(follower.silentFor(), ...ages);
   };
 
@@ -116,23 +120,23 @@
     logSilentMs: Math.min(Number.MAX_SAFE_INTEGER, Math.round(sinceLogReadMs())),
   });
 
-  const readTo = (offset: Offset): ReadProgress => {
-    const words = heard.recent().map((word) => word.summary.offset);
-    const offsets = [store.state().offset, ...words];
+  const readProgress = (offset: Offset): ReadProgress => {
+    const peerOffsets = summaries.recent().map((entry) => entry.summary.offset);
+    const offsets = [store.state().offset, ...peerOffsets];
     return {
       boxes: offsets.length,
       reached: offsets.filter((reached) => reached >= offset).length,
     };
   };
 
-  /** Holders of leases, as the log names them: boxes find each other by it while the list is out. */
+  /** Addresses of lease holders from the log, for discovery while the platform's list is unavailable. */
   const holderAddresses = (): readonly string[] =>
     [...store.state().leases.values()].flatMap((lease) => lease.holderAddress ?? []);
 
-  return { sinceLogReadMs, summary, readTo, holderAddresses };
+  return { sinceLogReadMs, summary, readProgress, holderAddresses };
 }
 
-/** Creates the membership of one box; its life cycle is the rounds of heartbeats. */
+/** Creates the membership service of one box; it runs heartbeat rounds between `start` and `stop`. */
 export function createMembership(kernel: Kernel): Membership & Service {
   const clock = kernel.find(clockName);
   const random = kernel.find(randomName);
@@ -142,11 +146,11 @@
   const settings = kernel.find(settingsName);
   const { heartbeat_ms, entries_per_message, fanout, stale_serving_ms } = settings.membership;
   const { list_poll_ms } = settings.platform;
-  const { table, summaries: heard, logSuspected: noteSuspected } = createKnownBoxes(kernel);
-  const log = createLogContact(kernel, heard);
+  const { table, summaries, logSuspected } = createKnownBoxes(kernel);
+  const log = createLogContact(kernel, summaries);
   const list = createPlatformList(clock, random, kernel.find(boxListPortName), list_poll_ms);
   const electorate = createElectorate();
-  const pageOfEntries = createPages<MemberEntry>(entries_per_message);
+  const nextEntries = createPages<MemberEntry>(entries_per_message);
 
   let heartbeat = 0;
   let leaving = false;
@@ -170,19 +174,19 @@
     blame: kernel.find(crashBlameName),
     createHeartbeat: () => ({
       from: self(),
-      members: pageOfEntries(table.alive(clock.now())),
+      members: nextEntries(table.alive(clock.now())),
       summary: log.summary(),
     }),
-    applyHeartbeat(from, members, word) {
+    applyHeartbeat(from, members, summary) {
       const now = clock.now();
       table.applyDirect(from, now);
       table.merge(members, now);
-      heard.record(from.incarnation, word);
+      summaries.record(from.incarnation, summary);
     },
   });
 
-  // Word of the others may come through others: in a large fleet a box hears few of them directly. Word of
-  // a read of the log comes the same way, so those that are heard have not read it either.
+  // Heartbeats may be relayed, since a box of a large deployment contacts few others directly. Reads of the log
+  // are relayed as well, so no box counted as alive here has read it more recently.
   const isolated = () => {
     const contact = {
       sinceLogReadMs: log.sinceLogReadMs(),
@@ -192,22 +196,22 @@
     return isIsolated(contact, stale_serving_ms);
   };
 
-  const noteIsolation = () => {
-    const isolatedNow = isolated();
-    if (isolatedNow !== wasIsolated) logger.event(isolatedNow ? "boxIsolated" : "boxRejoined");
-    wasIsolated = isolatedNow;
+  const logIsolationChange = () => {
+    const isIsolatedNow = isolated();
+    if (isIsolatedNow !== wasIsolated) logger.event(isIsolatedNow ? "boxIsolated" : "boxRejoined");
+    wasIsolated = isIsolatedNow;
   };
 
-  const noteElectorate = () => {
+  const updateElectorate = () => {
     const names = new Set(table.known().map(({ entry }) => entry.box));
     const boxes = Math.max(names.add(settings.box.name).size, list.boxes().length);
     electorate.update(boxes, log.sinceLogReadMs() <= recentRounds * heartbeat_ms);
   };
 
-  /** Some members, and boxes that the list or the log names. */
+  /** Random addresses of members and of boxes in the platform's list or the log. */
   const addressesOfRound = () => {
     const known = table.known().map((member) => member.entry.peerAddress);
-    const listed = list.boxes().map((line) => line.peerAddress);
+    const listed = list.boxes().map((box) => box.peerAddress);
     const all = [...known, ...listed, ...log.holderAddresses()];
     return selectRoundPeers(random, all, settings.box.peer_address, fanout);
   };
@@ -215,9 +219,9 @@
   const round = () => {
     heartbeat += 1;
     table.removeExpired(clock.now());
-    noteElectorate();
-    noteIsolation();
-    noteSuspected();
+    updateElectorate();
+    logIsolationChange();
+    logSuspected();
     for (const address of addressesOfRound()) void exchange.sendHeartbeat(address);
   };
   const rounds = repeatEvery(clock, random, heartbeat_ms, round);
@@ -226,19 +230,19 @@
     self,
     alive,
     serving() {
-      const shownLeaving = list.leavingBoxes();
-      return alive().filter((entry) => !entry.leaving && !shownLeaving.has(entry.peerAddress));
+      const listedAsLeaving = list.leavingBoxes();
+      return alive().filter((entry) => !entry.leaving && !listedAsLeaving.has(entry.peerAddress));
     },
     known: table.known,
-    find: (wanted) => (wanted === incarnation ? self() : table.find(wanted)?.entry),
+    find: (requested) => (requested === incarnation ? self() : table.find(requested)?.entry),
     leavingTargets: list.leavingTargets,
     leave() {
       leaving = true;
     },
     isolated,
-    readProgress: log.readTo,
+    readProgress: log.readProgress,
     pollLaggingPeers(offset) {
-      for (const { incarnation: start, summary: word } of heard.all()) {
+      for (const { incarnation: start, summary: word } of summaries.all()) {
         const address = table.find(start)?.entry.peerAddress;
         if (address !== undefined && word.offset < offset) void exchange.sendHeartbeat(address);
       }
--- a/packages/membership/src/pages.ts
+++ b/packages/membership/src/pages.ts
@@ -1,11 +1,11 @@
-/** Parts of a long list, one after the other, so that a message stays small in a large fleet. */
+/** Splits long lists over several messages to keep each message small. */
 
-/** Returns the next part of a list each time; one that fits is returned whole. */
-export function createPages<T>(most: number): (items: readonly T[]) => readonly T[] {
+/** Returns a function that returns the next `maxItems` items of a list in rotation, or all if they fit. */
+export function createPages<T>(maxItems: number): (items: readonly T[]) => readonly T[] {
   let cursor = 0;
   return (items) => {
-    if (items.length <= most) return items;
-    cursor = (cursor + most) % items.length;
-    return [...items, ...items].slice(cursor, cursor + most);
+    if (items.length <= maxItems) return items;
+    cursor = (cursor + maxItems) % items.length;
+    return [...items, ...items].slice(cursor, cursor + maxItems);
   };
 }
--- a/packages/membership/src/platform-list.ts
+++ b/packages/membership/src/platform-list.ts
@@ -1,20 +1,20 @@
-/** What the platform's list shows of boxes and targets, read at intervals. */
+/** The platform's list of boxes and targets, polled periodically. */
 import { type Clock, type Random, repeatEvery, type Service } from "@linkfall/kernel";
 import type { BoxListPort } from "@linkfall/ports";
 import type { ListedBox, Milliseconds } from "@linkfall/types";
 
-/** Its life cycle is the reading at intervals. */
+/** Latest state of the list; polls it between `start` and `stop`. */
 export interface PlatformList extends Service {
   /** Reads the list once. */
   read(): Promise<void>;
   boxes(): readonly ListedBox[];
-  /** Peer addresses of boxes that the list shows as leaving. */
+  /** Peer addresses of boxes marked as leaving. */
   leavingBoxes(): ReadonlySet<string>;
-  /** Names of targets that the list shows as leaving. */
+  /** Names of targets marked as leaving. */
   leavingTargets(): ReadonlySet<string>;
 }
 
-/** Creates a reader that keeps what it read last while the list is out. */
+/** Creates a poller that keeps the last known list while the platform does not answer. */
 export function createPlatformList(
   clock: Clock,
   random: Random,
@@ -26,22 +26,22 @@
 
   const read = async () => {
     const answer = await port.read();
-    answer.ifRight((shown) => {
-      boxes = shown.boxes;
-      leavingTargets = new Set(shown.leavingTargets);
+    answer.ifRight((list) => {
+      boxes = list.boxes;
+      leavingTargets = new Set(list.leavingTargets);
     });
   };
 
-  const reads = repeatEvery(clock, random, intervalMs, read);
+  const polling = repeatEvery(clock, random, intervalMs, read);
   return {
     read,
     boxes: () => boxes,
     leavingBoxes() {
-      const leaving = boxes.filter((line) => line.state === "leaving");
-      return new Set(leaving.map((line) => line.peerAddress));
+      const leaving = boxes.filter((box) => box.state === "leaving");
+      return new Set(leaving.map((box) => box.peerAddress));
     },
     leavingTargets: () => leavingTargets,
-    start: reads.start,
-    stop: reads.stop,
+    start: polling.start,
+    stop: polling.stop,
   };
 }
--- a/packages/membership/src/round-peers.ts
+++ b/packages/membership/src/round-peers.ts
@@ -1,11 +1,11 @@
-/** The boxes that one round of heartbeats goes to. */
+/** Selects the boxes that receive the heartbeats of one round. */
 import type { Random } from "@linkfall/kernel";
 
 /**
- * Picks up to `fanout` addresses, each with the same chance.
+ * Selects up to `fanout` addresses, each with the same probability.
  *
- * @param known addresses from whatever source, with repeats
- * @param own this box's address, which is left out
+ * @param known addresses from all sources; may contain duplicates
+ * @param own this box's address, which is excluded
  */
 export function selectRoundPeers(
   random: Random,
--- a/packages/membership/src/suspicion.ts
+++ b/packages/membership/src/suspicion.ts
@@ -1,30 +1,30 @@
-/** Tells of each member once when its heartbeat stands still, and again only after it has moved. */
+/** Reports each member once when its heartbeats stop, and again only after they have resumed. */
 import type { Incarnation } from "@linkfall/types";
 import type { MemberTable } from "./member-table.js";
 
 export interface SuspicionMonitor {
-  /** Compares the members whose heartbeat moves with all that are known. */
+  /** Compares the members with recent heartbeats to all known members. */
   update(alive: readonly Incarnation[]): void;
   forget(member: Incarnation): void;
 }
 
-/** Creates a suspicion of nobody; `suspected` is called for each member that becomes suspect. */
+/** Creates a monitor; `suspected` is called for each member that becomes suspected. */
 export function createSuspicionMonitor(
   known: MemberTable["known"],
   suspected: (member: Incarnation) => void,
 ): SuspicionMonitor {
-  const told = new Set<Incarnation>();
+  const reported = new Set<Incarnation>();
   return {
     update(alive) {
-      const moving = new Set(alive);
+      const active = new Set(alive);
       for (const { entry } of known()) {
-        if (moving.has(entry.incarnation)) told.delete(entry.incarnation);
-        else if (!told.has(entry.incarnation)) {
-          told.add(entry.incarnation);
+        if (active.has(entry.incarnation)) reported.delete(entry.incarnation);
+        else if (!reported.has(entry.incarnation)) {
+          reported.add(entry.incarnation);
           suspected(entry.incarnation);
         }
       }
     },
-    forget: (member) => void told.delete(member),
+    forget: (member) => void reported.delete(member),
   };
 }
