--- a/packages/forwarding/src/answer-sink.ts
+++ b/packages/forwarding/src/answer-sink.ts
@@ -1,6 +1,6 @@
 /** Writes the answer to one caller: a head once, bytes in order, and an end that shows whether it is whole. */
 import type { ServerResponse } from "node:http";
-import { onCallerLeft } from "@linkfall/caller-presence";
+import { onCallerDisconnect } from "@linkfall/caller-presence";
 import type { RawHeaders } from "@linkfall/ports";
 
 export interface AnswerSink {
@@ -28,7 +28,7 @@
   let callerGone = false;
   const listeners: (() => void)[] = [];
   response.on("error", () => undefined);
-  onCallerLeft(response, () => {
+  onCallerDisconnect(response, () => {
     callerGone = true;
     for (const listener of listeners) listener();
   });
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -1,5 +1,5 @@
 /** Sends a request to one target once, and passes a stream on while it comes. */
-import { lookForCaller } from "@linkfall/caller-presence";
+import { awaitPendingDisconnects } from "@linkfall/caller-presence";
 import type { TargetUnreachable } from "@linkfall/errors";
 import { createEventSplitter, type StreamEvent } from "@linkfall/event-stream";
 import type { Clock } from "@linkfall/kernel";
@@ -179,7 +179,7 @@
     settle({ kind: "silent", begun: begun() }),
   );
   const openedAt = clock.now();
-  const beforeBytes = () => lookForCaller(clock.now, sink.gone, openedAt);
+  const beforeBytes = () => awaitPendingDisconnects(clock.now, sink.gone, openedAt);
   const exchange: Exchange = openExchange(
     clock,
     { ...input.request, beforeBytes },
