--- a/packages/routing/src/choose.ts
+++ b/packages/routing/src/choose.ts
@@ -1,6 +1,6 @@
 /** The policies by which one target is chosen. docs/design/routing.md gives their figures. */
 import { pick, type Random } from "@linkfall/kernel";
-import { affinity, hash32 } from "@linkfall/rendezvous";
+import { nodeScore, hash32 } from "@linkfall/rendezvous";
 import type { Milliseconds } from "@linkfall/types";
 import { match } from "ts-pattern";
 
@@ -49,7 +49,7 @@
   let best = open[0];
   let bestScore = -1;
   for (const candidate of open) {
-    const score = affinity(keyHash, candidate.target);
+    const score = nodeScore(keyHash, candidate.target);
     if (score > bestScore) [best, bestScore] = [candidate, score];
   }
   return best;
