--- a/packages/peer-grpc/src/ask-stream.feature
+++ b/packages/peer-grpc/src/ask-stream.feature
@@ -1,16 +1,16 @@
-Feature: Small messages between boxes share one stream
+Feature: Messages between two boxes share one stream
 
-  Scenario: Many messages at once, each with its own answer
+  Scenario: Concurrent messages each receive their own answer
     Given a box that answers its peers
-    When 30 messages of three kinds are sent to it at once
-    Then each got the answer to itself
+    When 30 messages of three kinds are sent to it concurrently
+    Then each message receives its own answer
 
-  Scenario: A box that comes back at its address is dialled again
+  Scenario: The client reconnects to a box that restarts at the same address
     Given a box that answers its peers
-    When it has answered, ends, and another starts at its address
-    Then the next messages are answered within 20 tries
+    When it has answered and is replaced by another box at the same address
+    Then a message is answered within 20 attempts
 
-  Scenario: A box that is silent costs one limit, and the next message dials afresh
-    Given a box that takes connections and says nothing
-    When a message to it has waited for its limit, twice
-    Then each came back as unreachable, and each had a connection of its own
+  Scenario: A message to a silent box times out once, and the next message opens a new connection
+    Given a box that accepts connections but never answers
+    When two messages to it time out one after the other
+    Then both fail as unreachable, and each used a connection of its own
--- a/packages/peer-grpc/src/ask-stream.steps.ts
+++ b/packages/peer-grpc/src/ask-stream.steps.ts
@@ -8,7 +8,7 @@
 import { createPeerClient, type PeerGrpcClient } from "./peer-client.js";
 import { createPeerServer, type PeerGrpcServer } from "./peer-server.js";
 
-const limitMs = 2_000;
+const timeoutMs = 2_000;
 
 const member: MemberEntry = {
   box: "b",
@@ -30,7 +30,7 @@
   fetchState: () => ({ offset: 0, data: "" }),
   reportUsage: (report) => report.accounts,
   readReports: (request) => ({ from: request.from, reports: [] }),
-  forward: () => Promise.reject(new Error("not asked for here")),
+  forward: () => Promise.reject(new Error("forwarding is not used in this test")),
 };
 
 interface Pair {
@@ -49,7 +49,7 @@
 
 Given("a box that answers its peers", async function (this: object) {
   const { server, port } = await serve("127.0.0.1:0");
-  const client = createPeerClient(systemClock(), limitMs);
+  const client = createPeerClient(systemClock(), timeoutMs);
   notes(this).set("pair", { server, client, address: `127.0.0.1:${port}` });
 });
 
@@ -65,11 +65,11 @@
 });
 
 When(
-  "{int} messages of three kinds are sent to it at once",
+  "{int} messages of three kinds are sent to it concurrently",
   async function (this: object, count: number) {
     const { client, address } = pairOf(this);
     const numbers = Array.from({ length: count / 3 }, (_, index) => index);
-    const beats = numbers.map((index) => client.heartbeat(address, message(index)));
+    const heartbeats = numbers.map((index) => client.heartbeat(address, message(index)));
     const usage = numbers.map((index) =>
       client.reportUsage(address, {
         from: "b@1",
@@ -81,19 +81,21 @@
       client.readReports(address, { from: `b@${index}`, pools: [], heldFrom: "", held: [] }),
     );
     notes(this).set("answers", {
-      offsets: (await Promise.all(beats)).map((each) => each.unsafeCoerce().summary.offset),
-      accounts: (await Promise.all(usage)).map((each) => each.unsafeCoerce()[0].account),
-      starts: (await Promise.all(reports)).map((each) => each.unsafeCoerce().from),
+      offsets: (await Promise.all(heartbeats)).map(
+        (answer) => answer.unsafeCoerce().summary.offset,
+      ),
+      accounts: (await Promise.all(usage)).map((answer) => answer.unsafeCoerce()[0].account),
+      incarnations: (await Promise.all(reports)).map((answer) => answer.unsafeCoerce().from),
       numbers,
     });
   },
 );
 
-Then("each got the answer to itself", function (this: object) {
-  const { offsets, accounts, starts, numbers } = notes(this).get<{
+Then("each message receives its own answer", function (this: object) {
+  const { offsets, accounts, incarnations, numbers } = notes(this).get<{
     offsets: number[];
     accounts: string[];
-    starts: string[];
+    incarnations: string[];
     numbers: number[];
   }>("answers");
   assert.deepEqual(offsets, numbers);
@@ -102,23 +104,26 @@
     numbers.map((index) => `a${index}`),
   );
   assert.deepEqual(
-    starts,
+    incarnations,
     numbers.map((index) => `b@${index}`),
   );
 });
 
-When("it has answered, ends, and another starts at its address", async function (this: object) {
-  const pair = pairOf(this);
-  assert.ok((await pair.client.heartbeat(pair.address, message(1))).isRight());
-  pair.server.close();
-  pair.server = (await serve(pair.address)).server;
-});
+When(
+  "it has answered and is replaced by another box at the same address",
+  async function (this: object) {
+    const pair = pairOf(this);
+    assert.ok((await pair.client.heartbeat(pair.address, message(1))).isRight());
+    pair.server.close();
+    pair.server = (await serve(pair.address)).server;
+  },
+);
 
 Then(
-  "the next messages are answered within {int} tries",
-  async function (this: object, most: number) {
+  "a message is answered within {int} attempts",
+  async function (this: object, maxAttempts: number) {
     const { client, address } = pairOf(this);
-    for (let tries = 0; tries < most; tries++) {
+    for (let attempts = 0; attempts < maxAttempts; attempts++) {
       if ((await client.heartbeat(address, message(2))).isRight()) return;
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
@@ -131,7 +136,7 @@
   readonly sockets: Socket[];
 }
 
-Given("a box that takes connections and says nothing", async function (this: object) {
+Given("a box that accepts connections but never answers", async function (this: object) {
   const sockets: Socket[] = [];
   const server = createServer((socket) => void sockets.push(socket.on("error", () => undefined)));
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
@@ -149,26 +154,23 @@
   await new Promise((resolve) => silent.server.close(resolve));
 });
 
-When("a message to it has waited for its limit, twice", async function (this: object) {
+When("two messages to it time out one after the other", async function (this: object) {
   const { server, sockets } = notes(this).get<SilentBox>("silent");
   const { port } = server.address() as { port: number };
   const clock = createVirtualClock();
-  const client = createPeerClient(clock, limitMs);
+  const client = createPeerClient(clock, timeoutMs);
   const results: boolean[] = [];
-  for (let turn = 1; turn <= 2; turn++) {
-    const asked = client.heartbeat(`127.0.0.1:${port}`, message(turn));
-    while (sockets.length < turn) await new Promise((resolve) => setTimeout(resolve, 5));
-    await clock.runUntil(clock.now() + limitMs);
-    results.push((await asked).isLeft());
+  for (let attempt = 1; attempt <= 2; attempt++) {
+    const pending = client.heartbeat(`127.0.0.1:${port}`, message(attempt));
+    while (sockets.length < attempt) await new Promise((resolve) => setTimeout(resolve, 5));
+    await clock.runUntil(clock.now() + timeoutMs);
+    results.push((await pending).isLeft());
   }
   client.close();
   notes(this).set("results", results);
 });
 
-Then(
-  "each came back as unreachable, and each had a connection of its own",
-  function (this: object) {
-    assert.deepEqual(notes(this).get("results"), [true, true]);
-    assert.equal(notes(this).get<SilentBox>("silent").sockets.length, 2);
-  },
-);
+Then("both fail as unreachable, and each used a connection of its own", function (this: object) {
+  assert.deepEqual(notes(this).get("results"), [true, true]);
+  assert.equal(notes(this).get<SilentBox>("silent").sockets.length, 2);
+});
--- a/packages/peer-grpc/src/convert.ts
+++ b/packages/peer-grpc/src/convert.ts
@@ -1,4 +1,4 @@
-/** Between the generated messages and the types of the ports. */
+/** Converts between the generated messages and the types of the ports. */
 import type {
   BlameExchange,
   Heartbeat,
@@ -27,12 +27,12 @@
   UsageReport as UsageMessage,
 } from "./generated/peer.js";
 
-/** A message that lacks a part which every sender sets. */
+/** Thrown for a message that lacks a required field or holds an invalid value in it. */
 export class IncompleteMessageError extends Error {}
 
-function requireField<T>(part: T | undefined, name: string): T {
-  if (part === undefined) throw new IncompleteMessageError(name);
-  return part;
+function requireField<T>(value: T | undefined, name: string): T {
+  if (value === undefined) throw new IncompleteMessageError(name);
+  return value;
 }
 
 function toSummary(summary: Summary): MemberSummary {
@@ -87,10 +87,10 @@
   return { ...request, pools: [...request.pools], held: [...request.held] };
 }
 
-/** One of the words that a text may hold. */
-function parseLiteral<T extends string>(words: readonly T[], text: string): T {
+/** Narrows a text to one of the allowed literals. */
+function parseLiteral<T extends string>(literals: readonly T[], text: string): T {
   return requireField(
-    words.find((word) => word === text),
+    literals.find((literal) => literal === text),
     text,
   );
 }
@@ -105,9 +105,9 @@
   return {
     ...message,
     role: parseLiteral(engineRoles, role),
-    residents: residents.map((copy) => ({
-      ...copy,
-      state: parseLiteral(residentStates, copy.state),
+    residents: residents.map((resident) => ({
+      ...resident,
+      state: parseLiteral(residentStates, resident.state),
     })),
   };
 }
--- a/packages/peer-grpc/src/peer-client.ts
+++ b/packages/peer-grpc/src/peer-client.ts
@@ -1,4 +1,4 @@
-/** Asks other boxes. */
+/** Client for messages to other boxes. */
 import { type ClientReadableStream, Metadata, type ServiceError, status } from "@grpc/grpc-js";
 import { type AskStream, createAskStream } from "@linkfall/ask-stream";
 import type { PeerUnreachable, TargetUnreachable } from "@linkfall/errors";
@@ -22,24 +22,24 @@
 } from "./generated/peer.js";
 import { clientCredentials, type PeerTls } from "./peer-tls.js";
 
-/** Connections not used for so long are closed: their boxes are gone. */
+/** Connections that are idle for this long are closed, since their boxes are usually gone. */
 const idleTimeoutMs: Milliseconds = 300_000;
 const channelOptions = {
   "grpc.initial_reconnect_backoff_ms": 100,
   "grpc.max_reconnect_backoff_ms": 1_000,
   "grpc.max_receive_message_length": 64_000_000,
-  // Boxes meet each other directly, whatever proxy the environment names.
+  // Boxes connect directly, regardless of the environment's proxy settings.
   "grpc.enable_http_proxy": 0,
 };
 type AskBody = NonNullable<Ask["body"]>;
 type AnswerBody = NonNullable<Answer["body"]>;
 
-/** The stream of small messages gives its connection up alone, so it shares none. */
+/** The message stream closes its connection independently and must not share it. */
 const dedicatedConnection = { "grpc.use_local_subchannel_pool": 1 };
 
-/** What is open to one other box. */
+/** Open connections to one other box. */
 interface PeerConnection {
-  /** For forwarded requests and the fetching of state. */
+  /** For forwarded requests and for fetching state. */
   readonly client: PeerClient;
   readonly stream: AskStream<AskBody, AnswerBody>;
   lastUsedAt: Milliseconds;
@@ -53,25 +53,27 @@
   return { kind: "peer_unreachable", reason: String(problem), mayHaveArrived };
 }
 
-/** A call that found no connection has not arrived. */
+/** A request that failed to connect cannot have arrived. */
 function mayHaveArrived(problem: ServiceError): boolean {
-  const noConnection = /ECONNREFUSED|No connection established|EHOSTUNREACH/.test(problem.message);
-  return !(problem.code === status.UNAVAILABLE && noConnection);
+  const failedToConnect = /ECONNREFUSED|No connection established|EHOSTUNREACH/.test(
+    problem.message,
+  );
+  return !(problem.code === status.UNAVAILABLE && failedToConnect);
 }
 
 function truncated(reason: string): BodyPart {
   return Left<TargetUnreachable>({ kind: "target_unreachable", reason, mayHaveArrived: true });
 }
 
-/** The parts of a forwarded answer's body; a stream without its end marker was cut. */
+/** Reads the body of a forwarded response; a stream that ends without its end marker is truncated. */
 async function* readBody(parts: AsyncIterator<ForwardPart>): AsyncGenerator<BodyPart> {
   try {
-    for (let read = await parts.next(); !read.done; read = await parts.next()) {
-      const { part } = read.value;
+    for (let next = await parts.next(); !next.done; next = await parts.next()) {
+      const { part } = next.value;
       if (part?.$case === "chunk") yield Right(part.value);
       if (part?.$case === "whole") return;
     }
-    yield truncated("the owner's answer was cut");
+    yield truncated("the forwarded response was truncated");
   } catch (problem) {
     yield truncated(String(problem));
   }
@@ -82,9 +84,9 @@
 ): Promise<Either<PeerUnreachable, CallerResponse>> {
   const parts = stream[Symbol.asyncIterator]() as AsyncIterator<ForwardPart>;
   try {
-    const read = await parts.next();
-    const first = read.done ? undefined : read.value.part;
-    if (first?.$case !== "head") return Left(unreachable("no head came", true));
+    const next = await parts.next();
+    const first = next.done ? undefined : next.value.part;
+    if (first?.$case !== "head") return Left(unreachable("the response has no head", true));
     return Right({
       status: first.value.status,
       headers: first.value.headers,
@@ -113,7 +115,7 @@
 
 type AnswerValue<K> = Extract<AnswerBody, { $case: K }>["value"];
 
-/** The answer of one kind; any other, or one that lacks a part, counts as none. */
+/** Converts an answer of the expected kind; any other or incomplete answer is an error. */
 function expectAnswer<K extends AnswerBody["$case"], T>(
   answer: Either<PeerUnreachable, AnswerBody>,
   kind: K,
@@ -126,9 +128,13 @@
   });
 }
 
-/** Creates the client of one box; `limit` bounds small messages and the fetching of state. */
-export function createPeerClient(clock: Clock, limit: Milliseconds, tls?: PeerTls): PeerGrpcClient {
-  const held = new Map<string, PeerConnection>();
+/** Creates the client of one box; `timeoutMs` applies to messages and to fetching state, not to forwarded requests. */
+export function createPeerClient(
+  clock: Clock,
+  timeoutMs: Milliseconds,
+  tls?: PeerTls,
+): PeerGrpcClient {
+  const connections = new Map<string, PeerConnection>();
   const credentials = clientCredentials(tls);
 
   const closePeer = ({ client, stream }: PeerConnection) => {
@@ -136,22 +142,22 @@
     stream.close();
   };
 
-  const closeUnused = () => {
-    const oldest = clock.now() - idleTimeoutMs;
-    for (const [address, peer] of held) {
-      if (peer.lastUsedAt >= oldest) continue;
+  const closeIdle = () => {
+    const idleSince = clock.now() - idleTimeoutMs;
+    for (const [address, peer] of connections) {
+      if (peer.lastUsedAt >= idleSince) continue;
       closePeer(peer);
-      held.delete(address);
+      connections.delete(address);
     }
   };
 
   const peerAt = (address: string): PeerConnection => {
-    const known = held.get(address);
-    if (known) {
-      known.lastUsedAt = clock.now();
-      return known;
+    const existing = connections.get(address);
+    if (existing) {
+      existing.lastUsedAt = clock.now();
+      return existing;
     }
-    closeUnused();
+    closeIdle();
     const dial = () => {
       const client = new PeerClient(address, credentials, {
         ...channelOptions,
@@ -161,10 +167,10 @@
     };
     const peer: PeerConnection = {
       client: new PeerClient(address, credentials, channelOptions),
-      stream: createAskStream(clock, limit, dial),
+      stream: createAskStream(clock, timeoutMs, dial),
       lastUsedAt: clock.now(),
     };
-    held.set(address, peer);
+    connections.set(address, peer);
     return peer;
   };
 
@@ -184,9 +190,9 @@
     },
     async fetchState(address) {
       const stream = peerAt(address).client.fetchState({});
-      const done = clock.after(limit, () => stream.cancel());
+      const cancelTimeout = clock.after(timeoutMs, () => stream.cancel());
       const state = await readState(stream);
-      done();
+      cancelTimeout();
       return state;
     },
     forward(address, request: CallerRequest) {
@@ -197,8 +203,8 @@
       return readForwarded(stream);
     },
     close() {
-      for (const peer of held.values()) closePeer(peer);
-      held.clear();
+      for (const peer of connections.values()) closePeer(peer);
+      connections.clear();
     },
   };
 }
--- a/packages/peer-grpc/src/peer-server.ts
+++ b/packages/peer-grpc/src/peer-server.ts
@@ -1,4 +1,4 @@
-/** Answers other boxes. */
+/** Server for messages from other boxes. */
 import { once } from "node:events";
 import { Server, type ServerWritableStream, status } from "@grpc/grpc-js";
 import type { AddressUnavailable } from "@linkfall/errors";
@@ -19,7 +19,7 @@
 const maxStatePartLength = 1_000_000;
 
 export interface PeerGrpcServer {
-  /** Starts to listen; resolves with the port. */
+  /** Starts listening; resolves with the port. */
   listen(address: string): Promise<Either<AddressUnavailable, number>>;
   close(): void;
 }
@@ -31,7 +31,7 @@
   try {
     await once(call, "drain", { signal: gone });
   } catch {
-    // The asking box has gone; the caller of this function sees it.
+    // The requesting box disconnected; callers check `gone`.
   }
 }
 
@@ -43,7 +43,7 @@
   } else {
     for await (const part of response.body) {
       if (gone.aborted) return;
-      // Ended without the marker of a whole answer, so that the other side sees the cut.
+      // Ending without the end marker lets the requesting box detect the truncation.
       if (part.isLeft()) return void call.end();
       const chunk = part.extract() as Uint8Array;
       await writePart(call, { $case: "chunk", value: Buffer.from(chunk) }, gone);
@@ -54,7 +54,7 @@
 }
 
 /**
- * The answer to one small message.
+ * Handles one message and returns its answer.
  *
  * @throws IncompleteMessage
  */
@@ -82,11 +82,11 @@
 /**
  * Creates the server of one box.
  *
- * @param defect takes an error that no value stands for
+ * @param onDefect called for unexpected errors
  */
 export function createPeerServer(
   handler: PeerHandler,
-  defect: (problem: unknown) => void,
+  onDefect: (problem: unknown) => void,
   tls?: PeerTls,
 ): PeerGrpcServer {
   const implementation: PeerServer = {
@@ -95,7 +95,7 @@
         try {
           call.write({ number, body: handleAsk(handler, body) });
         } catch (problem) {
-          if (!(problem instanceof IncompleteMessageError)) return defect(problem);
+          if (!(problem instanceof IncompleteMessageError)) return onDefect(problem);
           call.emit("error", { code: status.INVALID_ARGUMENT, message: problem.message });
         }
       });
@@ -115,7 +115,7 @@
       handler
         .forward({ method, path, headers, body, gone: gone.signal })
         .then((response) => writeForwarded(call, response, gone.signal))
-        .catch(defect);
+        .catch(onDefect);
     },
   };
   const server = new Server({ "grpc.max_receive_message_length": 64_000_000 });
--- a/packages/peer-grpc/src/peer-tls.ts
+++ b/packages/peer-grpc/src/peer-tls.ts
@@ -1,11 +1,11 @@
-/** Credentials of the peer protocol: TLS with certificates on both sides, or plain TCP. */
+/** Credentials for connections between boxes: mutual TLS, or plain TCP. */
 import { ChannelCredentials, ServerCredentials } from "@grpc/grpc-js";
 
-/** PEM texts. */
+/** Certificates and key in PEM format. */
 export interface PeerTls {
   readonly cert: string;
   readonly key: string;
-  /** Authority that the other side's certificate is checked against. */
+  /** Certificate authority that verifies the other box's certificate. */
   readonly ca: string;
 }
 
