--- a/packages/entry-settings/src/entry-settings.feature
+++ b/packages/entry-settings/src/entry-settings.feature
@@ -1,19 +1,19 @@
-Feature: Settings of a box that forwards are checked, and every problem is named
+Feature: Settings of a forwarding box are validated with all problems reported
 
-  Scenario: The least file is valid
-    Given the least settings of a box that forwards
+  Scenario: The minimal file is valid
+    Given the minimal settings of a forwarding box
     Then they are valid
 
-  Scenario: A key that is not known is refused
-    Given the least settings of a box that forwards
+  Scenario: An unknown key is rejected
+    Given the minimal settings of a forwarding box
     And "colour = red" in "[peers]"
-    Then the problem "peers.colour: no such setting" is named
+    Then the problem "peers.colour: no such setting" is reported
 
-  Scenario: All problems are named at once
-    Given the least settings of a box that forwards
+  Scenario: All problems are reported at once
+    Given the minimal settings of a forwarding box
     And "round_ms = fast" in "[peers]"
     And "ratio = -1" in "[retries]"
-    Then 2 problems are named
+    Then 2 problems are reported
 
-  Scenario: Every key stands on the page of settings
+  Scenario: Every key is documented
     Then docs/FORWARDING-SETTINGS.md has every key with its default
--- a/packages/entry-settings/src/entry-settings.steps.ts
+++ b/packages/entry-settings/src/entry-settings.steps.ts
@@ -4,7 +4,7 @@
 import { notes } from "@linkfall/test-support";
 import { type EntrySettings, readEntrySettings } from "./index.js";
 
-const least = [
+const minimalSettings = [
   "[box]",
   "name = b1",
   "domain = d1",
@@ -17,18 +17,19 @@
   "address = 10.0.0.9:1",
 ];
 
-Given("the least settings of a box that forwards", function (this: object) {
-  notes(this).set("lines", [...least]);
+Given("the minimal settings of a forwarding box", function (this: object) {
+  notes(this).set("lines", [...minimalSettings]);
 });
 
 Given("{string} in {string}", function (this: object, text: string, section: string) {
   notes(this).get<string[]>("lines").push(section, text);
 });
 
-const check = (world: object) => readEntrySettings(notes(world).get<string[]>("lines").join("\n"));
+const parseSettings = (world: object) =>
+  readEntrySettings(notes(world).get<string[]>("lines").join("\n"));
 
 function problemsOf(world: object): readonly string[] {
-  return check(world).caseOf({
+  return parseSettings(world).caseOf({
     Left: ({ problems }) => problems.map(({ field, reason }) => `${field}: ${reason}`),
     Right: () => [],
   });
@@ -38,24 +39,24 @@
   assert.deepEqual(problemsOf(this), []);
 });
 
-Then("the problem {string} is named", function (this: object, problem: string) {
+Then("the problem {string} is reported", function (this: object, problem: string) {
   assert.deepEqual(problemsOf(this), [problem]);
 });
 
-Then("{int} problems are named", function (this: object, count: number) {
+Then("{int} problems are reported", function (this: object, count: number) {
   assert.equal(problemsOf(this).length, count);
 });
 
 Then("docs\\/FORWARDING-SETTINGS.md has every key with its default", () => {
   const page = readFileSync("docs/FORWARDING-SETTINGS.md", "utf8");
-  const settings: EntrySettings = readEntrySettings(least.join("\n")).unsafeCoerce();
+  const settings: EntrySettings = readEntrySettings(minimalSettings.join("\n")).unsafeCoerce();
   const cells = page.split("\n").map((row) => row.split("|").map((cell) => cell.trim()));
   for (const [section, keys] of Object.entries(settings)) {
     for (const [key, value] of Object.entries(keys as Record<string, unknown>)) {
       const row = cells.find((cell) => cell[1] === `${section}.${key}`);
       assert.ok(row, `${section}.${key} is missing`);
-      const given = least.some((text) => text.startsWith(`${key} =`));
-      if (!given && key !== "seeds") assert.equal(row[2], String(value), `${section}.${key}`);
+      const isSet = minimalSettings.some((text) => text.startsWith(`${key} =`));
+      if (!isSet && key !== "seeds") assert.equal(row[2], String(value), `${section}.${key}`);
     }
   }
 });
--- a/packages/entry-settings/src/index.ts
+++ b/packages/entry-settings/src/index.ts
@@ -1,4 +1,4 @@
-/** Settings of a box that forwards opaque requests: INI text, checked, every problem named at once. */
+/** Settings of a box that forwards opaque requests: an INI file, validated with all problems reported at once. */
 import type { InvalidInput } from "@linkfall/errors";
 import { parse } from "ini";
 import { type Either, Left, Right } from "purify-ts";
@@ -6,15 +6,15 @@
 
 const ipAddressAndPort = z
   .string()
-  .regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, "an IP number and a port");
+  .regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, "an IP address and a port");
 const identifier = z
   .string()
   .regex(/^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$/, "letters, digits, '.', '_', '-'");
-const integer = (lowest: number, highest: number, standard: number) =>
-  z.coerce.number().int().min(lowest).max(highest).default(standard);
-const number = (lowest: number, highest: number, standard: number) =>
-  z.coerce.number().min(lowest).max(highest).default(standard);
-const milliseconds = (standard: number) => integer(1, 600_000, standard);
+const integer = (min: number, max: number, defaultValue: number) =>
+  z.coerce.number().int().min(min).max(max).default(defaultValue);
+const number = (min: number, max: number, defaultValue: number) =>
+  z.coerce.number().min(min).max(max).default(defaultValue);
+const milliseconds = (defaultValue: number) => integer(1, 600_000, defaultValue);
 const ipAddressList = z
   .string()
   .default("")
@@ -22,51 +22,53 @@
   .transform((parts) => parts.filter((part) => part !== ""))
   .pipe(z.array(ipAddressAndPort));
 
-/** The sections of the file; keys that end in `_ms` are milliseconds. */
+/** Schema of the settings file by section; keys that end in `_ms` are in milliseconds. */
 export const entrySettingsSchema = z.strictObject({
   box: z.strictObject({
     name: identifier,
     domain: identifier,
-    /** Share of a processor that this box may use, and its speed against others'. */
+    /** Processor cores available to this box. */
     processor_share: number(0.001, 1_000, 1),
+    /** Speed of a core, relative to the reference speed. */
     processor_speed: number(0.001, 1_000, 1),
     front_address: ipAddressAndPort,
     ready_address: ipAddressAndPort,
     directory_address: ipAddressAndPort,
     peer_address: ipAddressAndPort,
-    /** Where this box listens for others, where that is not what it tells them. */
+    /** Address to listen on for other boxes, if it differs from the advertised `peer_address`. */
     peer_listen_address: ipAddressAndPort.optional(),
     metrics_address: ipAddressAndPort,
-    /** Peer addresses of boxes that may be up, for when the store is not. */
+    /** Peer addresses of other boxes, for discovery while the store is unavailable. */
     seeds: ipAddressList,
-    /** The settings file is looked at this often. */
+    /** Interval between checks of the settings file for changes. */
     settings_check_ms: milliseconds(1_000),
   }),
   store: z.strictObject({
     address: ipAddressAndPort,
     timeout_ms: milliseconds(1_500),
-    /** How long one read waits for a change. */
+    /** Maximum time for which one read waits for a change. */
     wait_ms: milliseconds(20_000),
-    /** Pause after a change of targets, so that the next ones come together; where it is left out, a share
-     * of `targets.leaving_ms`. */
+    /** Delay after a change of targets to batch further changes; defaults to a fraction of `targets.leaving_ms`. */
     gather_targets_ms: z.coerce.number().int().min(1).max(600_000).optional(),
+    /** Initial delay between retries of a failed read. */
     first_pause_ms: milliseconds(150),
+    /** Maximum delay between retries of a failed read. */
     longest_pause_ms: milliseconds(1_000),
-    /** In a large deployment, boxes that read the store for all. */
+    /** Number of boxes that read the store on behalf of all in a large deployment. */
     readers: integer(1, 64, 2),
-    /** How long after its return the store's list may lack targets that live. */
+    /** Time after an outage for which the store's list may lack running targets. */
     settle_ms: milliseconds(2_200),
   }),
   callers: z
     .strictObject({
       max_header_bytes: integer(1_024, 1_048_576, 16_384),
-      /** How long callers keep an answer of the directory. */
+      /** Time for which callers may cache the addresses of boxes. */
       entries_lifetime_ms: milliseconds(1_500),
     })
     .prefault({}),
   stop: z
     .strictObject({
-      /** Time from the signal until the process has to be gone. */
+      /** Time from the signal until the process must have exited. */
       grace_ms: milliseconds(8_000),
     })
     .prefault({}),
@@ -76,24 +78,24 @@
       call_ms: milliseconds(400),
       suspect_ms: milliseconds(1_500),
       forget_ms: milliseconds(60_000),
-      /** Up to this many other boxes all exchange heartbeats with all. */
+      /** Highest number of other boxes with which heartbeats form a full mesh. */
       fanout: integer(1, 64, 8),
-      /** In a larger deployment, boxes asked in a round while the order giver is unheard. */
+      /** Random partners per round in a larger deployment while the lease holder is unreachable. */
       search_fanout: integer(1, 64, 4),
-      /** Every so many rounds a box at random is asked as well. */
+      /** Every this many rounds one random box is added to the partners. */
       random_every: integer(1, 1_000, 5),
-      /** Each other box lengthens a round by this, where that makes it longer than `round_ms`. */
+      /** Round interval per other box; the total replaces `round_ms` where it is longer. */
       round_per_box_ms: milliseconds(4),
-      /** How long boxes that the order giver vouched for are believed in after it fell silent. */
+      /** Time after the lease holder's last heartbeat for which its reports still keep boxes alive. */
       vouched_ms: milliseconds(4_500),
-      /** Other boxes that one heartbeat tells of. */
+      /** Maximum number of other boxes reported in one heartbeat. */
       sightings: integer(0, 64, 8),
     })
     .prefault({}),
   lease: z
     .strictObject({
       lease_ms: milliseconds(3_000),
-      /** Whether all engines refuse orders of an epoch below one that they have seen. */
+      /** Whether all engines reject orders of an epoch lower than the highest one they have received. */
       engines_fence: z.union([z.boolean(), z.stringbool()]).default(false),
       silent_ms: milliseconds(1_800),
       rank_step_ms: milliseconds(300),
@@ -109,11 +111,11 @@
     .prefault({}),
   accounts: z
     .strictObject({
-      /** Any span of so many seconds may see what an account's limit lets through in it, and the overage. */
+      /** Window in seconds within which an account may use its limit plus the overage. */
       window_s: number(0, 3_600, 8),
-      /** Share of the limit that may be let through beyond it. */
+      /** Fraction of the limit that may be admitted in excess of it. */
       overage: number(0, 10, 0.1),
-      /** Units beside that share, over all boxes. */
+      /** Units that may be admitted in addition, summed over all boxes. */
       slack: number(0, 1_000_000_000, 0),
     })
     .prefault({}),
@@ -139,7 +141,7 @@
     .prefault({}),
   targets: z
     .strictObject({
-      /** Time after which a target that says that it leaves may get nothing new from any box. */
+      /** Time by which all boxes must have stopped sending new requests to a target that announced its shutdown. */
       leaving_ms: milliseconds(2_000),
       lapse_grace_ms: milliseconds(1_600),
       lapse_share: number(0, 1, 0.3),
@@ -150,9 +152,9 @@
     .prefault({}),
   placement: z
     .strictObject({
-      /** Load that one replica is to carry: reading of prompts and places taken, 1 being a whole engine. */
+      /** Intended load per replica, from prompt processing and occupied slots; 1 is a fully loaded engine. */
       load_of_replica: number(0.01, 10, 0.3),
-      /** Time over which the next request of a rare model is weighed. */
+      /** Planning horizon for the next request of a rarely used model. */
       horizon_ms: milliseconds(10_000),
       state_ms: milliseconds(500),
       busy_state_ms: milliseconds(100),
@@ -163,11 +165,11 @@
   log: z
     .strictObject({
       level: z.enum(["error", "warn", "info", "debug"]).default("info"),
-      /** Lines a second of one kind of event; the rest are counted. */
+      /** Maximum lines per second of each event; further ones are only counted. */
       lines_per_second: integer(1, 10_000, 40),
-      /** Bytes that may wait for standard output. */
+      /** Maximum number of bytes buffered for standard output. */
       buffer_bytes: integer(1_024, 64_000_000, 1_000_000),
-      /** Lines of this time are written together. A box that is killed loses those that wait. */
+      /** Time for which lines are batched into one write; a killed process loses buffered lines. */
       gather_ms: milliseconds(100),
     })
     .prefault({}),
@@ -175,11 +177,11 @@
 
 export type EntrySettings = z.infer<typeof entrySettingsSchema>;
 
-/** Reads the text of a settings file. */
+/** Parses and validates the text of a settings file. */
 export function readEntrySettings(text: string): Either<InvalidInput, EntrySettings> {
-  const checked = entrySettingsSchema.safeParse({ ...parse(text) });
-  if (checked.success) return Right(checked.data);
-  const problems = checked.error.issues.map((issue) => {
+  const parsed = entrySettingsSchema.safeParse({ ...parse(text) });
+  if (parsed.success) return Right(parsed.data);
+  const problems = parsed.error.issues.map((issue) => {
     const keys = issue.code === "unrecognized_keys" ? [issue.keys.join(", ")] : [];
     const reason = issue.code === "unrecognized_keys" ? "no such setting" : issue.message;
     return { field: [...issue.path.map(String), ...keys].join("."), reason };
