--- a/packages/caller-presence/src/look-for-caller.ts
+++ b/packages/caller-presence/src/look-for-caller.ts
@@ -1,43 +1,43 @@
 /**
- * Whether a caller is still there, by what the system knew a moment ago. A close that lies in a socket is seen when the event
- * loop asks the system next, so a box that is behind would send on what nobody waits for any more.
+ * Waits for pending disconnects to be processed. The event loop notices a closed socket only when it polls next, so that
+ * an overloaded box would otherwise forward requests of callers that have left.
  */
 import type { Milliseconds } from "@linkfall/types";
 
-/** Work for a caller that left longer ago is not begun; callers' bound for that is half a second. */
+/** Maximum age of the socket state on which work is started; callers tolerate half a second. */
 const maxEventAgeMs: Milliseconds = 150;
-/** A box whose turns are all longer goes on after so many, rather than keep those who are there waiting. */
+/** Bounds the wait on a box whose iterations all take longer than `maxEventAgeMs`. */
 const maxIterations = 3;
 
-/** The end of this turn of the event loop: all that the system told at its beginning has been handled. */
+/** Resolves in the check phase of the event loop, after the I/O events of the current poll phase have been handled. */
 const endOfIteration = () => new Promise<void>((resolve) => setImmediate(resolve));
 
 /**
- * Resolves when the event loop has handled what the system knew at most `freshMs` before, or when the caller is gone.
- * Without it a box that falls behind sends on requests whose callers left long ago.
+ * Resolves when all disconnects older than `maxEventAgeMs` have been processed, when the caller is gone, or after
+ * `maxIterations` iterations of the event loop.
  *
- * @param turnOf reading of the clock in an earlier turn of the loop
+ * @param polledAt time in an earlier iteration of the event loop, by the clock of `now`
  */
 export async function awaitPendingDisconnects(
   now: () => Milliseconds,
   gone: () => boolean,
-  turnOf: Milliseconds,
+  polledAt: Milliseconds,
 ): Promise<void> {
-  let since = turnOf;
-  for (let looks = 0; looks < maxIterations && !gone(); looks++) {
+  let previousAt = polledAt;
+  for (let iterations = 0; iterations < maxIterations && !gone(); iterations++) {
     await endOfIteration();
-    const at = now();
-    if (at - since <= maxEventAgeMs) return;
-    since = at;
+    const currentAt = now();
+    if (currentAt - previousAt <= maxEventAgeMs) return;
+    previousAt = currentAt;
   }
 }
 
-/** As `lookForCaller`, for a request that was read in this turn: what came behind it is read in the next one. */
+/** Like `awaitPendingDisconnects`, for a request read in this iteration; data after it is read in the next one. */
 export async function awaitPendingDisconnectsAfterRead(
   now: () => Milliseconds,
   gone: () => boolean,
 ): Promise<void> {
-  const turnOf = now();
+  const readAt = now();
   await endOfIteration();
-  await awaitPendingDisconnects(now, gone, turnOf);
+  await awaitPendingDisconnects(now, gone, readAt);
 }
--- a/packages/caller-presence/src/on-caller-left.ts
+++ b/packages/caller-presence/src/on-caller-left.ts
@@ -1,21 +1,21 @@
-/** The moment at which a caller has left, as early as the runtime can tell it. */
+/** Detects the disconnect of a caller as early as Node.js reports it. */
 import type { ServerResponse } from "node:http";
 
 /**
- * Calls `left` once if the caller goes before its answer is written. The end of its socket tells so one turn of the event
- * loop before the close of the response does.
+ * Calls `listener` once if the caller disconnects before the response is written. The socket's `end` event precedes
+ * the response's `close` event by one iteration of the event loop.
  */
-export function onCallerDisconnect(response: ServerResponse, left: () => void): void {
+export function onCallerDisconnect(response: ServerResponse, listener: () => void): void {
   const { socket } = response;
-  let done = false;
-  const leave = () => {
-    if (done || response.writableFinished) return;
-    done = true;
-    left();
+  let notified = false;
+  const notify = () => {
+    if (notified || response.writableFinished) return;
+    notified = true;
+    listener();
   };
-  socket?.once("end", leave);
+  socket?.once("end", notify);
   response.once("close", () => {
-    socket?.off("end", leave);
-    leave();
+    socket?.off("end", notify);
+    notify();
   });
 }
