--- a/packages/rendezvous/src/index.ts
+++ b/packages/rendezvous/src/index.ts
@@ -1,29 +1,29 @@
 /**
- * Rendezvous hashing: every box that knows the same nodes ranks them alike, and a node that goes
+ * Rendezvous hashing: boxes that know the same nodes rank them in the same order, and removing a node
  * moves only its own keys.
  */
 import murmurhash from "murmurhash";
 
-/** Names of nodes are hashed once; this many are kept. */
+/** The cache of node hashes is cleared at this size. */
 const maxCachedNodeHashes = 10_000;
 
 const nodeHashes = new Map<string, number>();
 
-/** A 32-bit hash of a text. */
+/** Computes the 32-bit MurmurHash3 of a text. */
 export function hash32(text: string, seed = 0): number {
   return murmurhash.v3(text, seed);
 }
 
 function cachedNodeHash(node: string): number {
-  const known = nodeHashes.get(node);
-  if (known !== undefined) return known;
+  const cached = nodeHashes.get(node);
+  if (cached !== undefined) return cached;
   if (nodeHashes.size >= maxCachedNodeHashes) nodeHashes.clear();
   const hash = hash32(node);
   nodeHashes.set(node, hash);
   return hash;
 }
 
-/** Spreads the bits of a number: the last step of MurmurHash3. */
+/** The finalizer of MurmurHash3, which mixes all bits of a number. */
 function finalizeHash(value: number): number {
   let mixed = value ^ (value >>> 16);
   mixed = Math.imul(mixed, 0x85ebca6b);
@@ -33,7 +33,7 @@
 }
 
 /**
- * How strongly a key is drawn to a node.
+ * Score of a node for a key; the node with the highest score ranks first.
  *
  * @param keyHash the key's {@link hash32}
  */
@@ -41,7 +41,7 @@
   return finalizeHash(keyHash ^ cachedNodeHash(node));
 }
 
-/** The nodes in the order of preference for `key`. Equal hashes are ordered by name. */
+/** Ranks the nodes for `key`, the preferred one first. Nodes with equal scores are ordered by name. */
 export function rankNodes(key: string, nodes: readonly string[]): readonly string[] {
   const keyHash = hash32(key);
   const scored = nodes.map((node) => ({ node, score: nodeScore(keyHash, node) }));
@@ -49,7 +49,7 @@
   return scored.map((entry) => entry.node);
 }
 
-/** The first `count` nodes for `key`. */
+/** Returns the `count` highest-ranked nodes for `key`, or all nodes in their given order if there are no more. */
 export function topNodes(key: string, nodes: readonly string[], count: number): readonly string[] {
   if (nodes.length <= count) return nodes;
   return rankNodes(key, nodes).slice(0, count);
