--- a/packages/demand-meter/src/index.ts
+++ b/packages/demand-meter/src/index.ts
@@ -1,12 +1,13 @@
-/** Measures demand by model, as an exponentially smoothed rate. */
+/** Measures the demand for each model as exponentially smoothed rates. */
 import type { Clock } from "@linkfall/kernel";
 import type { DemandSample, Milliseconds } from "@linkfall/types";
 
 const timeConstantMs: Milliseconds = 20_000;
 const millisecondsPerSecond = 1000;
-/** Rates under this are not worth passing on. */
+/** Models with a lower rate, in requests per second, are dropped. */
 const minReportedRate = 0.001;
 
+/** Totals that decay exponentially with time. */
 interface DecayingTotals {
   requests: number;
   tokens: number;
@@ -14,9 +15,9 @@
 }
 
 export interface DemandMeter {
-  /** Counts one request that asks for `tokens` output tokens. */
+  /** Records a request for up to `tokens` output tokens. */
   recordRequest(model: string, tokens: number): void;
-  /** This box's own demand. */
+  /** Current demand at this box, by model. */
   localDemand(): readonly DemandSample[];
 }
 
@@ -36,7 +37,7 @@
   };
 }
 
-/** Creates a meter that has seen nothing. */
+/** Creates a meter without any recorded requests. */
 export function createDemandMeter(clock: Clock): DemandMeter {
   const entries = new Map<string, DecayingTotals>();
   return {
@@ -62,16 +63,16 @@
   };
 }
 
-/** Each model's share of the tokens that are asked for, over all samples. */
+/** Computes each model's fraction of all requested tokens per second; empty if there are none. */
 export function demandShares(
   reports: readonly (readonly DemandSample[])[],
 ): ReadonlyMap<string, number> {
   const totals = new Map<string, number>();
-  let all = 0;
+  let totalTokens = 0;
   for (const sample of reports.flat()) {
     totals.set(sample.model, (totals.get(sample.model) ?? 0) + sample.tokensPerSecond);
-    all += sample.tokensPerSecond;
+    totalTokens += sample.tokensPerSecond;
   }
-  if (all === 0) return new Map();
-  return new Map([...totals].map(([model, tokens]) => [model, tokens / all]));
+  if (totalTokens === 0) return new Map();
+  return new Map([...totals].map(([model, tokens]) => [model, tokens / totalTokens]));
 }
--- a/packages/usage-report/src/index.ts
+++ b/packages/usage-report/src/index.ts
@@ -50,7 +50,9 @@
 }
 
 function toRates(meter: DemandMeter): readonly AccountRate[] {
-  return meter.localDemand().map(({ model, requestsPerSecond }) => ({ account: model, requestsPerSecond }));
+  return meter
+    .localDemand()
+    .map(({ model, requestsPerSecond }) => ({ account: model, requestsPerSecond }));
 }
 
 /** Creates the reports of one box; its life cycle is the reporting. */
@@ -103,7 +105,8 @@
       byBox.set(box, report);
       return report;
     };
-    for (const sample of models.localDemand()) of(holderOf(sample.model) ?? self).demand.push(sample);
+    for (const sample of models.localDemand())
+      of(holderOf(sample.model) ?? self).demand.push(sample);
     for (const rate of toRates(accounts)) of(homeOf(rate.account)).accounts.push(rate);
     return new Map([...byBox].map(([box, report]) => [box, { from: self, ...report }]));
   };
