--- a/packages/entry-box/src/accept-watch.ts
+++ b/packages/entry-box/src/accept-watch.ts
@@ -12,7 +12,7 @@
   connectionAccepted(): void;
 }
 
-export interface AcceptQueueMonitorInput {
+export interface AcceptQueueMonitorOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
@@ -22,8 +22,8 @@
 
 /** Connections accepted in consecutive iterations of the event loop. */
 interface AcceptBurst {
-  readonly since: Milliseconds;
-  lastAt: Milliseconds;
+  readonly startedAt: Milliseconds;
+  lastAcceptedAt: Milliseconds;
   lastIteration: number;
   connections: number;
   /** Shortest wait to log next; doubles with each logged line. */
@@ -39,7 +39,7 @@
   logger,
   metrics,
   loopIterations,
-}: AcceptQueueMonitorInput): AcceptQueueMonitor {
+}: AcceptQueueMonitorOptions): AcceptQueueMonitor {
   let burst: AcceptBurst | undefined;
 
   const logLongWait = (current: AcceptBurst, waitedMs: Milliseconds) => {
@@ -57,17 +57,17 @@
       const iteration = loopIterations();
       if (burst === undefined || iteration > burst.lastIteration + 1) {
         burst = {
-          since: now,
-          lastAt: now,
+          startedAt: now,
+          lastAcceptedAt: now,
           lastIteration: iteration,
           connections: 1,
           logThresholdMs: minLoggedWaitMs,
         };
         return;
       }
-      const iterationMs = now - burst.lastAt;
-      const waitedMs = now - burst.since;
-      burst.lastAt = now;
+      const iterationMs = now - burst.lastAcceptedAt;
+      const waitedMs = now - burst.startedAt;
+      burst.lastAcceptedAt = now;
       burst.lastIteration = iteration;
       burst.connections += 1;
       metrics.observe(
--- a/packages/entry-box/src/box-runtime.ts
+++ b/packages/entry-box/src/box-runtime.ts
@@ -8,14 +8,14 @@
 import type { Incarnation } from "@linkfall/types";
 import { type ActivityMonitor, createActivityMonitor } from "./activity.js";
 import type { EntryBoxPorts } from "./box-ports.js";
-import { createPlannedStop, type PlannedStop } from "./planned-stop.js";
+import { createGracefulShutdown, type GracefulShutdown } from "./planned-stop.js";
 
 export interface BoxRuntime {
   readonly kernel: Kernel;
   readonly settings: EntrySettings;
   readonly ports: EntryBoxPorts;
   readonly incarnation: Incarnation;
-  readonly stop: PlannedStop;
+  readonly shutdown: GracefulShutdown;
   readonly demand: DemandMeter;
   readonly activity: ActivityMonitor;
   readonly peerClient: PeerClient;
@@ -35,7 +35,7 @@
     settings,
     ports,
     incarnation: `${settings.box.name}@${random.identifier()}`,
-    stop: createPlannedStop(clock, settings),
+    shutdown: createGracefulShutdown(clock, settings),
     demand: createDemandMeter(clock),
     activity: kernel.provide({ name: "activity" }, activity, activity),
     peerClient: createPeerClient(clock, settings.peers.call_ms),
--- a/packages/entry-box/src/create-entry-box.ts
+++ b/packages/entry-box/src/create-entry-box.ts
@@ -56,7 +56,7 @@
 
 /** Registers the services in the order of their dependencies; returns the server that callers connect to. */
 function provideServices(runtime: BoxRuntime): Front {
-  const { kernel, settings, ports, stop } = runtime;
+  const { kernel, settings, ports, shutdown: stop } = runtime;
   const holderView: LeaseHolderView = { reachesMajority: false, weightsExpectedAt: new Map() };
   const fleet = provideFleet(runtime);
   provideCrashBlame(runtime);
@@ -85,7 +85,7 @@
     now: ports.clock.now,
     onConnection: createAcceptQueueMonitor({ ...ports, metrics }).connectionAccepted,
     limits: () => feed.inForce()?.configuration.limits,
-    isClosing: stop.begun,
+    isClosing: stop.hasBegun,
     handle(request) {
       runtime.activity.recordRequest();
       return handleRequest(context, request);
@@ -117,7 +117,7 @@
 /** Creates a box that does nothing until it is started. */
 export function createEntryBox(settings: EntrySettings, ports: EntryBoxPorts): EntryBox {
   const runtime = createBoxRuntime(settings, ports);
-  const { kernel, incarnation, stop, peerClient } = runtime;
+  const { kernel, incarnation, shutdown: stop, peerClient } = runtime;
   const { logger } = ports;
   const front = provideServices(runtime);
   const feed = kernel.find(desiredFeedName);
@@ -132,7 +132,7 @@
   registerGauges(runtime, front);
   const blame = kernel.find(crashBlameName);
   const heldStore = kernel.find(heldStoreName);
-  const ready = () => feed.ready() && heldStore.ready() && !stop.begun();
+  const ready = () => feed.ready() && heldStore.ready() && !stop.hasBegun();
 
   return {
     async start() {
@@ -142,7 +142,7 @@
       await front.listen();
       await kernel.start();
       const self = { box: settings.box.name, peerAddress: settings.box.peer_address };
-      void followRegistry(ports, ports.boxStream, self, peers, stop.begun);
+      void followRegistry(ports, ports.boxStream, self, peers, stop.hasBegun);
       announceReady(runtime, feed);
     },
     async drain() {
--- a/packages/entry-box/src/forward-context.ts
+++ b/packages/entry-box/src/forward-context.ts
@@ -79,7 +79,7 @@
     waiter,
     domain: settings.box.domain,
     tellOfWait: createDemandAnnouncer(runtime),
-    takes: runtime.stop.accepts,
+    takes: runtime.shutdown.accepts,
     boxes: () => countBoxesWithCallers(runtime),
     expectedWeightsMs: receiver.expectedWeightsMs,
     budget: createRetryBudget(clock, {
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -16,7 +16,7 @@
 import { respondLocally, type FrontRequest } from "./front.js";
 import { identify } from "./identify.js";
 
-export interface HandleContext {
+export interface RequestContext {
   /** Whether the box has loaded the state it needs to serve requests. */
   ready(): boolean;
   readonly feed: DesiredFeed;
@@ -69,7 +69,7 @@
 }
 
 function recordEnd(
-  context: HandleContext,
+  context: RequestContext,
   request: ForwardedRequest,
   end: RequestEnd,
   units: number | undefined,
@@ -106,7 +106,7 @@
 }
 
 /** Handles one request under the configuration in force when it arrives. */
-export async function handleRequest(context: HandleContext, request: FrontRequest): Promise<void> {
+export async function handleRequest(context: RequestContext, request: FrontRequest): Promise<void> {
   const { feed, codec, forward } = context;
   const terms = codec.readTerms(request.headers);
   const reject = (status: number, why: string, retryAfterMs?: Milliseconds, more?: object) => {
--- a/packages/entry-box/src/loop-watch.ts
+++ b/packages/entry-box/src/loop-watch.ts
@@ -7,7 +7,7 @@
 import type { Metrics } from "@linkfall/metrics";
 import type { Milliseconds } from "@linkfall/types";
 
-export interface EventLoopMonitorInput {
+export interface EventLoopMonitorOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
@@ -19,7 +19,7 @@
 const minLoggedDelayMs: Milliseconds = 100;
 
 /** Wraps a clock and monitors its timers. Each blocked period is logged once, regardless of how many timers it delays. */
-export function monitorEventLoop({ clock, logger, metrics }: EventLoopMonitorInput): Clock {
+export function monitorEventLoop({ clock, logger, metrics }: EventLoopMonitorOptions): Clock {
   let lastLoggedAt: Milliseconds = -Infinity;
 
   const recordDelay = (dueAt: Milliseconds) => {
--- a/packages/entry-box/src/own-profile.ts
+++ b/packages/entry-box/src/own-profile.ts
@@ -7,7 +7,7 @@
   kernel,
   settings,
   incarnation,
-  stop,
+  shutdown: stop,
   activity,
 }: BoxRuntime): BoxProfile {
   const { box } = settings;
@@ -19,8 +19,8 @@
     peerAddress: box.peer_address,
     domain: box.domain,
     capacity: box.processor_share * box.processor_speed,
-    ready: feed.ready() && !stop.begun(),
-    leaving: stop.begun(),
+    ready: feed.ready() && !stop.hasBegun(),
+    leaving: stop.hasBegun(),
     strained: activity.strained(),
     takesRequests: activity.takesRequests(),
     reading: feed.reading(),
--- a/packages/entry-box/src/planned-stop.ts
+++ b/packages/entry-box/src/planned-stop.ts
@@ -4,9 +4,9 @@
 import type { Milliseconds, Route } from "@linkfall/types";
 import type { Front } from "./front.js";
 
-export interface PlannedStop {
+export interface GracefulShutdown {
   begin(): void;
-  begun(): boolean;
+  hasBegun(): boolean;
   /** Whether a request of the route can still finish before the process has to exit. */
   accepts(route: Pick<Route, "streaming" | "objectiveMs">): boolean;
   /** Resolves when the process may exit. */
@@ -24,10 +24,10 @@
  * event and their duration is unknown. */
 const streamAdmissionFraction = 0.3;
 
-export function createPlannedStop(
+export function createGracefulShutdown(
   clock: Clock,
   settings: Pick<EntrySettings, "callers" | "stop">,
-): PlannedStop {
+): GracefulShutdown {
   let beganAt: Milliseconds | undefined;
   const lifetimeMs = settings.callers.entries_lifetime_ms;
   const graceMs = settings.stop.grace_ms;
@@ -37,7 +37,7 @@
     begin() {
       beganAt ??= clock.now();
     },
-    begun: () => beganAt !== undefined,
+    hasBegun: () => beganAt !== undefined,
     accepts({ streaming, objectiveMs }) {
       if (beganAt === undefined) return true;
       if (streaming && elapsedMs() > graceMs * streamAdmissionFraction) return false;
