--- a/packages/entry-box/src/account-admission.ts
+++ b/packages/entry-box/src/account-admission.ts
@@ -3,6 +3,7 @@
 import type { ForwardedRequest, RequestEnd } from "@linkfall/forwarding";
 import type { ClientAccount, Milliseconds, RequestTerms } from "@linkfall/types";
 
+/** Result of charging a request to its account. */
 export type AccountAdmission =
   /** `use` is what was charged; absent if the account has no limit. */
   | { readonly kind: "admitted"; readonly use?: QuotaUse }
--- a/packages/entry-box/src/box-loads.ts
+++ b/packages/entry-box/src/box-loads.ts
@@ -4,6 +4,7 @@
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { Milliseconds } from "@linkfall/types";
 
+/** Load by target id. */
 export type LoadByTarget = Readonly<Record<string, TargetLoad>>;
 
 /** This box's load on each target; targets without load are omitted. */
--- a/packages/entry-box/src/box-registry.ts
+++ b/packages/entry-box/src/box-registry.ts
@@ -10,14 +10,14 @@
 /** Interval between reads of the registry in a full mesh. */
 const meshPollIntervalMs: Milliseconds = 15_000;
 /** Interval between reads while the lease holder reports all boxes. */
-const hubPollIntervalMs: Milliseconds = 60_000;
+const slowPollIntervalMs: Milliseconds = 60_000;
 
 /** Keys come from other writers; log lines show at most this many characters. */
-const maxLoggedKeyLength = 64;
+const maxKeyLength = 64;
 
 /** Returns undefined if the value is not an address. */
-function parseAddress(box: string, text: string): BoxAddress | undefined {
-  return isEndpoint(text) ? { box, peerAddress: text } : undefined;
+function parseAddress(box: string, value: string): BoxAddress | undefined {
+  return isEndpoint(value) ? { box, peerAddress: value } : undefined;
 }
 
 /** Registers this box and adds the other registered boxes to the peers until `stopped` returns true. */
@@ -39,12 +39,12 @@
         if (address) peers.addPeer(address);
         else
           logger.event("badRecord", {
-            key: key.slice(0, maxLoggedKeyLength),
+            key: key.slice(0, maxKeyLength),
             problem: "no address",
           });
       }
     });
-    const pollIntervalMs = peers.isFullMesh() ? meshPollIntervalMs : hubPollIntervalMs;
+    const pollIntervalMs = peers.isFullMesh() ? meshPollIntervalMs : slowPollIntervalMs;
     await sleep(clock, registered && read.isRight() ? pollIntervalMs : retryDelayMs);
   }
 }
--- a/packages/entry-box/src/create-entry-box.ts
+++ b/packages/entry-box/src/create-entry-box.ts
@@ -24,7 +24,7 @@
 import { createHeartbeatSource } from "./heartbeat-source.js";
 import { type LeaseHolderView, receiveHeartbeats } from "./heartbeat-receiver.js";
 import { ownProfile } from "./own-profile.js";
-import { createSettingsUpdater, addSeeds } from "./settings-update.js";
+import { addSeeds, createSettingsUpdater } from "./settings-update.js";
 
 /** Box addresses for callers and the time for which they may be cached. */
 export interface EntryAddresses {
@@ -56,7 +56,7 @@
 
 /** Registers the services in the order of their dependencies; returns the server that callers connect to. */
 function provideServices(runtime: BoxRuntime): Front {
-  const { kernel, settings, ports, shutdown: stop } = runtime;
+  const { kernel, settings, ports, shutdown } = runtime;
   const holderView: LeaseHolderView = { reachesMajority: false, weightsExpectedAt: new Map() };
   const fleet = provideFleet(runtime);
   provideCrashBlame(runtime);
@@ -85,7 +85,7 @@
     now: ports.clock.now,
     onConnection: createAcceptQueueMonitor({ ...ports, metrics }).connectionAccepted,
     limits: () => feed.inForce()?.configuration.limits,
-    isClosing: stop.hasBegun,
+    isClosing: shutdown.hasBegun,
     handle(request) {
       runtime.activity.recordRequest();
       return handleRequest(context, request);
@@ -117,7 +117,7 @@
 /** Creates a box that does nothing until it is started. */
 export function createEntryBox(settings: EntrySettings, ports: EntryBoxPorts): EntryBox {
   const runtime = createBoxRuntime(settings, ports);
-  const { kernel, incarnation, shutdown: stop, peerClient } = runtime;
+  const { kernel, incarnation, shutdown, peerClient } = runtime;
   const { logger } = ports;
   const front = provideServices(runtime);
   const feed = kernel.find(desiredFeedName);
@@ -132,7 +132,7 @@
   registerGauges(runtime, front);
   const blame = kernel.find(crashBlameName);
   const heldStore = kernel.find(heldStoreName);
-  const ready = () => feed.ready() && heldStore.ready() && !stop.hasBegun();
+  const ready = () => feed.ready() && heldStore.ready() && !shutdown.hasBegun();
 
   return {
     async start() {
@@ -142,15 +142,15 @@
       await front.listen();
       await kernel.start();
       const self = { box: settings.box.name, peerAddress: settings.box.peer_address };
-      void followRegistry(ports, ports.boxStream, self, peers, stop.hasBegun);
+      void followRegistry(ports, ports.boxStream, self, peers, shutdown.hasBegun);
       announceReady(runtime, feed);
     },
     async drain() {
       logger.event("boxDraining", { inFlight: front.openRequests() });
-      stop.begin();
+      shutdown.begin();
       peers.sendHeartbeats();
       void lease.release();
-      await stop.finish(front);
+      await shutdown.finish(front);
       logger.event("boxStopped", { inFlight: front.openRequests() });
       front.closeAll();
       await kernel.stop();
--- a/packages/entry-box/src/forward-context.ts
+++ b/packages/entry-box/src/forward-context.ts
@@ -54,6 +54,7 @@
   return waiter;
 }
 
+/** Creates the context in which this box forwards requests. */
 export function createForwardContext(
   runtime: BoxRuntime,
   waiter: ChangeWaiter,
--- a/packages/entry-box/src/front.ts
+++ b/packages/entry-box/src/front.ts
@@ -74,22 +74,22 @@
 }
 
 /** Creates the server; it does not listen until `listen` is called. */
-export function createFront(input: FrontOptions): Front {
+export function createFront(options: FrontOptions): Front {
   let openRequests = 0;
-  let lastRequestAt = input.now();
+  let lastRequestAt = options.now();
 
   const serve = async (message: IncomingMessage, response: ServerResponse) => {
-    const arrivedAt = input.now();
+    const arrivedAt = options.now();
     lastRequestAt = arrivedAt;
-    const limits = input.limits() ?? defaultLimits;
+    const limits = options.limits() ?? defaultLimits;
     applyLimits(server, limits);
-    const sink = createAnswerSink(response, input.isClosing);
+    const sink = createAnswerSink(response, options.isClosing);
     const path = message.url ?? "";
     if (!path.startsWith("/")) return rejectUnread(response, 400);
     const body = await readBody(message, limits.maxBodyBytes);
     if (body.kind === "too_large") return rejectUnread(response, 413);
     if (body.kind === "aborted") return;
-    await input.handle({
+    await options.handle({
       method: message.method ?? "GET",
       path,
       host: message.headers.host ?? "",
@@ -101,7 +101,10 @@
   };
 
   const server = createServer(
-    { maxHeaderSize: input.maxHeaderBytes, connectionsCheckingInterval: connectionCheckIntervalMs },
+    {
+      maxHeaderSize: options.maxHeaderBytes,
+      connectionsCheckingInterval: connectionCheckIntervalMs,
+    },
     (message, response) => {
       openRequests += 1;
       void serve(message, response).finally(() => void (openRequests -= 1));
@@ -110,21 +113,21 @@
   server.requestTimeout = 0;
   applyLimits(server, defaultLimits);
   server.on("clientError", rejectMalformed);
-  server.on("connection", input.onConnection);
+  server.on("connection", options.onConnection);
 
-  const separator = input.address.lastIndexOf(":");
+  const separator = options.address.lastIndexOf(":");
   return {
     listen: () =>
       new Promise((resolve, reject) => {
         server.once("error", reject);
         server.listen(
-          Number(input.address.slice(separator + 1)),
-          input.address.slice(0, separator),
+          Number(options.address.slice(separator + 1)),
+          options.address.slice(0, separator),
           resolve,
         );
       }),
     openRequests: () => openRequests,
-    idleMs: () => input.now() - lastRequestAt,
+    idleMs: () => options.now() - lastRequestAt,
     close() {
       server.close();
       server.closeIdleConnections();
--- a/packages/entry-box/src/gauges.ts
+++ b/packages/entry-box/src/gauges.ts
@@ -9,6 +9,7 @@
 
 const millisecondsPerSecond = 1000;
 
+/** Registers the gauges, which are read when the metrics are scraped. */
 export function registerGauges({ kernel, ports }: BoxRuntime, front: Front): void {
   const metrics = kernel.find(metricsName);
   const feed = kernel.find(desiredFeedName);
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -28,7 +28,7 @@
   accountLabel(account: string | undefined): string;
 }
 
-const notReadyRetryAfterMs: Milliseconds = 500;
+const notReadyRetryMs: Milliseconds = 500;
 const overLimitStatus = 429;
 
 /** Computes the fingerprint on first use, since most requests never need it. */
@@ -109,16 +109,15 @@
 export async function handleRequest(context: RequestContext, request: FrontRequest): Promise<void> {
   const { feed, codec, forward } = context;
   const terms = codec.readTerms(request.headers);
-  const reject = (status: number, why: string, retryAfterMs?: Milliseconds, more?: object) => {
+  const reject = (status: number, why: string, retryAfterMs?: Milliseconds, details?: object) => {
     const { path } = request;
-    forward.logger.event("requestRejected", { request: terms.id, status, why, path, ...more });
+    forward.logger.event("requestRejected", { request: terms.id, status, why, path, ...details });
     respondLocally(request.sink, status, retryAfterMs);
   };
   const unreadable = codec.unreadable(request.headers);
   if (unreadable !== undefined) return reject(400, unreadable);
   const inForce = feed.inForce();
-  if (!inForce || !context.ready())
-    return reject(503, "no configuration yet", notReadyRetryAfterMs);
+  if (!inForce || !context.ready()) return reject(503, "no configuration yet", notReadyRetryMs);
   const route = inForce.routes.find(request.host, request.path);
   if (!route) return reject(404, `no route in version ${inForce.configuration.version}`);
   const { version } = inForce.configuration;
@@ -127,16 +126,21 @@
     return reject(401, caller.why, undefined, { version, key: caller.fingerprint });
   }
   const forwarded = toForwardedRequest(request, terms, route, caller.account, inForce);
-  if (!forwarded) return reject(503, "no such service", notReadyRetryAfterMs);
+  if (!forwarded) return reject(503, "no such service", notReadyRetryMs);
   const admission = await admitToQuota(context.quota, caller.account, terms, version);
   if (admission.kind === "refused") {
-    const more = { account: forwarded.account, version, retryAfterMs: admission.retryAfterMs };
+    const details = { account: forwarded.account, version, retryAfterMs: admission.retryAfterMs };
     context.metrics.count(
       "linkfall_account_refusals_total",
       "Requests rejected by their account's limit; accounts beyond the first 64 share a series.",
       { account: context.accountLabel(forwarded.account) },
     );
-    return reject(overLimitStatus, "the account's limit is used up", admission.retryAfterMs, more);
+    return reject(
+      overLimitStatus,
+      "the account's limit is used up",
+      admission.retryAfterMs,
+      details,
+    );
   }
   const end = await forwardRequest(forward, forwarded);
   settleQuota(context.quota, admission.use, forwarded, end);
--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -25,6 +25,7 @@
 
 /** State received in the lease holder's reports. */
 export interface LeaseHolderView {
+  /** Position in the lease holder's reports. */
   followed?: ReportPosition;
   /** Whether the lease holder receives heartbeats from a majority of boxes. */
   reachesMajority: boolean;
@@ -40,9 +41,9 @@
   const lease = kernel.find(orderLeaseName);
   if (lease.epoch() !== undefined) return true;
   const holder = lease.known()?.holder;
-  const heardMs =
+  const silentMs =
     holder === undefined ? undefined : kernel.find(peersName).sinceHeartbeatMs(holder);
-  return heardMs !== undefined && heardMs < settings.peers.suspect_ms;
+  return silentMs !== undefined && silentMs < settings.peers.suspect_ms;
 }
 
 /** Fetches the configuration from a box that has a newer version, one fetch at a time. */
--- a/packages/entry-box/src/heartbeat-source.ts
+++ b/packages/entry-box/src/heartbeat-source.ts
@@ -18,13 +18,12 @@
 import { targetLimitsName } from "./provide-limits.js";
 import { createReportBuilder } from "./holder-report.js";
 
-/** Target changes read by this box, for a recipient that cannot read them from the store itself. */
-function targetChangesFor({ kernel }: BoxRuntime, recipient: BoxStatus): TargetChanges | undefined {
+/** Target changes read by this box, for a peer that cannot read them from the store itself. */
+function targetChangesFor({ kernel }: BoxRuntime, peer: BoxStatus): TargetChanges | undefined {
   const feed = kernel.find(desiredFeedName);
-  if (recipient.reading && recipient.reachesStore) return undefined;
-  if (!feed.ready() || !feed.reading() || recipient.targetsEnd >= feed.targetsEnd())
-    return undefined;
-  return feed.targetsSince(recipient.targetsEnd);
+  if (peer.reading && peer.reachesStore) return undefined;
+  if (!feed.ready() || !feed.reading() || peer.targetsEnd >= feed.targetsEnd()) return undefined;
+  return feed.targetsSince(peer.targetsEnd);
 }
 
 /** Records of requests that crash targets, as far as the recipient lacks them. */
--- a/packages/entry-box/src/holder-report.ts
+++ b/packages/entry-box/src/holder-report.ts
@@ -15,6 +15,7 @@
 import type { BoxRuntime } from "./box-runtime.js";
 import { reachesMajority } from "./connected.js";
 
+/** Builds the report for one box; `recipient` is undefined for a box that has not sent a heartbeat yet. */
 export type ReportBuilder = (recipient?: BoxStatus) => LeaseHolderReport;
 
 /** Minimum interval between refreshes of members and loads, independent of the number of boxes. */
@@ -40,6 +41,7 @@
   return mutableFields.every((field) => left[field] === right[field]);
 }
 
+/** Creates a builder of reports; it tracks changes across all recipients. */
 export function createReportBuilder({ kernel, ports, incarnation }: BoxRuntime): ReportBuilder {
   const engines = createChangeTracker(isSameEngine);
   const members = createChangeTracker(isSameMember);
@@ -63,7 +65,7 @@
   };
 
   /** Members and loads for a recipient that is not part of a full mesh. */
-  const boxChangesFor = (
+  const memberChangesFor = (
     known: ReportPosition | undefined,
     recipient?: BoxStatus,
   ): { members?: readonly Sighting[]; othersLoads?: LoadByTarget } => {
@@ -79,10 +81,10 @@
     const followed = recipient?.followed;
     const known = followed?.holder === incarnation ? followed : undefined;
     refreshEngines();
-    const boxChanges = boxChangesFor(known, recipient);
+    const memberChanges = memberChangesFor(known, recipient);
     return {
       engines: engines.changedAfter(known?.engines ?? 0),
-      ...boxChanges,
+      ...memberChanges,
       followed: {
         holder: incarnation,
         engines: engines.latestNumber(),
--- a/packages/entry-box/src/identify.ts
+++ b/packages/entry-box/src/identify.ts
@@ -2,6 +2,7 @@
 import { fingerprint, type KeyTable } from "@linkfall/account-keys";
 import type { ClientAccount, Route } from "@linkfall/types";
 
+/** Result of the authentication of a request. */
 export type CallerIdentity =
   /** The account is absent if the route allows anonymous requests and no key was sent. */
   | { readonly kind: "known"; readonly account?: ClientAccount }
--- a/packages/entry-box/src/limit-parts.ts
+++ b/packages/entry-box/src/limit-parts.ts
@@ -46,12 +46,12 @@
 function computeLimitShares(runtime: BoxRuntime): LimitShares {
   const peers = runtime.kernel.find(peersName);
   const own = ownProfile(runtime);
-  const known = peers.sightings();
-  const shares = limitSharesOf([own, ...known]);
+  const others = peers.sightings();
+  const shares = limitSharesOf([own, ...others]);
   const shareOf = (box: ShareOwner) => shares.get(box.peerAddress) ?? 0;
-  const silent = known.filter((box) => box.silent && !box.leaving);
+  const silent = others.filter((box) => box.silent && !box.leaving);
   return {
-    own: (known.length + 1) * 2 > peers.maxKnownBoxes() ? shareOf(own) : minorityShare,
+    own: (others.length + 1) * 2 > peers.maxKnownBoxes() ? shareOf(own) : minorityShare,
     silent: silent.reduce((sum, box) => sum + shareOf(box), 0),
   };
 }
--- a/packages/entry-box/src/own-profile.ts
+++ b/packages/entry-box/src/own-profile.ts
@@ -3,11 +3,12 @@
 import { desiredFeedName } from "@linkfall/desired-feed";
 import type { BoxRuntime } from "./box-runtime.js";
 
+/** Creates the current profile of this box. */
 export function ownProfile({
   kernel,
   settings,
   incarnation,
-  shutdown: stop,
+  shutdown,
   activity,
 }: BoxRuntime): BoxProfile {
   const { box } = settings;
@@ -19,8 +20,8 @@
     peerAddress: box.peer_address,
     domain: box.domain,
     capacity: box.processor_share * box.processor_speed,
-    ready: feed.ready() && !stop.hasBegun(),
-    leaving: stop.hasBegun(),
+    ready: feed.ready() && !shutdown.hasBegun(),
+    leaving: shutdown.hasBegun(),
     strained: activity.strained(),
     takesRequests: activity.takesRequests(),
     reading: feed.reading(),
--- a/packages/entry-box/src/planned-stop.steps.ts
+++ b/packages/entry-box/src/planned-stop.steps.ts
@@ -5,7 +5,7 @@
 
 interface Scene {
   readonly clock: VirtualClock;
-  readonly stop: GracefulShutdown;
+  readonly shutdown: GracefulShutdown;
   readonly startedAt: number;
 }
 
@@ -19,16 +19,16 @@
 
 Given("a shutdown with a grace period of {int} ms", function (this: object, graceMs: number) {
   const clock = createVirtualClock();
-  const stop = createGracefulShutdown(clock, {
+  const shutdown = createGracefulShutdown(clock, {
     callers: { max_header_bytes: 1_024, entries_lifetime_ms: 1_500 },
     stop: { grace_ms: graceMs },
   });
-  scenes.set(this, { clock, stop, startedAt: clock.now() });
+  scenes.set(this, { clock, shutdown, startedAt: clock.now() });
 });
 
 When("the shutdown began {int} ms ago", async function (this: object, ms: number) {
-  const { clock, stop, startedAt } = sceneOf(this);
-  stop.begin();
+  const { clock, shutdown, startedAt } = sceneOf(this);
+  shutdown.begin();
   await clock.runUntil(startedAt + ms);
 });
 
@@ -36,6 +36,6 @@
   /^an? (stream|answer) with an objective of (\d+) ms is (taken|not taken)$/,
   function (this: object, kind: string, objectiveMs: string, outcome: string) {
     const route = { streaming: kind === "stream", objectiveMs: Number(objectiveMs) };
-    assert.equal(sceneOf(this).stop.accepts(route), outcome === "taken");
+    assert.equal(sceneOf(this).shutdown.accepts(route), outcome === "taken");
   },
 );
--- a/packages/entry-box/src/planned-stop.ts
+++ b/packages/entry-box/src/planned-stop.ts
@@ -5,6 +5,7 @@
 import type { Front } from "./front.js";
 
 export interface GracefulShutdown {
+  /** Starts the grace period; further calls have no effect. */
   begin(): void;
   hasBegun(): boolean;
   /** Whether a request of the route can still finish before the process has to exit. */
@@ -15,7 +16,7 @@
 
 /** Part of the grace period reserved for the process to exit. */
 const exitReserveMs: Milliseconds = 500;
-const pollIntervalMs: Milliseconds = 50;
+const pollMs: Milliseconds = 50;
 /** Some callers cache addresses this many times longer than their lifetime. */
 const staleAddressFactor = 3;
 /** A response without streaming is expected within this many times its route's objective. */
@@ -31,7 +32,7 @@
   let beganAt: Milliseconds | undefined;
   const lifetimeMs = settings.callers.entries_lifetime_ms;
   const graceMs = settings.stop.grace_ms;
-  const finishLimitMs = graceMs - exitReserveMs;
+  const finishMs = graceMs - exitReserveMs;
   const elapsedMs = () => (beganAt === undefined ? 0 : clock.now() - beganAt);
   return {
     begin() {
@@ -41,17 +42,16 @@
     accepts({ streaming, objectiveMs }) {
       if (beganAt === undefined) return true;
       if (streaming && elapsedMs() > graceMs * streamAdmissionFraction) return false;
-      return finishLimitMs - elapsedMs() > objectiveMs * maxObjectivesPerAnswer;
+      return finishMs - elapsedMs() > objectiveMs * maxObjectivesPerAnswer;
     },
     async finish(front) {
       // Callers that cached this address may still connect until it expires.
-      const listenMs = Math.min(lifetimeMs * staleAddressFactor, finishLimitMs / 2);
+      const listenMs = Math.min(lifetimeMs * staleAddressFactor, finishMs / 2);
       while (elapsedMs() < listenMs && (elapsedMs() < lifetimeMs || front.idleMs() < lifetimeMs)) {
-        await sleep(clock, pollIntervalMs);
+        await sleep(clock, pollMs);
       }
       front.close();
-      while (front.openRequests() > 0 && elapsedMs() < finishLimitMs)
-        await sleep(clock, pollIntervalMs);
+      while (front.openRequests() > 0 && elapsedMs() < finishMs) await sleep(clock, pollMs);
     },
   };
 }
--- a/packages/entry-box/src/provide-blame.ts
+++ b/packages/entry-box/src/provide-blame.ts
@@ -14,6 +14,7 @@
 
 export const heldStoreName = serviceName<HeldStore>("held-store");
 
+/** Registers the records of requests that crash targets, and the store that persists them. */
 export function provideCrashBlame(runtime: BoxRuntime): CrashBlame {
   const { kernel, ports } = runtime;
   const { clock, logger, heldStream } = ports;
--- a/packages/entry-box/src/provide-limits.ts
+++ b/packages/entry-box/src/provide-limits.ts
@@ -18,6 +18,7 @@
   else ports.logger.event("targetLimited", { target, perSecond, source });
 }
 
+/** Registers the rate limits of targets, with logging of changes and a metric. */
 export function provideTargetLimits(
   runtime: BoxRuntime,
   holderView: LeaseHolderView,
--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -39,6 +39,7 @@
   };
 }
 
+/** Registers the lease that permits one box at a time to send orders. */
 export function provideOrderLease(runtime: BoxRuntime): OrderLease {
   const { kernel, settings, ports, incarnation } = runtime;
   const peers = leasePeers(runtime, kernel.find(peersName));
@@ -52,6 +53,7 @@
   return kernel.provide(orderLeaseName, lease, lease);
 }
 
+/** Registers the service that sends orders to engines while this box holds the lease. */
 export function provideOrderDispatcher({
   kernel,
   settings,
--- a/packages/entry-box/src/provide-quota.ts
+++ b/packages/entry-box/src/provide-quota.ts
@@ -12,6 +12,7 @@
 const shareDigits = 3;
 const rounded = (share: number) => Number(share.toFixed(shareDigits));
 
+/** Registers the rate limits of client accounts. */
 export function provideAccountQuota(
   runtime: BoxRuntime,
   holderView: LeaseHolderView,
--- a/packages/entry-box/src/provide-state.ts
+++ b/packages/entry-box/src/provide-state.ts
@@ -14,6 +14,7 @@
 const batchingFraction = 0.3;
 const lapseCheckIntervalMs: Milliseconds = 250;
 
+/** Registers this box's view of the targets. */
 export function provideFleet({ kernel, settings }: BoxRuntime): Fleet {
   const { targets } = settings;
   const fleet = createFleet(kernel, {
@@ -27,6 +28,7 @@
   return kernel.provide(fleetName, fleet);
 }
 
+/** Registers the feed of configuration and targets, and the periodic expiry of lapsed targets. */
 export function provideFeed(runtime: BoxRuntime, fleet: Fleet): DesiredFeed {
   const { kernel, settings, ports } = runtime;
   const { store, targets } = settings;
@@ -53,6 +55,7 @@
   return kernel.provide(desiredFeedName, feed, feed);
 }
 
+/** Registers the membership of other boxes. */
 export function providePeers(
   { kernel, settings, peerClient }: BoxRuntime,
   source: HeartbeatSource,
--- a/packages/entry-box/src/settings-update.ts
+++ b/packages/entry-box/src/settings-update.ts
@@ -26,7 +26,7 @@
   };
 }
 
-/** Adds the addresses of boxes that may be running; their names become known with their first heartbeat. */
+/** Adds the addresses of boxes that may be running; their first heartbeat supplies their names. */
 export function addSeeds(peers: Pick<Peers, "addPeer">, addresses: readonly string[]): void {
   for (const peerAddress of addresses) peers.addPeer({ box: "seed", peerAddress });
 }
