--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -242,9 +242,9 @@
     isolated,
     readProgress: log.readProgress,
     pollLaggingPeers(offset) {
-      for (const { incarnation: start, summary: word } of summaries.all()) {
-        const address = table.find(start)?.entry.peerAddress;
-        if (address !== undefined && word.offset < offset) void exchange.sendHeartbeat(address);
+      for (const { incarnation: peer, summary } of summaries.all()) {
+        const address = table.find(peer)?.entry.peerAddress;
+        if (address !== undefined && summary.offset < offset) void exchange.sendHeartbeat(address);
       }
     },
     receive: exchange.receive,
