--- a/packages/peer-grpc/src/convert.ts
+++ b/packages/peer-grpc/src/convert.ts
@@ -64,7 +64,7 @@
   return { from: report.from, demand: [...report.demand], accounts: [...report.accounts] };
 }
 
-/** @throws IncompleteMessage */
+/** @throws IncompleteMessageError */
 export function fromBeatRequest(message: BeatRequest): Heartbeat {
   return {
     from: requireField(message.from, "from"),
@@ -78,7 +78,7 @@
   return { ...toBeatRequest(reply), records: reply.records.map((record) => ({ ...record })) };
 }
 
-/** @throws IncompleteMessage */
+/** @throws IncompleteMessageError */
 export function fromBeatReply(message: BeatReply): HeartbeatReply {
   return { ...fromBeatRequest(message), records: message.records };
 }
@@ -132,7 +132,7 @@
   };
 }
 
-/** @throws IncompleteMessage */
+/** @throws IncompleteMessageError */
 export function fromReportsReply(message: ReportsReplyMessage): ReportsReply {
   return { from: message.from, reports: message.reports.map(toRelayedReport) };
 }
--- a/packages/peer-grpc/src/peer-client.ts
+++ b/packages/peer-grpc/src/peer-client.ts
@@ -45,6 +45,7 @@
   lastUsedAt: Milliseconds;
 }
 
+/** A peer client that owns its connections. */
 export interface PeerGrpcClient extends PeerPort {
   close(): void;
 }
--- a/packages/peer-grpc/src/peer-server.ts
+++ b/packages/peer-grpc/src/peer-server.ts
@@ -56,7 +56,7 @@
 /**
  * Handles one message and returns its answer.
  *
- * @throws IncompleteMessage
+ * @throws IncompleteMessageError
  */
 function handleAsk(handler: PeerHandler, body: Ask["body"]): Answer["body"] {
   return match(body)
--- a/packages/peer-grpc/src/peer-tls.ts
+++ b/packages/peer-grpc/src/peer-tls.ts
@@ -9,6 +9,7 @@
   readonly ca: string;
 }
 
+/** Credentials of the client side; insecure without `tls`. */
 export function clientCredentials(tls?: PeerTls): ChannelCredentials {
   if (!tls) return ChannelCredentials.createInsecure();
   return ChannelCredentials.createSsl(
@@ -18,6 +19,7 @@
   );
 }
 
+/** Credentials of the server side, which require a client certificate; insecure without `tls`. */
 export function serverCredentials(tls?: PeerTls): ServerCredentials {
   if (!tls) return ServerCredentials.createInsecure();
   const pair = { private_key: Buffer.from(tls.key), cert_chain: Buffer.from(tls.cert) };
