--- a/packages/box-peers/src/box-peers.steps.ts
+++ b/packages/box-peers/src/box-peers.steps.ts
@@ -125,15 +125,15 @@
   const source = sourceOf(scene, index, () => peers);
   const peers: Peers = createPeers(kernel, clientOf(scene, index), source, {
     selfAddress: addressOf(index),
-    roundMs: 400,
-    roundPerBoxMs: 4,
-    suspectMs: 1_500,
-    vouchedMs: 4_500,
-    forgetMs: 60_000,
-    fanout: 8,
+    minRoundIntervalMs: 400,
+    roundIntervalPerBoxMs: 4,
+    baseSuspicionTimeoutMs: 1_500,
+    holderReportTtlMs: 4_500,
+    removeAfterMs: 60_000,
+    maxFullMeshPeers: 8,
     searchFanout: 4,
-    randomEvery: 5,
-    sightings: 8,
+    randomPartnerPeriod: 5,
+    maxSightings: 8,
   });
   scene.boxes.push({ address: addressOf(index), peers, stopped: false, sent: 0 });
 }
@@ -263,7 +263,7 @@
 
 Then(/^rounds 0 to \d+ go to the holder and (.+)$/, function (this: object, listed: string) {
   const expected = [...listed.matchAll(/"([^"]+)"/g)].map(([, boxes]) => boxes);
-  const options = { fanout: 1, searchFanout: 1, randomEvery: 1_000 };
+  const options = { maxFullMeshPeers: 1, searchFanout: 1, randomPartnerPeriod: 1_000 };
   const rounds = expected.map((_, round) => {
     // Round 0 also adds a random partner, hence an equivalent later round is used.
     const input = { members: membersOf(this), holder: "holder", holderReachable: true };
--- a/packages/box-peers/src/member-table.ts
+++ b/packages/box-peers/src/member-table.ts
@@ -9,15 +9,15 @@
   /** Address at which other boxes reach this one. */
   readonly selfAddress: string;
   /** Minimum interval between two heartbeat rounds. */
-  readonly roundMs: Milliseconds;
-  /** Interval between two rounds per other box; replaces `roundMs` where the total is longer. */
-  readonly roundPerBoxMs: Milliseconds;
+  readonly minRoundIntervalMs: Milliseconds;
+  /** Interval between two rounds per other box; replaces `minRoundIntervalMs` where the total is longer. */
+  readonly roundIntervalPerBoxMs: Milliseconds;
   /** A box without a heartbeat for this long is suspected; scaled with the round interval. */
-  readonly suspectMs: Milliseconds;
+  readonly baseSuspicionTimeoutMs: Milliseconds;
   /** Time after the lease holder's last heartbeat for which its reports still keep boxes alive. */
-  readonly vouchedMs: Milliseconds;
+  readonly holderReportTtlMs: Milliseconds;
   /** A box without a heartbeat for this long is removed. */
-  readonly forgetMs: Milliseconds;
+  readonly removeAfterMs: Milliseconds;
 }
 
 /** Result of a check for silent members. */
@@ -41,7 +41,7 @@
   isAlive(member: Member): boolean;
   /** The sighting of a box to send to others; empty if only its address is known. */
   toSightings(member: Member): readonly Sighting[];
-  /** Marks boxes that have become silent as suspected, and removes those silent for `forgetMs`. */
+  /** Marks boxes that have become silent as suspected, and removes those silent for `removeAfterMs`. */
   detectSilent(): SilentMembers;
   /** Highest number of boxes known at the same time, including this one. */
   maxKnownBoxes(): number;
@@ -67,8 +67,9 @@
   const find = (incarnation: Incarnation) => byIncarnation.get(incarnation);
   const isFullMesh = () => fitsFullMesh(members.size, options);
   const roundIntervalMs = () =>
-    computeRoundIntervalMs(options.roundMs, options.roundPerBoxMs, members.size);
-  const suspicionTimeoutMs = () => (options.suspectMs * roundIntervalMs()) / options.roundMs;
+    computeRoundIntervalMs(options.minRoundIntervalMs, options.roundIntervalPerBoxMs, members.size);
+  const suspicionTimeoutMs = () =>
+    (options.baseSuspicionTimeoutMs * roundIntervalMs()) / options.minRoundIntervalMs;
   const maxSilenceMs = (member: Member) =>
     isFullMesh() || member.profile?.takesRequests
       ? suspicionTimeoutMs()
@@ -89,7 +90,9 @@
     if (now - member.lastSeenAt <= maxSilenceMs(member)) return true;
     if (member.reportedAliveBy === undefined) return false;
     const holder = find(member.reportedAliveBy);
-    return holder !== undefined && clock.elapsed() - holder.lastHeartbeatAt <= options.vouchedMs;
+    return (
+      holder !== undefined && clock.elapsed() - holder.lastHeartbeatAt <= options.holderReportTtlMs
+    );
   };
 
   const applySightings = ({ status, sightings, report }: Heartbeat) => {
@@ -108,7 +111,7 @@
     member.profile !== undefined && !member.suspected && !isAlive(member);
   const isLongSilent = (member: Member) => {
     const lastContactAt = Math.max(member.lastSeenAt, member.addedAt);
-    return !isAlive(member) && clock.now() - lastContactAt > options.forgetMs;
+    return !isAlive(member) && clock.now() - lastContactAt > options.removeAfterMs;
   };
 
   return {
--- a/packages/box-peers/src/partners.ts
+++ b/packages/box-peers/src/partners.ts
@@ -6,11 +6,11 @@
 /** Settings of the partner selection. */
 export interface PartnerOptions {
   /** Highest number of other boxes with which heartbeats form a full mesh. */
-  readonly fanout: number;
+  readonly maxFullMeshPeers: number;
   /** Random partners per round in a large deployment while the lease holder is unreachable. */
   readonly searchFanout: number;
   /** Every this many rounds one random box is added to the partners. */
-  readonly randomEvery: number;
+  readonly randomPartnerPeriod: number;
 }
 
 export interface PartnerCandidates {
@@ -37,7 +37,7 @@
 
 /** Whether the deployment is small enough for every box to exchange heartbeats with every other one. */
 export function fitsFullMesh(others: number, options: PartnerOptions): boolean {
-  return others <= options.fanout;
+  return others <= options.maxFullMeshPeers;
 }
 
 /** Whether the box could reach the store at its latest heartbeat. */
@@ -54,7 +54,7 @@
 /**
  * Selects the partners of a round: all boxes of a small deployment. In a large one, the lease holder, which
  * exchanges heartbeats with all boxes; store readers in rotation, preferably those that reach the store; and
- * every `randomEvery` rounds a random box.
+ * every `randomPartnerPeriod` rounds a random box.
  */
 export function selectPartners(
   { members, holder, holderReachable, round }: PartnerCandidates,
@@ -70,7 +70,7 @@
   // A holder that cannot reach the store has no changes to report; a second reader compensates for it.
   const readerCount = holders.some(reachesStore) ? 1 : 2;
   const turnReaders = roundRobin(reachable.length > 0 ? reachable : readers, readerCount, round);
-  const extra = round % options.randomEvery === 0 ? sample(members, 1, random) : [];
+  const extra = round % options.randomPartnerPeriod === 0 ? sample(members, 1, random) : [];
   return [...new Set([...holders, ...turnReaders, ...extra])];
 }
 
--- a/packages/box-peers/src/peers.ts
+++ b/packages/box-peers/src/peers.ts
@@ -17,7 +17,7 @@
 
 export interface PeerOptions extends MemberOptions {
   /** Maximum number of sightings in a heartbeat. */
-  readonly sightings: number;
+  readonly maxSightings: number;
 }
 
 /** Provides the content of this box's heartbeats. */
@@ -104,7 +104,7 @@
       recipient !== undefined && (table.isFullMesh() || recipient.followed !== undefined);
     if (knowsMembers && random.below(redundantSightingPeriod) !== 0) return [];
     const alive = table.all().filter(table.isAlive);
-    return sample(alive, knowsMembers ? 1 : options.sightings, random);
+    return sample(alive, knowsMembers ? 1 : options.maxSightings, random);
   };
 
   const createMessage = (recipient?: BoxStatus): Heartbeat => {
--- a/packages/entry-box/src/provide-state.ts
+++ b/packages/entry-box/src/provide-state.ts
@@ -62,15 +62,15 @@
 ): Peers {
   const peers = createPeers(kernel, peerClient, source, {
     selfAddress: settings.box.peer_address,
-    roundMs: settings.peers.round_ms,
-    roundPerBoxMs: settings.peers.round_per_box_ms,
-    suspectMs: settings.peers.suspect_ms,
-    forgetMs: settings.peers.forget_ms,
-    vouchedMs: settings.peers.vouched_ms,
-    fanout: settings.peers.fanout,
+    minRoundIntervalMs: settings.peers.round_ms,
+    roundIntervalPerBoxMs: settings.peers.round_per_box_ms,
+    baseSuspicionTimeoutMs: settings.peers.suspect_ms,
+    removeAfterMs: settings.peers.forget_ms,
+    holderReportTtlMs: settings.peers.vouched_ms,
+    maxFullMeshPeers: settings.peers.fanout,
     searchFanout: settings.peers.search_fanout,
-    randomEvery: settings.peers.random_every,
-    sightings: settings.peers.sightings,
+    randomPartnerPeriod: settings.peers.random_every,
+    maxSightings: settings.peers.sightings,
   });
   return kernel.provide(peersName, peers, peers);
 }
--- a/packages/membership/src/member-table.ts
+++ b/packages/membership/src/member-table.ts
@@ -12,8 +12,8 @@
 
 /** Timeouts by the local clock. */
 export interface MemberTimeouts {
-  readonly suspectMs: Milliseconds;
-  readonly forgetMs: Milliseconds;
+  readonly suspectAfterMs: Milliseconds;
+  readonly removeAfterMs: Milliseconds;
 }
 
 export interface MemberTable {
@@ -21,7 +21,7 @@
   merge(entries: readonly MemberEntry[], now: Milliseconds): void;
   /** Applies an entry sent by the box itself; removes earlier incarnations of that box. */
   applyDirect(entry: MemberEntry, now: Milliseconds): void;
-  /** Removes members without a heartbeat for `forgetMs`. */
+  /** Removes members without a heartbeat for `removeAfterMs`. */
   removeExpired(now: Milliseconds): void;
   /** Members with a recent heartbeat, including leaving ones, sorted by incarnation. */
   alive(now: Milliseconds): readonly MemberEntry[];
@@ -57,7 +57,7 @@
     const member = members.get(incarnation);
     if (!member) return;
     members.delete(incarnation);
-    ended.set(incarnation, { heartbeat, until: now + 2 * timeouts.forgetMs });
+    ended.set(incarnation, { heartbeat, until: now + 2 * timeouts.removeAfterMs });
     events.gone(member.entry);
   };
 
@@ -87,7 +87,7 @@
     removeExpired(now) {
       for (const [incarnation, member] of [...members]) {
         // A later heartbeat adds the member again, for example after this box was isolated.
-        if (now - member.lastHeartbeatAt > timeouts.forgetMs)
+        if (now - member.lastHeartbeatAt > timeouts.removeAfterMs)
           endIncarnation(incarnation, member.entry.heartbeat, now);
       }
       for (const [incarnation, endedEntry] of [...ended]) {
@@ -96,7 +96,7 @@
     },
     alive: (now) =>
       [...members.values()]
-        .filter((member) => now - member.lastHeartbeatAt <= timeouts.suspectMs)
+        .filter((member) => now - member.lastHeartbeatAt <= timeouts.suspectAfterMs)
         .map((member) => member.entry)
         .sort((a, b) => (a.incarnation < b.incarnation ? -1 : 1)),
     known: () => [...members.values()],
--- a/packages/membership/src/membership.steps.ts
+++ b/packages/membership/src/membership.steps.ts
@@ -19,7 +19,7 @@
 
 Given("a member seen at 0 ms with heartbeat 1", function (this: object) {
   const changes = { joined: () => undefined, gone: () => undefined };
-  const table = createMemberTable("b@1", { suspectMs: 1_000, forgetMs: 5_000 }, changes);
+  const table = createMemberTable("b@1", { suspectAfterMs: 1_000, removeAfterMs: 5_000 }, changes);
   table.applyDirect(entry("c@1", 1), 0);
   notes(this).set("table", table);
 });
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -85,8 +85,8 @@
     () => table.known(),
     (member) => logger.event("memberSuspected", { member }),
   );
-  const limits = { suspectMs: suspect_ms, forgetMs: forget_ms };
-  const table = createMemberTable(kernel.find(incarnationName), limits, {
+  const timeouts = { suspectAfterMs: suspect_ms, removeAfterMs: forget_ms };
+  const table = createMemberTable(kernel.find(incarnationName), timeouts, {
     joined: ({ incarnation }) => logger.event("memberJoined", { member: incarnation }),
     gone({ incarnation }) {
       summaries.forget(incarnation);
