--- a/packages/box-peers/src/messages.ts
+++ b/packages/box-peers/src/messages.ts
@@ -1,7 +1,7 @@
 /** Messages that boxes exchange in their heartbeats. */
 import type { TargetLoad } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
-import type { LeaseWord } from "@linkfall/order-lease";
+import type { ObservedLease } from "@linkfall/order-lease";
 import type {
   BlameWord,
   Holdings,
@@ -50,7 +50,7 @@
   readonly targetsEnd: Offset;
   readonly loads: Readonly<Record<string, TargetLoad>>;
   readonly demand: readonly ModelDemand[];
-  readonly lease?: LeaseWord;
+  readonly lease?: ObservedLease;
   /** Remaining time for which the sender may issue orders, if it holds the lease. */
   readonly ordersForMs?: Milliseconds;
   readonly followed?: ReportPosition;
--- a/packages/box-peers/src/transport.ts
+++ b/packages/box-peers/src/transport.ts
@@ -11,11 +11,11 @@
   type ServerDuplexStream,
   type UntypedServiceImplementation,
 } from "@grpc/grpc-js";
-import type { QuotaAsk, QuotaGrant } from "@linkfall/account-quota";
+import type { QuotaRequest, QuotaGrant } from "@linkfall/account-quota";
 import { type AskStream, createAskStream, type Numbered } from "@linkfall/ask-stream";
 import type { PeerUnreachable } from "@linkfall/errors";
 import type { Clock } from "@linkfall/kernel";
-import type { PermitAsk, PermitGrant } from "@linkfall/target-limits";
+import type { PermitRequest, PermitGrant } from "@linkfall/target-limits";
 import type { Milliseconds } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
 import type { ConfigurationCopy, Heartbeat } from "./messages.js";
@@ -26,17 +26,17 @@
   exchange(heartbeat: Heartbeat): Heartbeat;
   configuration(): ConfigurationCopy;
   /** Allocates part of an account's rate limit. */
-  quota(ask: QuotaAsk): Promise<QuotaGrant>;
+  quota(ask: QuotaRequest): Promise<QuotaGrant>;
   /** Grants a permit for a target with a rate limit. */
-  permit(ask: PermitAsk): Promise<PermitGrant>;
+  permit(ask: PermitRequest): Promise<PermitGrant>;
 }
 
 /** Sends messages to other boxes. */
 export interface PeerClient {
   exchange(address: string, heartbeat: Heartbeat): Promise<Either<PeerUnreachable, Heartbeat>>;
   configuration(address: string): Promise<Either<PeerUnreachable, ConfigurationCopy>>;
-  quota(address: string, ask: QuotaAsk): Promise<Either<PeerUnreachable, QuotaGrant>>;
-  permit(address: string, ask: PermitAsk): Promise<Either<PeerUnreachable, PermitGrant>>;
+  quota(address: string, ask: QuotaRequest): Promise<Either<PeerUnreachable, QuotaGrant>>;
+  permit(address: string, ask: PermitRequest): Promise<Either<PeerUnreachable, PermitGrant>>;
   close(): void;
 }
 
@@ -49,8 +49,8 @@
 type Ask =
   | { readonly kind: "heartbeat"; readonly heartbeat: Heartbeat }
   | { readonly kind: "configuration" }
-  | { readonly kind: "quota"; readonly ask: QuotaAsk }
-  | { readonly kind: "permit"; readonly ask: PermitAsk };
+  | { readonly kind: "quota"; readonly ask: QuotaRequest }
+  | { readonly kind: "permit"; readonly ask: PermitRequest };
 type Answer =
   | { readonly kind: "heartbeat"; readonly heartbeat: Heartbeat }
   | { readonly kind: "configuration"; readonly copy: ConfigurationCopy }
--- a/packages/entry-box/src/account-admission.ts
+++ b/packages/entry-box/src/account-admission.ts
@@ -1,12 +1,12 @@
 /** Charges requests to the limit of their client account and settles the charge when they end. */
-import { type AccountQuota, type QuotaUse, unitsOf } from "@linkfall/account-quota";
-import type { ForwardedRequest, RequestEnd } from "@linkfall/forwarding";
+import { type AccountQuota, type QuotaCharge, unitsOf } from "@linkfall/account-quota";
+import type { ForwardedRequest, RequestOutcome } from "@linkfall/forwarding";
 import type { ClientAccount, Milliseconds, RequestTerms } from "@linkfall/types";
 
 /** Result of charging a request to its account. */
 export type AccountAdmission =
   /** `use` is what was charged; absent if the account has no limit. */
-  | { readonly kind: "admitted"; readonly use?: QuotaUse }
+  | { readonly kind: "admitted"; readonly use?: QuotaCharge }
   | { readonly kind: "refused"; readonly retryAfterMs: Milliseconds };
 
 /**
@@ -29,12 +29,12 @@
 /** Refunds a request that never ran and charges repeated runs. */
 export function settleQuota(
   quota: AccountQuota,
-  use: QuotaUse | undefined,
-  { runs, sends, unwritten }: ForwardedRequest,
-  end: RequestEnd,
+  use: QuotaCharge | undefined,
+  { possibleRuns: runs, sends, unwrittenSends: unwritten }: ForwardedRequest,
+  end: RequestOutcome,
 ): void {
   if (!use) return;
   const neverRan = runs === 0 && (end.outcome === "refused" || sends === unwritten);
-  if (neverRan) return quota.giveBack(use);
-  if (runs > 1) quota.ranToo({ ...use, units: use.units * (runs - 1) });
+  if (neverRan) return quota.refund(use);
+  if (runs > 1) quota.chargeExtra({ ...use, units: use.units * (runs - 1) });
 }
--- a/packages/entry-box/src/box-loads.ts
+++ b/packages/entry-box/src/box-loads.ts
@@ -9,8 +9,8 @@
 
 /** This box's load on each target; targets without load are omitted. */
 export function ownLoads(fleet: Fleet): LoadByTarget {
-  const busy = fleet.all().filter(({ own }) => own.inFlight > 0 || own.promptTokens > 0);
-  return Object.fromEntries(busy.map(({ listed, own }) => [listed.id, own]));
+  const busy = fleet.all().filter(({ ownLoad: own }) => own.inFlight > 0 || own.promptTokens > 0);
+  return Object.fromEntries(busy.map(({ listed, ownLoad: own }) => [listed.id, own]));
 }
 
 /** Sums the loads of several boxes by target. */
--- a/packages/entry-box/src/box-runtime.ts
+++ b/packages/entry-box/src/box-runtime.ts
@@ -4,7 +4,7 @@
 import { clockName, createKernel, type Kernel, randomName } from "@linkfall/kernel";
 import { loggerName } from "@linkfall/logger";
 import { metricsName } from "@linkfall/metrics";
-import { createDemandMeter, type DemandMeter } from "@linkfall/model-demand";
+import { createModelDemandMeter, type ModelDemandMeter } from "@linkfall/model-demand";
 import type { Incarnation } from "@linkfall/types";
 import { type ActivityMonitor, createActivityMonitor } from "./activity.js";
 import type { EntryBoxPorts } from "./box-ports.js";
@@ -16,7 +16,7 @@
   readonly ports: EntryBoxPorts;
   readonly incarnation: Incarnation;
   readonly shutdown: GracefulShutdown;
-  readonly demand: DemandMeter;
+  readonly demand: ModelDemandMeter;
   readonly activity: ActivityMonitor;
   readonly peerClient: PeerClient;
 }
@@ -36,7 +36,7 @@
     ports,
     incarnation: `${settings.box.name}@${random.identifier()}`,
     shutdown: createGracefulShutdown(clock, settings),
-    demand: createDemandMeter(clock),
+    demand: createModelDemandMeter(clock),
     activity: kernel.provide({ name: "activity" }, activity, activity),
     peerClient: createPeerClient(clock, settings.peers.call_ms),
   };
--- a/packages/entry-box/src/connected.ts
+++ b/packages/entry-box/src/connected.ts
@@ -27,7 +27,7 @@
 function peerContact({ kernel }: BoxRuntime): PeerContact {
   const peers = kernel.find(peersName);
   const lease = kernel.find(orderLeaseName);
-  const holder = lease.known()?.holder;
+  const holder = lease.observedLease()?.holder;
   return {
     heard: peers.statuses().length,
     holderHeardMs: holder === undefined ? undefined : peers.sinceHeartbeatMs(holder),
--- a/packages/entry-box/src/create-entry-box.ts
+++ b/packages/entry-box/src/create-entry-box.ts
@@ -84,7 +84,7 @@
     maxHeaderBytes: settings.callers.max_header_bytes,
     now: ports.clock.now,
     onConnection: createAcceptQueueMonitor({ ...ports, metrics }).connectionAccepted,
-    limits: () => feed.inForce()?.configuration.limits,
+    limits: () => feed.activeConfiguration()?.configuration.limits,
     isClosing: shutdown.hasBegun,
     handle(request) {
       runtime.activity.recordRequest();
@@ -107,7 +107,7 @@
   const startedAt = clock.now();
   const check = () => {
     if (!feed.ready()) return void clock.after(readyPollIntervalMs, check);
-    const version = feed.inForce()?.configuration.version;
+    const version = feed.activeConfiguration()?.configuration.version;
     logger.event("boxReady", { afterMs: Math.round(clock.now() - startedAt), version });
     kernel.find(peersName).sendHeartbeats();
   };
@@ -164,7 +164,7 @@
       lifetimeMs: settings.callers.entries_lifetime_ms,
     }),
     metricsText: kernel.find(metricsName).expose,
-    heldRequests: blame.held,
+    heldRequests: blame.heldRequests,
     limitedTargets: kernel.find(targetLimitsName).limited,
     releaseRequest: blame.release,
   };
--- a/packages/entry-box/src/front.ts
+++ b/packages/entry-box/src/front.ts
@@ -1,7 +1,7 @@
 /** The HTTP server that callers connect to: reads requests within the configured limits and passes them on. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
-import { type AnswerSink, createAnswerSink, ownHeaders } from "@linkfall/forwarding";
+import { type ResponseSink, createResponseSink, localReplyHeaders } from "@linkfall/forwarding";
 import type { CallerLimits, Milliseconds } from "@linkfall/types";
 import { readBody } from "./read-body.js";
 
@@ -12,7 +12,7 @@
   readonly host: string;
   readonly headers: readonly string[];
   readonly body: Buffer;
-  readonly sink: AnswerSink;
+  readonly sink: ResponseSink;
   readonly arrivedAt: Milliseconds;
 }
 
@@ -83,7 +83,7 @@
     lastRequestAt = arrivedAt;
     const limits = options.limits() ?? defaultLimits;
     applyLimits(server, limits);
-    const sink = createAnswerSink(response, options.isClosing);
+    const sink = createResponseSink(response, options.isClosing);
     const path = message.url ?? "";
     if (!path.startsWith("/")) return rejectUnread(response, 400);
     const body = await readBody(message, limits.maxBodyBytes);
@@ -138,9 +138,9 @@
 
 /** Answers a request that is not forwarded to a target. */
 export function respondLocally(
-  sink: AnswerSink,
+  sink: ResponseSink,
   status: number,
   retryAfterMs?: Milliseconds,
 ): void {
-  sink.whole(status, ownHeaders(retryAfterMs), Buffer.from("{}\n"));
+  sink.send(status, localReplyHeaders(retryAfterMs), Buffer.from("{}\n"));
 }
--- a/packages/entry-box/src/gauges.ts
+++ b/packages/entry-box/src/gauges.ts
@@ -18,12 +18,16 @@
   metrics.gauge(
     "linkfall_configuration_version",
     "Version of the configuration in force.",
-    () => feed.inForce()?.configuration.version ?? -1,
+    () => feed.activeConfiguration()?.configuration.version ?? -1,
   );
   metrics.gauge(
     "linkfall_configuration_age_seconds",
     "Time since the configuration took effect on this box.",
-    () => Math.round((ports.clock.now() - (feed.inForce()?.since ?? 0)) / millisecondsPerSecond),
+    () =>
+      Math.round(
+        (ports.clock.now() - (feed.activeConfiguration()?.activeSince ?? 0)) /
+          millisecondsPerSecond,
+      ),
   );
   metrics.gauge("linkfall_store_reachable", "1 while this box can reach the store.", () =>
     feed.reachesStore() ? 1 : 0,
@@ -33,12 +37,15 @@
     "Age of the oldest report of an engine's loaded models.",
     () => {
       const engines = fleet.all().filter(({ holdings }) => holdings.sequence >= 0);
-      const oldest = Math.min(ports.clock.now(), ...engines.map(({ holdingsAt }) => holdingsAt));
+      const oldest = Math.min(
+        ports.clock.now(),
+        ...engines.map(({ holdingsConfirmedAt: holdingsAt }) => holdingsAt),
+      );
       return Math.round(ports.clock.now() - oldest);
     },
   );
   metrics.gauge("linkfall_store_read_here", "1 while this box reads the store directly.", () =>
-    feed.reading() ? 1 : 0,
+    feed.readsStore() ? 1 : 0,
   );
   metrics.gauge(
     "linkfall_requests_open",
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -1,16 +1,16 @@
 /** Handles a caller's request: routing, authentication, account limits and forwarding. */
 import type { AccountQuota } from "@linkfall/account-quota";
-import type { ConfigurationInForce, DesiredFeed } from "@linkfall/desired-feed";
+import type { ActiveConfiguration, DesiredFeed } from "@linkfall/desired-feed";
 import {
   type ForwardContext,
   type ForwardedRequest,
   forwardRequest,
-  type RequestEnd,
+  type RequestOutcome,
 } from "@linkfall/forwarding";
 import type { Metrics } from "@linkfall/metrics";
 import type { RequestCodec } from "@linkfall/ports";
 import { fingerprintOf, type RequestContent } from "@linkfall/request-fingerprint";
-import { shareFor } from "@linkfall/route-table";
+import { selectShare } from "@linkfall/route-table";
 import type { ClientAccount, Milliseconds, RequestTerms, Route } from "@linkfall/types";
 import { admitToQuota, settleQuota } from "./account-admission.js";
 import { respondLocally, type FrontRequest } from "./front.js";
@@ -42,9 +42,9 @@
   terms: RequestTerms,
   route: Route,
   account: ClientAccount | undefined,
-  { configuration }: ConfigurationInForce,
+  { configuration }: ActiveConfiguration,
 ): ForwardedRequest | undefined {
-  const service = configuration.services.get(shareFor(route, terms.id).service);
+  const service = configuration.services.get(selectShare(route, terms.id).service);
   if (!service) return undefined;
   const timeoutMs = Math.min(terms.deadlineMs ?? route.timeoutMs, route.timeoutMs);
   return {
@@ -55,23 +55,23 @@
     account: account?.name,
     fingerprint: lazyFingerprint({ ...request, account: account?.name }),
     priority: account?.priority ?? route.priority,
-    awaitedUntil: request.arrivedAt + Math.min(timeoutMs, route.patienceMs ?? timeoutMs),
-    endsAt: request.arrivedAt + timeoutMs,
-    position: { lastId: terms.resumeAfter },
-    tried: new Set(),
-    runs: 0,
+    responseStartDueAt: request.arrivedAt + Math.min(timeoutMs, route.patienceMs ?? timeoutMs),
+    deadlineAt: request.arrivedAt + timeoutMs,
+    streamPosition: { lastEventId: terms.resumeAfter },
+    triedTargets: new Set(),
+    possibleRuns: 0,
     sends: 0,
-    unwritten: 0,
-    longestGapMs: 0,
-    held: false,
-    lastTry: false,
+    unwrittenSends: 0,
+    maxStreamGapMs: 0,
+    waitedForWeights: false,
+    isFinalAttempt: false,
   };
 }
 
 function recordEnd(
   context: RequestContext,
   request: ForwardedRequest,
-  end: RequestEnd,
+  end: RequestOutcome,
   units: number | undefined,
 ): void {
   const { clock, logger } = context.forward;
@@ -94,14 +94,14 @@
     reason: reason === "" ? undefined : reason,
     retryAfterMs: end.outcome === "refused" ? end.retryAfterMs : undefined,
     sends: request.sends,
-    runs: request.runs,
-    held: request.held,
-    firstMs: request.firstAt && Math.round(request.firstAt - request.arrivedAt),
+    runs: request.possibleRuns,
+    held: request.waitedForWeights,
+    firstMs: request.firstByteAt && Math.round(request.firstByteAt - request.arrivedAt),
     objectiveMs: request.route.objectiveMs,
-    gapMs: request.longestGapMs > 0 ? Math.round(request.longestGapMs) : undefined,
+    gapMs: request.maxStreamGapMs > 0 ? Math.round(request.maxStreamGapMs) : undefined,
     ms: tookMs,
-    leftMs: Math.round(request.endsAt - clock.now()),
-    configuration: context.feed.inForce()?.configuration.version,
+    leftMs: Math.round(request.deadlineAt - clock.now()),
+    configuration: context.feed.activeConfiguration()?.configuration.version,
   });
 }
 
@@ -116,7 +116,7 @@
   };
   const unreadable = codec.unreadable(request.headers);
   if (unreadable !== undefined) return reject(400, unreadable);
-  const inForce = feed.inForce();
+  const inForce = feed.activeConfiguration();
   if (!inForce || !context.ready()) return reject(503, "no configuration yet", notReadyRetryMs);
   const route = inForce.routes.find(request.host, request.path);
   if (!route) return reject(404, `no route in version ${inForce.configuration.version}`);
--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -10,17 +10,17 @@
 import { desiredFeedName } from "@linkfall/desired-feed";
 import { fleetName } from "@linkfall/fleet";
 import type { ChangeWaiter } from "@linkfall/forwarding";
-import type { Wanted } from "@linkfall/model-demand";
+import type { RequestedWeights } from "@linkfall/model-demand";
 import { orderLeaseName } from "@linkfall/order-lease";
 import type { Milliseconds } from "@linkfall/types";
-import { orderGiverName } from "@linkfall/weight-orders";
+import { orderDispatcherName } from "@linkfall/weight-orders";
 import type { BoxRuntime } from "./box-runtime.js";
 import { targetLimitsName } from "./provide-limits.js";
 import { hasWaitingRequests, sumLoads } from "./box-loads.js";
 
 export interface HeartbeatReceiver {
   /** Time until the weights are expected to be loaded, as reported by the lease holder. */
-  expectedWeightsMs(wanted: Wanted): Milliseconds | undefined;
+  expectedWeightsMs(wanted: RequestedWeights): Milliseconds | undefined;
 }
 
 /** State received in the lease holder's reports. */
@@ -40,7 +40,7 @@
 function hasCurrentHolderReport({ kernel, settings }: BoxRuntime): boolean {
   const lease = kernel.find(orderLeaseName);
   if (lease.epoch() !== undefined) return true;
-  const holder = lease.known()?.holder;
+  const holder = lease.observedLease()?.holder;
   const silentMs =
     holder === undefined ? undefined : kernel.find(peersName).sinceHeartbeatMs(holder);
   return silentMs !== undefined && silentMs < settings.peers.suspect_ms;
@@ -54,10 +54,10 @@
   let fetching = false;
   return async ({ configurationVersion, peerAddress }) => {
     const feed = kernel.find(desiredFeedName);
-    const version = feed.inForce()?.configuration.version ?? -1;
+    const version = feed.activeConfiguration()?.configuration.version ?? -1;
     if (fetching || configurationVersion <= version) return;
     fetching = true;
-    (await peerClient.configuration(peerAddress)).ifRight(feed.takeConfiguration);
+    (await peerClient.configuration(peerAddress)).ifRight(feed.applyConfigurationCopy);
     fetching = false;
   };
 }
@@ -70,14 +70,14 @@
     if (now - lastSummedAt < minSumIntervalMs) return;
     lastSummedAt = now;
     const statuses = kernel.find(peersName).statuses();
-    kernel.find(fleetName).takeOthers(sumLoads(statuses.map((status) => status.loads)));
+    kernel.find(fleetName).setOtherBoxesLoads(sumLoads(statuses.map((status) => status.loads)));
   };
 }
 
 /** Applies target changes read by another box, unless this box reads them from the store. */
 function applyTargets({ kernel }: BoxRuntime, { targets }: Heartbeat): void {
   const feed = kernel.find(desiredFeedName);
-  if (targets && !(feed.reading() && feed.reachesStore())) feed.takeTargets(targets);
+  if (targets && !(feed.readsStore() && feed.reachesStore())) feed.applyTargetChanges(targets);
 }
 
 function applyReport(
@@ -86,9 +86,9 @@
   report: LeaseHolderReport,
 ) {
   const fleet = kernel.find(fleetName);
-  fleet.withhold(new Map(Object.entries(report.withheld)));
-  for (const { id, holdings } of report.engines) fleet.takeHoldings(id, holdings);
-  if (report.othersLoads) fleet.takeOthers(new Map(Object.entries(report.othersLoads)));
+  fleet.setWithheldModels(new Map(Object.entries(report.withheld)));
+  for (const { id, holdings } of report.engines) fleet.applyRelayedHoldings(id, holdings);
+  if (report.othersLoads) fleet.setOtherBoxesLoads(new Map(Object.entries(report.othersLoads)));
   holderView.followed = report.followed;
   holderView.reachesMajority = report.hearsMost;
   const now = ports.clock.now();
@@ -105,33 +105,33 @@
   const { kernel, ports } = runtime;
   const peers = kernel.find(peersName);
   const lease = kernel.find(orderLeaseName);
-  const dispatcher = kernel.find(orderGiverName);
+  const dispatcher = kernel.find(orderDispatcherName);
   const blame = kernel.find(crashBlameName);
   const targetLimits = kernel.find(targetLimitsName);
   const fetchConfiguration = createConfigurationFetcher(runtime);
   const sumPeerLoads = createPeerLoadAggregator(runtime);
-  kernel.find(fleetName).trustOwnWord(() => hasCurrentHolderReport(runtime));
+  kernel.find(fleetName).preferDirectReportsWhile(() => hasCurrentHolderReport(runtime));
 
   peers.onHeartbeat((heartbeat) => {
     const { status, report } = heartbeat;
-    if (status.lease) lease.hear(status.lease);
+    if (status.lease) lease.observe(status.lease);
     const holdsLease = lease.epoch() !== undefined;
     if (peers.isFullMesh() || holdsLease) sumPeerLoads();
     applyTargets(runtime, heartbeat);
-    if (heartbeat.blame) blame.take(status.incarnation, heartbeat.blame);
-    if (heartbeat.limits) targetLimits.take(status.incarnation, heartbeat.limits);
+    if (heartbeat.blame) blame.applyChanges(status.incarnation, heartbeat.blame);
+    if (heartbeat.limits) targetLimits.applyChanges(status.incarnation, heartbeat.limits);
     void fetchConfiguration(status);
-    if (report && lease.known()?.holder === status.incarnation) {
+    if (report && lease.observedLease()?.holder === status.incarnation) {
       applyReport(runtime, holderView, report);
-      waiter.wake();
+      waiter.wakeAll();
     }
-    if (holdsLease && hasWaitingRequests(status)) dispatcher.hurry();
+    if (holdsLease && hasWaitingRequests(status)) dispatcher.triggerCycle();
   });
 
   return {
     expectedWeightsMs({ service, model }) {
       const key = `${service} ${model}`;
-      if (lease.epoch() !== undefined) return dispatcher.expected()[key];
+      if (lease.epoch() !== undefined) return dispatcher.timesToReady()[key];
       const at = holderView.weightsExpectedAt.get(key);
       return at === undefined ? undefined : Math.max(0, at - ports.clock.now());
     },
--- a/packages/entry-box/src/heartbeat-source.ts
+++ b/packages/entry-box/src/heartbeat-source.ts
@@ -22,19 +22,19 @@
 function targetChangesFor({ kernel }: BoxRuntime, peer: BoxStatus): TargetChanges | undefined {
   const feed = kernel.find(desiredFeedName);
   if (peer.reading && peer.reachesStore) return undefined;
-  if (!feed.ready() || !feed.reading() || peer.targetsEnd >= feed.targetsEnd()) return undefined;
-  return feed.targetsSince(peer.targetsEnd);
+  if (!feed.ready() || !feed.readsStore() || peer.targetsEnd >= feed.targetsEnd()) return undefined;
+  return feed.targetChangesSince(peer.targetsEnd);
 }
 
 /** Records of requests that crash targets, as far as the recipient lacks them. */
 function blameFor({ kernel }: BoxRuntime, recipient?: BoxStatus): BlameWord | undefined {
-  const message = kernel.find(crashBlameName).tell(recipient?.blameFollowed ?? 0);
+  const message = kernel.find(crashBlameName).changesSince(recipient?.blameFollowed ?? 0);
   return message.records.length > 0 ? message : undefined;
 }
 
 /** Records of targets' rate limits, as far as the recipient lacks them. */
 function limitsFor({ kernel }: BoxRuntime, recipient?: BoxStatus): TargetLimitWord | undefined {
-  const message = kernel.find(targetLimitsName).tell(recipient?.limitsFollowed ?? 0);
+  const message = kernel.find(targetLimitsName).changesSince(recipient?.limitsFollowed ?? 0);
   return message.records.length > 0 ? message : undefined;
 }
 
@@ -50,7 +50,7 @@
   const status = (recipient?: BoxStatus): BoxStatus => {
     const feed = kernel.find(desiredFeedName);
     const lease = kernel.find(orderLeaseName);
-    const known = lease.known();
+    const known = lease.observedLease();
     // Demand and loads dominate the size of a status and are only used by the lease holder and in a full mesh.
     const toHolder = recipient !== undefined && recipient.incarnation === known?.holder;
     const toAll = kernel.find(peersName).isFullMesh();
@@ -59,22 +59,24 @@
       ...ownProfile(runtime),
       beat,
       reachesStore: feed.reachesStore(),
-      configurationVersion: feed.inForce()?.configuration.version ?? -1,
+      configurationVersion: feed.activeConfiguration()?.configuration.version ?? -1,
       targetsEnd: feed.targetsEnd(),
       loads: toAll || toHolder ? ownLoads(kernel.find(fleetName)) : {},
       demand: toHolder ? recentDemand(demand.read()) : [],
       lease: known,
-      ordersForMs: lease.ordersForMs(),
+      ordersForMs: lease.remainingLeaseMs(),
       followed: followed(),
-      limitsFollowed: recipient && kernel.find(targetLimitsName).followed(recipient.incarnation),
-      blameFollowed: recipient && kernel.find(crashBlameName).followed(recipient.incarnation),
+      limitsFollowed:
+        recipient && kernel.find(targetLimitsName).appliedSequence(recipient.incarnation),
+      blameFollowed:
+        recipient && kernel.find(crashBlameName).appliedSequence(recipient.incarnation),
     };
   };
 
   return {
     isIdle: () =>
       !runtime.activity.takesRequests() && kernel.find(orderLeaseName).epoch() === undefined,
-    holder: () => kernel.find(orderLeaseName).known()?.holder,
+    holder: () => kernel.find(orderLeaseName).observedLease()?.holder,
     createHeartbeat(recipient, sightings): Heartbeat {
       const holdsLease = kernel.find(orderLeaseName).epoch() !== undefined;
       return {
--- a/packages/entry-box/src/holder-report.ts
+++ b/packages/entry-box/src/holder-report.ts
@@ -10,7 +10,7 @@
 } from "@linkfall/box-peers";
 import { fleetName, type TargetLoad } from "@linkfall/fleet";
 import type { Milliseconds } from "@linkfall/types";
-import { orderGiverName } from "@linkfall/weight-orders";
+import { orderDispatcherName } from "@linkfall/weight-orders";
 import { type LoadByTarget, ownLoads, sumLoads, subtractLoads } from "./box-loads.js";
 import type { BoxRuntime } from "./box-runtime.js";
 import { reachesMajority } from "./connected.js";
@@ -77,7 +77,7 @@
   };
 
   return (recipient) => {
-    const dispatcher = kernel.find(orderGiverName);
+    const dispatcher = kernel.find(orderDispatcherName);
     const followed = recipient?.followed;
     const known = followed?.holder === incarnation ? followed : undefined;
     refreshEngines();
@@ -91,8 +91,8 @@
         members: members.latestNumber(),
       },
       hearsMost: reachesMajority(kernel.find(peersName)),
-      withheld: Object.fromEntries(dispatcher.withheld()),
-      expected: dispatcher.expected(),
+      withheld: Object.fromEntries(dispatcher.pendingEvictions()),
+      expected: dispatcher.timesToReady(),
     };
   };
 }
--- a/packages/entry-box/src/identify.ts
+++ b/packages/entry-box/src/identify.ts
@@ -1,5 +1,5 @@
 /** Authenticates callers by API key. */
-import { fingerprint, type KeyTable } from "@linkfall/account-keys";
+import { keyFingerprint, type KeyTable } from "@linkfall/account-keys";
 import type { ClientAccount, Route } from "@linkfall/types";
 
 /** Result of the authentication of a request. */
@@ -25,5 +25,9 @@
   }
   const account = keys.find(key);
   if (account) return { kind: "known", account };
-  return { kind: "unknown", why: "the key belongs to no account", fingerprint: fingerprint(key) };
+  return {
+    kind: "unknown",
+    why: "the key belongs to no account",
+    fingerprint: keyFingerprint(key),
+  };
 }
--- a/packages/entry-box/src/own-profile.ts
+++ b/packages/entry-box/src/own-profile.ts
@@ -24,6 +24,6 @@
     leaving: shutdown.hasBegun(),
     strained: activity.strained(),
     takesRequests: activity.takesRequests(),
-    reading: feed.reading(),
+    reading: feed.readsStore(),
   };
 }
--- a/packages/entry-box/src/provide-blame.ts
+++ b/packages/entry-box/src/provide-blame.ts
@@ -3,8 +3,8 @@
   type CrashBlame,
   crashBlameName,
   createCrashBlame,
-  createHeldStore,
-  type HeldStore,
+  createHeldRequestStore,
+  type HeldRequestStore,
   reportDecisions,
 } from "@linkfall/crash-blame";
 import { serviceName } from "@linkfall/kernel";
@@ -12,16 +12,16 @@
 import type { BoxRuntime } from "./box-runtime.js";
 import { createPeerNotifier } from "./tell-others.js";
 
-export const heldStoreName = serviceName<HeldStore>("held-store");
+export const heldStoreName = serviceName<HeldRequestStore>("held-store");
 
 /** Registers the records of requests that crash targets, and the store that persists them. */
 export function provideCrashBlame(runtime: BoxRuntime): CrashBlame {
   const { kernel, ports } = runtime;
   const { clock, logger, heldStream } = ports;
   const blame = kernel.provide(crashBlameName, createCrashBlame(clock));
-  blame.onNews(createPeerNotifier(runtime));
+  blame.onChange(createPeerNotifier(runtime));
   reportDecisions(blame, { logger, metrics: kernel.find(metricsName) });
-  const store = createHeldStore(blame, heldStream, { clock, logger });
+  const store = createHeldRequestStore(blame, heldStream, { clock, logger });
   kernel.provide(heldStoreName, store, store);
   return blame;
 }
--- a/packages/entry-box/src/provide-limits.ts
+++ b/packages/entry-box/src/provide-limits.ts
@@ -31,15 +31,15 @@
     {
       self: settings.box.peer_address,
       allocators: (target) => currentAllocators(runtime, target),
-      ask: (address, ask) => peerClient.permit(address, ask),
+      sendRequest: (address, ask) => peerClient.permit(address, ask),
       connected: createConnectionCheck(runtime, holderView),
-      ownPart: () => limitShares().own,
-      silentPart: () => limitShares().silent,
-      boxes: () => countBoxesWithCallers(runtime),
+      ownShare: () => limitShares().own,
+      silentShare: () => limitShares().silent,
+      boxCount: () => countBoxesWithCallers(runtime),
     },
     (target) => fleet.find(target)?.born,
   );
-  fleet.onLifeEnded(limits.forget);
+  fleet.onIncarnationEnded(limits.forget);
   const notifyPeers = createPeerNotifier(runtime);
   limits.onChange((change) => {
     logChange(runtime, change);
--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -10,7 +10,11 @@
   orderLeaseName,
 } from "@linkfall/order-lease";
 import { boxOf } from "@linkfall/types";
-import { createOrderGiver, type OrderGiver, orderGiverName } from "@linkfall/weight-orders";
+import {
+  createOrderDispatcher,
+  type OrderDispatcher,
+  orderDispatcherName,
+} from "@linkfall/weight-orders";
 import { hasWaitingRequests } from "./box-loads.js";
 import type { BoxRuntime } from "./box-runtime.js";
 import { targetLimitsName } from "./provide-limits.js";
@@ -22,16 +26,17 @@
   const { kernel, settings, incarnation } = runtime;
   const feed = kernel.find(desiredFeedName);
   return {
-    heardMs: peers.sinceHeartbeatMs,
-    ownEarlierLife: (holder) => holder !== incarnation && boxOf(holder) === settings.box.name,
-    ordersForMs: (holder) => peers.findStatus(holder)?.ordersForMs ?? 0,
-    claimed: () => peers.sendHeartbeats(() => true),
-    leaving: (holder) => peers.findStatus(holder)?.leaving ?? false,
+    sinceLastMessageMs: peers.sinceHeartbeatMs,
+    isOwnEarlierIncarnation: (holder) =>
+      holder !== incarnation && boxOf(holder) === settings.box.name,
+    remainingLeaseMs: (holder) => peers.findStatus(holder)?.ordersForMs ?? 0,
+    announceClaim: () => peers.sendHeartbeats(() => true),
+    isLeaving: (holder) => peers.findStatus(holder)?.leaving ?? false,
     rank() {
       const serving = peers.alive().filter((box) => box.ready);
       return rankBoxes([ownProfile(runtime), ...serving]).indexOf(settings.box.name);
     },
-    allWithoutStore() {
+    isStoreDownForAll() {
       const statuses = peers.statuses();
       if (feed.reachesStore() || statuses.length * 2 < peers.maxKnownBoxes()) return false;
       return statuses.every((status) => !status.reachesStore);
@@ -46,7 +51,7 @@
   const lease = createOrderLease(kernel, incarnation, ports.leaseStream, peers, {
     enginesFence: settings.lease.engines_fence,
     leaseMs: settings.lease.lease_ms,
-    silentMs: settings.lease.silent_ms,
+    holderTimeoutMs: settings.lease.silent_ms,
     rankStepMs: settings.lease.rank_step_ms,
     checkMs: settings.lease.check_ms,
   });
@@ -59,35 +64,35 @@
   settings,
   ports,
   demand,
-}: BoxRuntime): OrderGiver {
+}: BoxRuntime): OrderDispatcher {
   const { placement } = settings;
   const fleet = kernel.find(fleetName);
   const feed = kernel.find(desiredFeedName);
   const peers = kernel.find(peersName);
   const targetLimits = kernel.find(targetLimitsName);
-  const dispatcher: OrderGiver = createOrderGiver(kernel, {
+  const dispatcher: OrderDispatcher = createOrderDispatcher(kernel, {
     self: settings.box.name,
     fleet,
     engines: ports.engines,
     lease: kernel.find(orderLeaseName),
-    configuration: () => feed.inForce()?.configuration,
+    configuration: () => feed.activeConfiguration()?.configuration,
     demand: () => sumDemand([demand.read(), ...peers.statuses().map((status) => status.demand)]),
-    takesPerSecond: targetLimits.limitOf,
-    noteLimit: (target, notice) =>
-      targetLimits.hear({ target, notice, sentMsAgo: 0, served: false }),
-    announce() {
-      fleet.withhold(dispatcher.withheld());
+    maxRequestsPerSecond: targetLimits.limitOf,
+    onLimitReported: (target, notice) =>
+      targetLimits.recordAnswer({ target, notice, sentMsAgo: 0, served: false }),
+    notifyPeers() {
+      fleet.setWithheldModels(dispatcher.pendingEvictions());
       // In a large deployment the other boxes receive it in their next heartbeat round.
       if (peers.isFullMesh()) peers.sendHeartbeats();
       else peers.sendHeartbeats((member) => hasWaitingRequests(member.status));
     },
     rules: {
-      plan: { loadOfReplica: placement.load_of_replica, horizonMs: placement.horizon_ms },
-      stateMs: placement.state_ms,
-      busyStateMs: placement.busy_state_ms,
-      resendMs: placement.resend_ms,
-      giveUpMs: placement.give_up_ms,
+      plan: { targetReplicaLoad: placement.load_of_replica, horizonMs: placement.horizon_ms },
+      pollIntervalMs: placement.state_ms,
+      activePollIntervalMs: placement.busy_state_ms,
+      resendAfterMs: placement.resend_ms,
+      moveTimeoutMs: placement.give_up_ms,
     },
   });
-  return kernel.provide(orderGiverName, dispatcher, dispatcher);
+  return kernel.provide(orderDispatcherName, dispatcher, dispatcher);
 }
--- a/packages/entry-box/src/provide-quota.ts
+++ b/packages/entry-box/src/provide-quota.ts
@@ -26,14 +26,14 @@
     {
       self: box.peer_address,
       allocators: (account) => currentAllocators(runtime, account),
-      ask: (address, ask) => peerClient.quota(address, ask),
+      sendRequest: (address, ask) => peerClient.quota(address, ask),
       connected: createConnectionCheck(runtime, holderView),
-      onAlone: (account, granted, part) =>
+      onIsolatedDecision: (account, granted, part) =>
         ports.logger.event("quotaAlone", { account, granted, part: rounded(part) }),
-      onShort: (allotted) =>
+      onExhausted: (allotted) =>
         ports.logger.event("quotaShort", { ...allotted, part: rounded(allotted.part) }),
-      ownPart: () => limitShares().own,
-      silentPart: () => limitShares().silent,
+      ownShare: () => limitShares().own,
+      silentShare: () => limitShares().silent,
     },
     {
       windowSeconds: accounts.window_s,
--- a/packages/entry-box/src/provide-state.ts
+++ b/packages/entry-box/src/provide-state.ts
@@ -18,11 +18,11 @@
 export function provideFleet({ kernel, settings }: BoxRuntime): Fleet {
   const { targets } = settings;
   const fleet = createFleet(kernel, {
-    lapse: { graceMs: targets.lapse_grace_ms, share: targets.lapse_share },
+    lapse: { graceMs: targets.lapse_grace_ms, minShare: targets.lapse_share },
     ejection: {
-      failuresInARow: targets.failures_in_a_row,
-      firstMs: targets.first_ejection_ms,
-      longestMs: targets.longest_ejection_ms,
+      consecutiveFailures: targets.failures_in_a_row,
+      initialMs: targets.first_ejection_ms,
+      maxMs: targets.longest_ejection_ms,
     },
   });
   return kernel.provide(fleetName, fleet);
@@ -39,17 +39,17 @@
     fleet,
     peers: createStoreReaders(runtime),
     times: {
-      waitMs: store.wait_ms,
-      gatherMs: 0,
-      firstPauseMs: store.first_pause_ms,
-      longestPauseMs: store.longest_pause_ms,
+      maxWaitMs: store.wait_ms,
+      coalesceMs: 0,
+      initialRetryPauseMs: store.first_pause_ms,
+      maxRetryPauseMs: store.longest_pause_ms,
     },
-    gatherTargetsMs: store.gather_targets_ms ?? targets.leaving_ms * batchingFraction,
+    coalesceTargetsMs: store.gather_targets_ms ?? targets.leaving_ms * batchingFraction,
     configurationKey: ports.configurationKey,
     settleMs: store.settle_ms,
   });
   const lapses = repeatEvery(ports.clock, ports.random, lapseCheckIntervalMs, () =>
-    fleet.expireLapsed(feed.storeDisturbed()),
+    fleet.expireMissing(feed.storeUnsettled()),
   );
   kernel.provide({ name: "lapses" }, undefined, lapses);
   return kernel.provide(desiredFeedName, feed, feed);
--- a/packages/entry-box/src/store-readers.ts
+++ b/packages/entry-box/src/store-readers.ts
@@ -20,7 +20,7 @@
   const decide = (): boolean => {
     const peers = kernel.find(peersName);
     if (peers.isFullMesh()) return true;
-    if (kernel.find(orderLeaseName).known()?.holder === incarnation) return true;
+    if (kernel.find(orderLeaseName).observedLease()?.holder === incarnation) return true;
     const readers = peers.statuses().filter((status) => status.reading);
     if (readers.length === 0) return true;
     // A reader that cannot reach the store is replaced by the next one in rank.
@@ -32,14 +32,14 @@
   };
 
   return {
-    reads() {
+    readsStore() {
       const now = ports.clock.now();
       if (now - decidedAt < minDecisionIntervalMs) return reads;
       decidedAt = now;
       reads = decide();
       return reads;
     },
-    anyReachesStore: () =>
+    anyReaderReachesStore: () =>
       kernel
         .find(peersName)
         .statuses()
--- a/packages/membership/src/exchange.ts
+++ b/packages/membership/src/exchange.ts
@@ -38,12 +38,12 @@
   >();
 
   const blameFor = (recipient: Incarnation, followed: number): BlameExchange => {
-    const message = blame.tell(followed);
+    const message = blame.changesSince(followed);
     const newRecords = message.records.length > 0 ? message : undefined;
-    return { word: newRecords, of: recipient, followed: blame.followed(recipient) };
+    return { word: newRecords, of: recipient, followed: blame.appliedSequence(recipient) };
   };
   const applyBlame = (from: MemberEntry, received: BlameExchange | undefined) => {
-    if (received?.word) blame.take(from.incarnation, received.word);
+    if (received?.word) blame.applyChanges(from.incarnation, received.word);
   };
   const blameAt = (address: string): BlameExchange => {
     const recipient = peerStates.get(address);
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -111,7 +111,7 @@
     const ages = summaries
       .recent()
       .map((entry) => entry.summary.logSilentMs + now - entry.receivedAt);
-    return Math.min(follower.silentFor(), ...ages);
+    return Math.min(follower.sinceLastResponseMs(), ...ages);
   };
 
   const summary = (): MemberSummary => ({
--- a/packages/routing/src/choose.ts
+++ b/packages/routing/src/choose.ts
@@ -39,12 +39,9 @@
 }
 
 /** Among the targets that are hardly busier than the least busy, the one the key is drawn to most. */
-function nearLeastAffinity<C extends Candidate>(
-  candidates: readonly C[],
-  context: ChoiceContext,
-): C {
-  const most = leastLoaded(candidates).load + context.affinitySlack;
-  const open = candidates.filter((candidate) => candidate.load <= most);
+function highestAffinity<C extends Candidate>(candidates: readonly C[], context: ChoiceContext): C {
+  const maxLoad = leastLoaded(candidates).load + context.affinitySlack;
+  const open = candidates.filter((candidate) => candidate.load <= maxLoad);
   const keyHash = hash32(context.affinityKey);
   let best = open[0];
   let bestScore = -1;
@@ -65,6 +62,6 @@
     .with("round_robin", () => candidates[context.turn % candidates.length])
     .with("least_load", () => leastLoaded(candidates))
     .with("two_choices", () => twoChoices(candidates, context.random))
-    .with("affinity", () => nearLeastAffinity(candidates, context))
+    .with("affinity", () => highestAffinity(candidates, context))
     .exhaustive();
 }
--- a/packages/usage-report/src/index.ts
+++ b/packages/usage-report/src/index.ts
@@ -26,7 +26,7 @@
 
 export interface UsageReports {
   /** Counts one request. */
-  note(account: string, model?: string, tokens?: number): void;
+  recordRequest(account: string, model?: string, tokens?: number): void;
   /** This box's own rate of an account, in requests a second. */
   ownRate(account: string): number;
   /** The account's rate over all boxes as its home last told it; undefined when it has not. */
@@ -91,7 +91,7 @@
   const homeOf = (account: string): Incarnation => {
     const serving = membership.serving();
     const pool = mainPoolOf(account);
-    const boxes = pool === undefined ? undefined : leases.boxesOf(pool);
+    const boxes = pool === undefined ? undefined : leases.boxesServing(pool);
     const candidates = serving.filter((entry) => boxes?.includes(entry.box) ?? true);
     const names = candidates.map((entry) => entry.incarnation);
     return rankNodes(account, names)[0] ?? self;
@@ -145,7 +145,7 @@
 
   const loop = repeatEvery(clock, kernel.find(randomName), everyMs, round);
   return {
-    note(account, model, tokens = 0) {
+    recordRequest(account, model, tokens = 0) {
       accounts.recordRequest(account, 0);
       if (model !== undefined) models.recordRequest(model, tokens);
     },
