--- a/packages/box-peers/src/member-table.ts
+++ b/packages/box-peers/src/member-table.ts
@@ -1,153 +1,158 @@
-/** All other boxes that one box knows, and which of them it takes for alive. */
+/** The other boxes known to this box, and whether it considers them alive. */
 import type { Clock } from "@linkfall/kernel";
 import type { Incarnation, Milliseconds } from "@linkfall/types";
-import { createMember, type Member, takeSighting, takeStatus } from "./member.js";
+import { createMember, type Member, applySighting, applyStatus } from "./member.js";
 import type { BoxAddress, Heartbeat, Sighting } from "./messages.js";
-import { isMesh, type PartnerRules, roundMs } from "./partners.js";
+import { fitsFullMesh, type PartnerOptions, computeRoundIntervalMs } from "./partners.js";
 
-export interface MemberRules extends PartnerRules {
-  /** Where other boxes reach this one. */
+export interface MemberOptions extends PartnerOptions {
+  /** Address at which other boxes reach this one. */
   readonly selfAddress: string;
-  /** Shortest time between two rounds of heartbeats. */
-  readonly roundMs: Milliseconds;
-  /** Time between two rounds for each other box, where that is longer. */
-  readonly roundPerBoxMs: Milliseconds;
-  /** A box that was not heard for this long gets no callers. */
-  readonly suspectMs: Milliseconds;
-  /** A box that the holder of the order lease vouched for is believed in for this long after the
-   * holder fell silent. */
-  readonly vouchedMs: Milliseconds;
-  /** A box that was not heard for this long is forgotten. */
-  readonly forgetMs: Milliseconds;
+  /** Minimum interval between two heartbeat rounds. */
+  readonly minRoundIntervalMs: Milliseconds;
+  /** Interval between two rounds per other box; replaces `minRoundIntervalMs` where the total is longer. */
+  readonly roundIntervalPerBoxMs: Milliseconds;
+  /** A box without a heartbeat for this long is suspected; scaled with the round interval. */
+  readonly baseSuspicionTimeoutMs: Milliseconds;
+  /** Time after the lease holder's last heartbeat for which its reports still keep boxes alive. */
+  readonly holderReportTtlMs: Milliseconds;
+  /** A box without a heartbeat for this long is removed. */
+  readonly removeAfterMs: Milliseconds;
 }
 
-/** What a look at the table found. */
+/** Result of a check for silent members. */
 export interface SilentMembers {
-  /** Boxes that are no longer taken for alive since this look. */
+  /** Boxes newly considered not alive. */
   readonly suspected: readonly Member[];
-  /** Boxes that were let go of. */
+  /** Boxes removed from the table. */
   readonly gone: readonly Member[];
 }
 
-/** What a status says beyond what was known of its box. */
-export type TakenStatus = "old" | "newer" | "new_incarnation";
+/** How a received status compares to the one known before. */
+export type StatusUpdate = "old" | "newer" | "new_incarnation";
 
 export interface MemberTable {
   all(): readonly Member[];
   find(incarnation: Incarnation): Member | undefined;
-  /** Notes where a box may be asked; undefined for this box itself. */
-  learn(address: BoxAddress): Member | undefined;
-  /** Takes what a box tells of itself and of others. */
-  take(heartbeat: Heartbeat): TakenStatus;
+  /** Adds the address of a box; returns undefined for this box itself. */
+  add(address: BoxAddress): Member | undefined;
+  /** Applies a box's status and its sightings of others. */
+  applyHeartbeat(heartbeat: Heartbeat): StatusUpdate;
   isAlive(member: Member): boolean;
-  /** A box as this one tells of it; none where nothing is known of it but its address. */
-  sightingOf(member: Member): readonly Sighting[];
-  /** Looks for boxes that have fallen silent, and forgets those that were silent for long. */
-  lookForSilent(): SilentMembers;
-  /** Most boxes that were known at once, this one included. */
-  most(): number;
+  /** The sighting of a box to send to others; empty if only its address is known. */
+  toSightings(member: Member): readonly Sighting[];
+  /** Marks boxes that have become silent as suspected, and removes those silent for `removeAfterMs`. */
+  detectSilent(): SilentMembers;
+  /** Highest number of boxes known at the same time, including this one. */
+  maxKnownBoxes(): number;
   /** Whether every box exchanges heartbeats with every other one. */
-  mesh(): boolean;
-  /** Time between two rounds of heartbeats. */
-  intervalMs(): Milliseconds;
-  /** Silence after which a box is suspected: a few rounds. */
-  suspectMs(): Milliseconds;
+  isFullMesh(): boolean;
+  /** Interval between two heartbeat rounds. */
+  roundIntervalMs(): Milliseconds;
+  /** Time without a heartbeat after which a box is suspected; a few rounds. */
+  suspicionTimeoutMs(): Milliseconds;
 }
 
-/** In a large deployment, boxes without callers make their rounds so many times as far apart. */
-export const restingFactor = 2;
+/** Factor by which boxes without callers lengthen their rounds in a large deployment. */
+export const idleRoundFactor = 2;
 
-/** Creates a table of no boxes. */
-export function createMemberTable(clock: Clock, rules: MemberRules): MemberTable {
+/** Creates an empty table. */
+export function createMemberTable(clock: Clock, options: MemberOptions): MemberTable {
   const members = new Map<string, Member>();
-  /** Boxes that were heard themselves. */
-  const heard = new Map<Incarnation, Member>();
-  let most = 1;
+  /** Members that have sent a heartbeat themselves. */
+  const byIncarnation = new Map<Incarnation, Member>();
+  let maxKnownBoxes = 1;
 
   const all = () => [...members.values()];
-  const find = (incarnation: Incarnation) => heard.get(incarnation);
-  const mesh = () => isMesh(members.size, rules);
-  const intervalMs = () => roundMs(rules.roundMs, rules.roundPerBoxMs, members.size);
-  const suspectMs = () => (rules.suspectMs * intervalMs()) / rules.roundMs;
-  const mayRestMs = (member: Member) =>
-    mesh() || member.profile?.takesRequests ? suspectMs() : suspectMs() * restingFactor;
+  const find = (incarnation: Incarnation) => byIncarnation.get(incarnation);
+  const isFullMesh = () => fitsFullMesh(members.size, options);
+  const roundIntervalMs = () =>
+    computeRoundIntervalMs(options.minRoundIntervalMs, options.roundIntervalPerBoxMs, members.size);
+  const suspicionTimeoutMs = () =>
+    (options.baseSuspicionTimeoutMs * roundIntervalMs()) / options.minRoundIntervalMs;
+  const maxSilenceMs = (member: Member) =>
+    isFullMesh() || member.profile?.takesRequests
+      ? suspicionTimeoutMs()
+      : suspicionTimeoutMs() * idleRoundFactor;
 
-  const learn = (address: BoxAddress): Member | undefined => {
-    if (address.peerAddress === rules.selfAddress) return undefined;
+  const add = (address: BoxAddress): Member | undefined => {
+    if (address.peerAddress === options.selfAddress) return undefined;
     const known = members.get(address.peerAddress);
     if (known) return known;
     const member = createMember(address, clock.now());
     members.set(address.peerAddress, member);
-    most = Math.max(most, members.size + 1);
+    maxKnownBoxes = Math.max(maxKnownBoxes, members.size + 1);
     return member;
   };
 
   const isAlive = (member: Member): boolean => {
     const now = clock.now();
-    if (now - member.seenAt <= mayRestMs(member)) return true;
-    if (member.vouchedBy === undefined) return false;
-    const holder = find(member.vouchedBy);
-    return holder !== undefined && clock.elapsed() - holder.heardAt <= rules.vouchedMs;
+    if (now - member.lastSeenAt <= maxSilenceMs(member)) return true;
+    if (member.reportedAliveBy === undefined) return false;
+    const holder = find(member.reportedAliveBy);
+    return (
+      holder !== undefined && clock.elapsed() - holder.lastHeartbeatAt <= options.holderReportTtlMs
+    );
   };
 
-  const takeSightings = ({ status, sightings, report }: Heartbeat) => {
+  const applySightings = ({ status, sightings, report }: Heartbeat) => {
     const now = clock.now();
     for (const sighting of sightings) {
-      const member = learn(sighting);
-      if (member) takeSighting(member, sighting, now);
+      const member = add(sighting);
+      if (member) applySighting(member, sighting, now);
     }
     for (const sighting of report?.members ?? []) {
-      const member = learn(sighting);
-      if (member) takeSighting(member, sighting, now, status.incarnation);
+      const member = add(sighting);
+      if (member) applySighting(member, sighting, now, status.incarnation);
     }
   };
 
   const isSuspect = (member: Member) =>
     member.profile !== undefined && !member.suspected && !isAlive(member);
   const isLongSilent = (member: Member) => {
-    const last = Math.max(member.seenAt, member.learntAt);
-    return !isAlive(member) && clock.now() - last > rules.forgetMs;
+    const lastContactAt = Math.max(member.lastSeenAt, member.addedAt);
+    return !isAlive(member) && clock.now() - lastContactAt > options.removeAfterMs;
   };
 
   return {
     all,
     find,
-    learn,
-    take(heartbeat) {
-      takeSightings(heartbeat);
+    add,
+    applyHeartbeat(heartbeat) {
+      applySightings(heartbeat);
       const { status } = heartbeat;
-      const member = learn(status);
-      const before = member?.status?.incarnation;
-      if (!member || !takeStatus(member, status, clock.now(), clock.elapsed())) return "old";
+      const member = add(status);
+      const previous = member?.status?.incarnation;
+      if (!member || !applyStatus(member, status, clock.now(), clock.elapsed())) return "old";
       member.suspected = false;
-      if (before === status.incarnation) return "newer";
-      if (before !== undefined) heard.delete(before);
-      heard.set(status.incarnation, member);
+      if (previous === status.incarnation) return "newer";
+      if (previous !== undefined) byIncarnation.delete(previous);
+      byIncarnation.set(status.incarnation, member);
       return "new_incarnation";
     },
     isAlive,
-    sightingOf(member) {
+    toSightings(member) {
       if (!member.profile) return [];
       const { box, incarnation, frontAddress, peerAddress, domain, capacity } = member.profile;
       const { ready, leaving, strained, takesRequests, reading } = member.profile;
-      const ageMs = Math.round(clock.now() - member.seenAt);
+      const ageMs = Math.round(clock.now() - member.lastSeenAt);
       const identity = { box, incarnation, frontAddress, peerAddress, domain, capacity };
       const state = { ready, leaving, strained, takesRequests, reading };
       return [{ ...identity, ...state, ageMs, silent: !isAlive(member) }];
     },
-    lookForSilent() {
+    detectSilent() {
       const suspected = all().filter(isSuspect);
       for (const member of suspected) member.suspected = true;
       const gone = all().filter(isLongSilent);
       for (const member of gone) {
         members.delete(member.address.peerAddress);
-        if (member.status) heard.delete(member.status.incarnation);
+        if (member.status) byIncarnation.delete(member.status.incarnation);
       }
       return { suspected, gone };
     },
-    most: () => most,
-    mesh,
-    intervalMs,
-    suspectMs,
+    maxKnownBoxes: () => maxKnownBoxes,
+    isFullMesh,
+    roundIntervalMs,
+    suspicionTimeoutMs,
   };
 }
--- a/packages/box-peers/src/peers.ts
+++ b/packages/box-peers/src/peers.ts
@@ -1,4 +1,4 @@
-/** Knows the other boxes: by the heartbeats that they exchange and by what others tell of them. */
+/** Tracks the other boxes through heartbeats and the sightings contained in them. */
 import {
   type CancelTimer,
   clockName,
@@ -10,155 +10,162 @@
 import { loggerName } from "@linkfall/logger";
 import type { Incarnation, Milliseconds } from "@linkfall/types";
 import type { Member } from "./member.js";
-import { createMemberTable, type MemberRules, restingFactor } from "./member-table.js";
+import { createMemberTable, type MemberOptions, idleRoundFactor } from "./member-table.js";
 import type { BoxAddress, BoxProfile, BoxStatus, Heartbeat, Sighting } from "./messages.js";
-import { partnersOfRound, sample } from "./partners.js";
+import { selectPartners, sample } from "./partners.js";
 import type { PeerClient } from "./transport.js";
 
-export interface PeerRules extends MemberRules {
-  /** Sightings in one heartbeat. */
-  readonly sightings: number;
+export interface PeerOptions extends MemberOptions {
+  /** Maximum number of sightings in a heartbeat. */
+  readonly maxSightings: number;
 }
 
-/** What this box puts into its heartbeats. */
+/** Provides the content of this box's heartbeats. */
 export interface HeartbeatSource {
-  /** A message for one reader, or for a box that has not been heard yet. */
-  message(reader: BoxStatus | undefined, sightings: readonly Sighting[]): Heartbeat;
-  /** The holder of the order lease, as far as this box knows. */
+  /** Creates a heartbeat; `recipient` is undefined for a box that has not sent one yet. */
+  createHeartbeat(recipient: BoxStatus | undefined, sightings: readonly Sighting[]): Heartbeat;
+  /** The lease holder known to this box. */
   holder(): Incarnation | undefined;
-  /** Whether this box has no callers now. */
-  resting(): boolean;
+  /** Whether this box currently has no callers. */
+  isIdle(): boolean;
 }
 
 export interface Peers extends Service {
-  /** Notes where a box may be asked. */
-  learn(address: BoxAddress): void;
-  /** Answers the heartbeat of another box with this one's. */
+  /** Adds the address of a box to contact. */
+  addPeer(address: BoxAddress): void;
+  /** Applies the heartbeat of another box and returns this box's reply. */
   receive(heartbeat: Heartbeat): Heartbeat;
-  /** Boxes that are taken for alive, without this one. */
+  /** Profiles of the boxes considered alive, without this one. */
   alive(): readonly BoxProfile[];
-  /** Statuses that came from boxes themselves lately. */
+  /** Statuses of the boxes that recently sent a heartbeat to this one. */
   statuses(): readonly BoxStatus[];
-  /** Every known box as this one tells of it. */
+  /** Sightings of all known boxes. */
   sightings(): readonly Sighting[];
-  /** Time since the box itself was heard. */
-  heardMs(incarnation: Incarnation): Milliseconds | undefined;
-  /** Time since any other box was heard; 0 where none is known. */
-  silentMs(): Milliseconds;
-  /** Silence after which a box is suspected. */
-  suspectMs(): Milliseconds;
-  find(incarnation: Incarnation): BoxStatus | undefined;
-  /** Most boxes that were known at once, this one included. */
-  most(): number;
+  /** Time since the last heartbeat from the box itself. */
+  sinceHeartbeatMs(incarnation: Incarnation): Milliseconds | undefined;
+  /** Time since the last heartbeat from any other box; 0 if none is known. */
+  sinceAnyHeartbeatMs(): Milliseconds;
+  /** Time without a heartbeat after which a box is suspected. */
+  suspicionTimeoutMs(): Milliseconds;
+  findStatus(incarnation: Incarnation): BoxStatus | undefined;
+  /** Highest number of boxes known at the same time, including this one. */
+  maxKnownBoxes(): number;
   /** Whether every box exchanges heartbeats with every other one. */
-  mesh(): boolean;
-  /** Sends a heartbeat now to the boxes of a round, or to those that are chosen. */
-  send(chosen?: (member: Member) => boolean): void;
+  isFullMesh(): boolean;
+  /** Sends heartbeats immediately to the partners of the current round, or to all members that match `filter`. */
+  sendHeartbeats(filter?: (member: Member) => boolean): void;
   onHeartbeat(listener: (heartbeat: Heartbeat) => void): void;
 }
 
 export const peersName = serviceName<Peers>("peers");
 
-/** Calls to one box: one at a time, and one more where there is news meanwhile. */
-interface Calling {
-  again: boolean;
+/** The call to one box in progress; `repeat` requests another one after it. */
+interface PendingCall {
+  repeat: boolean;
 }
 
-/** One of so many heartbeats tells a box of another that it knows already, should it have missed it. */
-const rememberEvery = 4;
-/** Share of the interval by which rounds vary, so that boxes do not act in step. */
-const jitterShare = 0.2;
+/** One in this many heartbeats carries a sighting that the recipient should already have, in case it was lost. */
+const redundantSightingPeriod = 4;
+/** Fraction of the interval by which rounds vary, to keep boxes from synchronizing. */
+const jitterFraction = 0.2;
 /**
- * A box heard within this share of the interval is not asked in a round: each exchange tells both sides
- * everything, so that one of each pair in a round is enough. The longest time between two exchanges
- * stays under two rounds.
+ * A box with a heartbeat within this fraction of the interval is skipped in a round, since an exchange informs both
+ * sides. Two boxes still exchange heartbeats at least every two rounds.
  */
-const heardShare = 0.6;
+const recentContactFraction = 0.6;
 
 export function createPeers(
   kernel: Kernel,
   client: PeerClient,
   source: HeartbeatSource,
-  rules: PeerRules,
+  options: PeerOptions,
 ): Peers {
   const clock = kernel.find(clockName);
   const random = kernel.find(randomName);
   const logger = kernel.find(loggerName);
-  const table = createMemberTable(clock, rules);
-  const calling = new Map<Member, Calling>();
+  const table = createMemberTable(clock, options);
+  const pendingCalls = new Map<Member, PendingCall>();
   const listeners: ((heartbeat: Heartbeat) => void)[] = [];
   let round = 0;
   let stopped = false;
   let cancel: CancelTimer = () => undefined;
 
-  const take = (heartbeat: Heartbeat) => {
+  const applyHeartbeat = (heartbeat: Heartbeat) => {
     const { box, incarnation } = heartbeat.status;
-    const taken = table.take(heartbeat);
-    if (taken === "old") return;
-    if (taken === "new_incarnation") logger.event("memberJoined", { box, incarnation });
+    const update = table.applyHeartbeat(heartbeat);
+    if (update === "old") return;
+    if (update === "new_incarnation") logger.event("memberJoined", { box, incarnation });
     for (const listener of listeners) listener(heartbeat);
   };
 
-  /** A box that hears all others, or follows the holder's reports, knows them already, but for new ones. */
-  const sightingsFor = (reader?: BoxStatus): readonly Member[] => {
-    const knowsOthers = reader !== undefined && (table.mesh() || reader.followed !== undefined);
-    if (knowsOthers && random.below(rememberEvery) !== 0) return [];
+  /** Members to include; a recipient in a full mesh or with the lease holder's reports needs only a rare one. */
+  const sightingsFor = (recipient?: BoxStatus): readonly Member[] => {
+    const knowsMembers =
+      recipient !== undefined && (table.isFullMesh() || recipient.followed !== undefined);
+    if (knowsMembers && random.below(redundantSightingPeriod) !== 0) return [];
     const alive = table.all().filter(table.isAlive);
-    return sample(alive, knowsOthers ? 1 : rules.sightings, random);
+    return sample(alive, knowsMembers ? 1 : options.maxSightings, random);
   };
 
-  const message = (reader?: BoxStatus): Heartbeat => {
-    return source.message(reader, sightingsFor(reader).flatMap(table.sightingOf));
+  const createMessage = (recipient?: BoxStatus): Heartbeat => {
+    return source.createHeartbeat(recipient, sightingsFor(recipient).flatMap(table.toSightings));
   };
 
-  const ask = async (member: Member): Promise<void> => {
-    const call: Calling = { again: false };
-    calling.set(member, call);
-    const reply = await client.exchange(member.address.peerAddress, message(member.status));
-    calling.delete(member);
-    reply.ifRight(take);
-    if (call.again && reply.isRight() && !stopped) await ask(member);
+  const exchangeWith = async (member: Member): Promise<void> => {
+    const call: PendingCall = { repeat: false };
+    pendingCalls.set(member, call);
+    const reply = await client.exchange(member.address.peerAddress, createMessage(member.status));
+    pendingCalls.delete(member);
+    reply.ifRight(applyHeartbeat);
+    if (call.repeat && reply.isRight() && !stopped) await exchangeWith(member);
   };
-  /** Asks now, or as soon as the call under way is answered. */
-  const askSoon = (member: Member) => {
-    const call = calling.get(member);
-    if (call) call.again = true;
-    else void ask(member);
+  /** Exchanges heartbeats now, or right after the call in progress. */
+  const requestExchange = (member: Member) => {
+    const call = pendingCalls.get(member);
+    if (call) call.repeat = true;
+    else void exchangeWith(member);
   };
 
   const logSilent = () => {
-    const { suspected, gone } = table.lookForSilent();
+    const { suspected, gone } = table.detectSilent();
     for (const { profile } of suspected) {
       logger.event("memberSuspected", { box: profile?.box, incarnation: profile?.incarnation });
     }
     for (const { address } of gone) logger.event("memberGone", { box: address.box });
   };
 
-  const partners = (): readonly Member[] => {
+  const currentPartners = (): readonly Member[] => {
     const holder = source.holder();
-    const heardAt = holder === undefined ? undefined : table.find(holder)?.heardAt;
-    const holderHeard = heardAt !== undefined && clock.elapsed() - heardAt <= table.suspectMs();
-    return partnersOfRound({ members: table.all(), holder, holderHeard, round }, rules, random);
+    const lastHeartbeatAt = holder === undefined ? undefined : table.find(holder)?.lastHeartbeatAt;
+    const holderReachable =
+      lastHeartbeatAt !== undefined &&
+      clock.elapsed() - lastHeartbeatAt <= table.suspicionTimeoutMs();
+    return selectPartners(
+      { members: table.all(), holder, holderReachable, round },
+      options,
+      random,
+    );
   };
 
   const isDue = (member: Member) =>
-    !calling.has(member) && clock.elapsed() - member.heardAt > table.intervalMs() * heardShare;
+    !pendingCalls.has(member) &&
+    clock.elapsed() - member.lastHeartbeatAt > table.roundIntervalMs() * recentContactFraction;
 
   const runRound = () => {
     if (stopped) return;
     round += 1;
     logSilent();
-    for (const member of partners()) if (isDue(member)) void ask(member);
-    const jitter = 1 + jitterShare * (random.fraction() - 0.5);
-    const factor = source.resting() && !table.mesh() ? restingFactor : 1;
-    cancel = clock.after(table.intervalMs() * factor * jitter, runRound);
+    for (const member of currentPartners()) if (isDue(member)) void exchangeWith(member);
+    const jitter = 1 + jitterFraction * (random.fraction() - 0.5);
+    const factor = source.isIdle() && !table.isFullMesh() ? idleRoundFactor : 1;
+    cancel = clock.after(table.roundIntervalMs() * factor * jitter, runRound);
   };
 
   return {
-    learn: (address) => void table.learn(address),
+    addPeer: (address) => void table.add(address),
     receive(heartbeat) {
-      take(heartbeat);
-      return message(heartbeat.status);
+      applyHeartbeat(heartbeat);
+      return createMessage(heartbeat.status);
     },
     alive: () =>
       table.all().flatMap((member) => (table.isAlive(member) ? (member.profile ?? []) : [])),
@@ -166,26 +173,26 @@
       table
         .all()
         .flatMap((member) =>
-          member.status && clock.elapsed() - member.heardAt <= table.suspectMs()
+          member.status && clock.elapsed() - member.lastHeartbeatAt <= table.suspicionTimeoutMs()
             ? member.status
             : [],
         ),
-    sightings: () => table.all().flatMap(table.sightingOf),
-    heardMs(incarnation) {
+    sightings: () => table.all().flatMap(table.toSightings),
+    sinceHeartbeatMs(incarnation) {
       const member = table.find(incarnation);
-      return member && clock.elapsed() - member.heardAt;
+      return member && clock.elapsed() - member.lastHeartbeatAt;
     },
-    silentMs() {
-      const heardAt = table.all().map((member) => member.heardAt);
-      return heardAt.length === 0 ? 0 : clock.elapsed() - Math.max(...heardAt);
+    sinceAnyHeartbeatMs() {
+      const lastHeartbeatAt = table.all().map((member) => member.lastHeartbeatAt);
+      return lastHeartbeatAt.length === 0 ? 0 : clock.elapsed() - Math.max(...lastHeartbeatAt);
     },
-    suspectMs: table.suspectMs,
-    find: (incarnation) => table.find(incarnation)?.status,
-    most: table.most,
-    mesh: table.mesh,
-    send(chosen) {
-      const members = chosen ? table.all().filter(chosen) : partners();
-      for (const member of members) askSoon(member);
+    suspicionTimeoutMs: table.suspicionTimeoutMs,
+    findStatus: (incarnation) => table.find(incarnation)?.status,
+    maxKnownBoxes: table.maxKnownBoxes,
+    isFullMesh: table.isFullMesh,
+    sendHeartbeats(filter) {
+      const members = filter ? table.all().filter(filter) : currentPartners();
+      for (const member of members) requestExchange(member);
     },
     onHeartbeat: (listener) => void listeners.push(listener),
     async start() {
--- a/packages/box-peers/src/transport.ts
+++ b/packages/box-peers/src/transport.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between boxes over gRPC, each one JSON text, all those to one box on one stream: a call for
- * each costs a small box about ten times as much.
+ * Transport of messages between boxes: JSON over one gRPC stream per box, which is much cheaper than a unary
+ * call per message.
  */
 import {
   Client,
@@ -19,19 +19,19 @@
 import type { Milliseconds } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
 import type { ConfigurationCopy, Heartbeat } from "./messages.js";
-import { fromBytes, longestMessage, toBytes } from "./wire-format.js";
+import { decodeMessage, maxMessageBytes, encodeMessage } from "./wire-format.js";
 
-/** What a box answers to others. */
+/** Handles messages from other boxes. */
 export interface PeerHandler {
   exchange(heartbeat: Heartbeat): Heartbeat;
   configuration(): ConfigurationCopy;
-  /** Allots a part of an account's limit. */
+  /** Allocates part of an account's rate limit. */
   quota(ask: QuotaRequest): Promise<QuotaGrant>;
-  /** Hands out a permit at a target that has named a limit. */
+  /** Grants a permit for a target with a rate limit. */
   permit(ask: PermitRequest): Promise<PermitGrant>;
 }
 
-/** Asks other boxes. */
+/** Sends messages to other boxes. */
 export interface PeerClient {
   exchange(address: string, heartbeat: Heartbeat): Promise<Either<PeerUnreachable, Heartbeat>>;
   configuration(address: string): Promise<Either<PeerUnreachable, ConfigurationCopy>>;
@@ -45,7 +45,7 @@
   close(): void;
 }
 
-/** One message; its answer has the same kind. */
+/** A message; its answer has the same kind. */
 type Ask =
   | { readonly kind: "heartbeat"; readonly heartbeat: Heartbeat }
   | { readonly kind: "configuration" }
@@ -61,16 +61,16 @@
   path: "/linkfall.Boxes/Exchange",
   requestStream: true,
   responseStream: true,
-  requestSerialize: toBytes,
-  requestDeserialize: fromBytes,
-  responseSerialize: toBytes,
-  responseDeserialize: fromBytes,
+  requestSerialize: encodeMessage,
+  requestDeserialize: decodeMessage,
+  responseSerialize: encodeMessage,
+  responseDeserialize: decodeMessage,
 };
 
-/** A stream not used for so long is closed: a large deployment's boxes meet many others now and then. */
-const unusedMs: Milliseconds = 15_000;
-const options = {
-  "grpc.max_receive_message_length": longestMessage,
+/** Unused streams are closed, since boxes of a large deployment contact many others only occasionally. */
+const idleTimeoutMs: Milliseconds = 15_000;
+const channelOptions = {
+  "grpc.max_receive_message_length": maxMessageBytes,
   "grpc.initial_reconnect_backoff_ms": 100,
   "grpc.min_reconnect_backoff_ms": 100,
   "grpc.max_reconnect_backoff_ms": 500,
@@ -82,11 +82,11 @@
 
 interface OpenStream {
   readonly stream: AskStream<Ask, Answer>;
-  usedAt: Milliseconds;
+  lastUsedAt: Milliseconds;
 }
 
 function dial(address: string) {
-  const client = new Client(`ipv4:${address}`, credentials.createInsecure(), options);
+  const client = new Client(`ipv4:${address}`, credentials.createInsecure(), channelOptions);
   const { path, requestSerialize, responseDeserialize } = exchange;
   return {
     stream: client.makeBidiStreamRequest(path, requestSerialize, responseDeserialize),
@@ -94,58 +94,58 @@
   };
 }
 
-function otherKind(answer: Answer): PeerUnreachable {
+function unexpectedAnswer(answer: Answer): PeerUnreachable {
   const reason = `answered with ${answer.kind}`;
   return { kind: "peer_unreachable", reason, mayHaveArrived: true };
 }
 
-/** Creates a client that keeps one stream to each box that it asks. */
-export function createPeerClient(clock: Clock, callMs: Milliseconds): PeerClient {
+/** Creates a client that keeps one stream per box. */
+export function createPeerClient(clock: Clock, callTimeoutMs: Milliseconds): PeerClient {
   const streams = new Map<string, OpenStream>();
 
-  const closeUnused = () => {
-    const oldest = clock.now() - unusedMs;
-    for (const [address, { stream, usedAt }] of streams) {
-      if (usedAt >= oldest) continue;
+  const closeIdle = () => {
+    const idleSince = clock.now() - idleTimeoutMs;
+    for (const [address, { stream, lastUsedAt }] of streams) {
+      if (lastUsedAt >= idleSince) continue;
       stream.close();
       streams.delete(address);
     }
   };
   const streamTo = (address: string): AskStream<Ask, Answer> => {
-    const known = streams.get(address);
-    if (known) {
-      known.usedAt = clock.now();
-      return known.stream;
+    const existing = streams.get(address);
+    if (existing) {
+      existing.lastUsedAt = clock.now();
+      return existing.stream;
     }
-    closeUnused();
-    const stream = createAskStream<Ask, Answer>(clock, callMs, () => dial(address));
-    streams.set(address, { stream, usedAt: clock.now() });
+    closeIdle();
+    const stream = createAskStream<Ask, Answer>(clock, callTimeoutMs, () => dial(address));
+    streams.set(address, { stream, lastUsedAt: clock.now() });
     return stream;
   };
 
   return {
     async exchange(address, heartbeat) {
-      const answered = await streamTo(address).ask({ kind: "heartbeat", heartbeat });
-      return answered.chain((answer) =>
-        answer.kind === "heartbeat" ? Right(answer.heartbeat) : Left(otherKind(answer)),
+      const reply = await streamTo(address).ask({ kind: "heartbeat", heartbeat });
+      return reply.chain((answer) =>
+        answer.kind === "heartbeat" ? Right(answer.heartbeat) : Left(unexpectedAnswer(answer)),
       );
     },
     async configuration(address) {
-      const answered = await streamTo(address).ask({ kind: "configuration" });
-      return answered.chain((answer) =>
-        answer.kind === "configuration" ? Right(answer.copy) : Left(otherKind(answer)),
+      const reply = await streamTo(address).ask({ kind: "configuration" });
+      return reply.chain((answer) =>
+        answer.kind === "configuration" ? Right(answer.copy) : Left(unexpectedAnswer(answer)),
       );
     },
     async quota(address, ask) {
-      const answered = await streamTo(address).ask({ kind: "quota", ask });
-      return answered.chain((answer) =>
-        answer.kind === "quota" ? Right(answer.grant) : Left(otherKind(answer)),
+      const reply = await streamTo(address).ask({ kind: "quota", ask });
+      return reply.chain((answer) =>
+        answer.kind === "quota" ? Right(answer.grant) : Left(unexpectedAnswer(answer)),
       );
     },
     async permit(address, ask) {
-      const answered = await streamTo(address).ask({ kind: "permit", ask });
-      return answered.chain((answer) =>
-        answer.kind === "permit" ? Right(answer.grant) : Left(otherKind(answer)),
+      const reply = await streamTo(address).ask({ kind: "permit", ask });
+      return reply.chain((answer) =>
+        answer.kind === "permit" ? Right(answer.grant) : Left(unexpectedAnswer(answer)),
       );
     },
     close() {
@@ -155,7 +155,7 @@
   };
 }
 
-async function answerTo(handler: PeerHandler, ask: Ask): Promise<Answer> {
+async function handleAsk(handler: PeerHandler, ask: Ask): Promise<Answer> {
   switch (ask.kind) {
     case "configuration":
       return { kind: ask.kind, copy: handler.configuration() };
@@ -168,14 +168,14 @@
   }
 }
 
-/** Creates a server that answers other boxes. */
+/** Creates a server for messages from other boxes. */
 export function createPeerServer(handler: PeerHandler): PeerServer {
-  const server = new Server(options);
+  const server = new Server(channelOptions);
   const implementation: UntypedServiceImplementation = {
     exchange: ((call: ServerDuplexStream<Numbered<Ask>, Numbered<Answer>>) => {
       call.on("data", ({ number, body }: Numbered<Ask>) => {
         if (body === undefined) return;
-        void answerTo(handler, body).then((answer) => {
+        void handleAsk(handler, body).then((answer) => {
           if (call.writable) call.write({ number, body: answer });
         });
       });
--- a/packages/demand-meter/src/index.ts
+++ b/packages/demand-meter/src/index.ts
@@ -1,34 +1,35 @@
-/** Measures demand by model, as an exponentially smoothed rate. */
+/** Measures the demand for each model as exponentially smoothed rates. */
 import type { Clock } from "@linkfall/kernel";
 import type { DemandSample, Milliseconds } from "@linkfall/types";
 
-const smoothingMs: Milliseconds = 20_000;
+const timeConstantMs: Milliseconds = 20_000;
 const millisecondsPerSecond = 1000;
-/** Rates under this are not worth passing on. */
-const negligibleRate = 0.001;
+/** Models with a lower rate, in requests per second, are dropped. */
+const minReportedRate = 0.001;
 
-interface Decaying {
+/** Totals that decay exponentially with time. */
+interface DecayingTotals {
   requests: number;
   tokens: number;
-  at: Milliseconds;
+  updatedAt: Milliseconds;
 }
 
 export interface DemandMeter {
-  /** Counts one request that asks for `tokens` output tokens. */
-  note(model: string, tokens: number): void;
-  /** This box's own demand. */
-  own(): readonly DemandSample[];
+  /** Records a request for up to `tokens` output tokens. */
+  recordRequest(model: string, tokens: number): void;
+  /** Current demand at this box, by model. */
+  localDemand(): readonly DemandSample[];
 }
 
-function decay(entry: Decaying, now: Milliseconds): void {
-  const factor = Math.exp(-(now - entry.at) / smoothingMs);
+function decay(entry: DecayingTotals, now: Milliseconds): void {
+  const factor = Math.exp(-(now - entry.updatedAt) / timeConstantMs);
   entry.requests *= factor;
   entry.tokens *= factor;
-  entry.at = now;
+  entry.updatedAt = now;
 }
 
-function toSample(model: string, entry: Decaying): DemandSample {
-  const seconds = smoothingMs / millisecondsPerSecond;
+function toSample(model: string, entry: DecayingTotals): DemandSample {
+  const seconds = timeConstantMs / millisecondsPerSecond;
   return {
     model,
     requestsPerSecond: entry.requests / seconds,
@@ -36,25 +37,25 @@
   };
 }
 
-/** Creates a meter that has seen nothing. */
+/** Creates a meter without any recorded requests. */
 export function createDemandMeter(clock: Clock): DemandMeter {
-  const entries = new Map<string, Decaying>();
+  const entries = new Map<string, DecayingTotals>();
   return {
-    note(model, tokens) {
+    recordRequest(model, tokens) {
       const now = clock.now();
-      const entry = entries.get(model) ?? { requests: 0, tokens: 0, at: now };
+      const entry = entries.get(model) ?? { requests: 0, tokens: 0, updatedAt: now };
       entries.set(model, entry);
       decay(entry, now);
       entry.requests += 1;
       entry.tokens += tokens;
     },
-    own() {
+    localDemand() {
       const now = clock.now();
       const samples: DemandSample[] = [];
       for (const [model, entry] of entries) {
         decay(entry, now);
         const sample = toSample(model, entry);
-        if (sample.requestsPerSecond < negligibleRate) entries.delete(model);
+        if (sample.requestsPerSecond < minReportedRate) entries.delete(model);
         else samples.push(sample);
       }
       return samples;
@@ -62,16 +63,16 @@
   };
 }
 
-/** Each model's share of the tokens that are asked for, over all samples. */
+/** Computes each model's fraction of all requested tokens per second; empty if there are none. */
 export function demandShares(
   reports: readonly (readonly DemandSample[])[],
 ): ReadonlyMap<string, number> {
   const totals = new Map<string, number>();
-  let all = 0;
+  let totalTokens = 0;
   for (const sample of reports.flat()) {
     totals.set(sample.model, (totals.get(sample.model) ?? 0) + sample.tokensPerSecond);
-    all += sample.tokensPerSecond;
+    totalTokens += sample.tokensPerSecond;
   }
-  if (all === 0) return new Map();
-  return new Map([...totals].map(([model, tokens]) => [model, tokens / all]));
+  if (totalTokens === 0) return new Map();
+  return new Map([...totals].map(([model, tokens]) => [model, tokens / totalTokens]));
 }
--- a/packages/entry-box/src/create-entry-box.ts
+++ b/packages/entry-box/src/create-entry-box.ts
@@ -1,4 +1,4 @@
-/** Wires the services of a box that forwards opaque requests. */
+/** Assembles the services of a box that forwards opaque requests. */
 import { createPeerServer, peersName } from "@linkfall/box-peers";
 import { crashBlameName } from "@linkfall/crash-blame";
 import { type DesiredFeed, desiredFeedName } from "@linkfall/desired-feed";
@@ -6,116 +6,120 @@
 import { metricsName } from "@linkfall/metrics";
 import { orderLeaseName } from "@linkfall/order-lease";
 import type { HeldRequest, LimitedTarget, Milliseconds } from "@linkfall/types";
-import { createAcceptWatch } from "./accept-watch.js";
-import { type BoxParts, createBoxParts } from "./box-parts.js";
+import { createAcceptQueueMonitor } from "./accept-watch.js";
+import { type BoxRuntime, createBoxRuntime } from "./box-runtime.js";
 import { createBoundedLabel } from "./bounded-label.js";
 import type { EntryBoxPorts } from "./box-ports.js";
-import { chooseEntries, type EntryOfBox } from "./entries.js";
+import { chooseEntries, type EntryCandidate } from "./entries.js";
 import { createFleetWaiter, createForwardContext } from "./forward-context.js";
 import { createFront, type Front } from "./front.js";
 import { registerGauges } from "./gauges.js";
 import { handleRequest } from "./handle-request.js";
-import { heldStoreName, provideBlame } from "./provide-blame.js";
-import { provideLimits, targetLimitsName } from "./provide-limits.js";
-import { provideGiver, provideLease } from "./provide-orders.js";
-import { accountQuotaName, provideQuota } from "./provide-quota.js";
+import { heldStoreName, provideCrashBlame } from "./provide-blame.js";
+import { provideTargetLimits, targetLimitsName } from "./provide-limits.js";
+import { provideOrderDispatcher, provideOrderLease } from "./provide-orders.js";
+import { accountQuotaName, provideAccountQuota } from "./provide-quota.js";
 import { provideFeed, provideFleet, providePeers } from "./provide-state.js";
-import { followRegistry } from "./registry.js";
+import { followRegistry } from "./box-registry.js";
 import { createHeartbeatSource } from "./heartbeat-source.js";
-import { type HolderKnowledge, receiveHeartbeats } from "./heartbeat-receiver.js";
+import { type LeaseHolderView, receiveHeartbeats } from "./heartbeat-receiver.js";
 import { ownProfile } from "./own-profile.js";
-import { createSettingsTaker, learnSeeds } from "./take-settings.js";
+import { addSeeds, createSettingsUpdater } from "./settings-update.js";
 
-/** Addresses that callers may use now. */
-export interface Entries {
+/** Box addresses for callers and the time for which they may be cached. */
+export interface EntryAddresses {
   readonly addresses: readonly string[];
   readonly lifetimeMs: Milliseconds;
 }
 
 export interface EntryBox {
   start(): Promise<void>;
-  /** Planned stop; resolves when nothing depends on the process any more. */
+  /** Shuts down gracefully; resolves when the process may exit. */
   drain(): Promise<void>;
-  /** Takes settings that were read while the box runs: new seeds at once, the rest from its next start on. */
-  takeSettings(read: EntrySettings): void;
+  /** Applies settings read while the box runs: new seeds immediately, everything else at the next start. */
+  applySettings(read: EntrySettings): void;
   ready(): boolean;
-  /** Addresses for a caller in the given failure domain. */
-  entries(domain?: string): Entries;
+  /** Box addresses for a caller in the given failure domain. */
+  entries(domain?: string): EntryAddresses;
   metricsText(): string;
-  /** Requests that are held back since targets ended under them. */
+  /** Requests held back because targets crashed while processing them. */
   heldRequests(): readonly HeldRequest[];
-  /** Targets whose limits hold, as this box knows them. */
+  /** Targets with a rate limit in force, as known to this box. */
   limitedTargets(): readonly LimitedTarget[];
-  /** Lets a request through again, at every box; false where it is not held back. */
+  /** Stops holding a request back, on all boxes; returns false if it was not held back. */
   releaseRequest(fingerprint: string): boolean;
 }
 
-/** Accounts that have a series of their own in metrics. */
-const mostAccountLabels = 64;
-const readyCheckMs: Milliseconds = 100;
+/** Accounts with a metric series of their own. */
+const maxAccountLabels = 64;
+const readyPollIntervalMs: Milliseconds = 100;
 
-/** Services in the order in which they need each other; returns where callers connect. */
-function provideServices(parts: BoxParts): Front {
-  const { kernel, settings, ports, stop } = parts;
-  const knowledge: HolderKnowledge = { hearsMost: false, expectedAt: new Map() };
-  const fleet = provideFleet(parts);
-  provideBlame(parts);
-  provideLimits(parts, knowledge);
-  const feed = provideFeed(parts, fleet);
+/** Registers the services in the order of their dependencies; returns the server that callers connect to. */
+function provideServices(runtime: BoxRuntime): Front {
+  const { kernel, settings, ports, shutdown } = runtime;
+  const holderView: LeaseHolderView = { reachesMajority: false, weightsExpectedAt: new Map() };
+  const fleet = provideFleet(runtime);
+  provideCrashBlame(runtime);
+  provideTargetLimits(runtime, holderView);
+  const feed = provideFeed(runtime, fleet);
   providePeers(
-    parts,
-    createHeartbeatSource(parts, () => knowledge.followed),
+    runtime,
+    createHeartbeatSource(runtime, () => holderView.followed),
+  );
+  provideOrderLease(runtime);
+  provideOrderDispatcher(runtime);
+  const waiter = createFleetWaiter(runtime);
+  const forward = createForwardContext(
+    runtime,
+    waiter,
+    receiveHeartbeats(runtime, holderView, waiter),
   );
-  provideLease(parts);
-  provideGiver(parts);
-  const waiter = createFleetWaiter(parts);
-  const forward = createForwardContext(parts, waiter, receiveHeartbeats(parts, knowledge, waiter));
   const metrics = kernel.find(metricsName);
-  const quota = provideQuota(parts, knowledge);
-  const accountLabel = createBoundedLabel(mostAccountLabels);
+  const quota = provideAccountQuota(runtime, holderView);
+  const accountLabel = createBoundedLabel(maxAccountLabels);
   const ready = () => feed.ready() && kernel.find(heldStoreName).ready();
   const context = { ready, feed, codec: ports.requests, forward, quota, metrics, accountLabel };
   return createFront({
     address: settings.box.front_address,
     maxHeaderBytes: settings.callers.max_header_bytes,
     now: ports.clock.now,
-    onConnection: createAcceptWatch({ ...ports, metrics }).accepted,
+    onConnection: createAcceptQueueMonitor({ ...ports, metrics }).connectionAccepted,
     limits: () => feed.activeConfiguration()?.configuration.limits,
-    closing: stop.begun,
+    isClosing: shutdown.hasBegun,
     handle(request) {
-      parts.activity.note();
+      runtime.activity.recordRequest();
       return handleRequest(context, request);
     },
   });
 }
 
-/** Boxes that take callers now, as this box hears them. */
-function servingBoxes(parts: BoxParts): readonly EntryOfBox[] {
-  const profiles = [ownProfile(parts), ...parts.kernel.find(peersName).alive()];
+/** This box and its live peers, as far as they accept requests. */
+function servingBoxes(runtime: BoxRuntime): readonly EntryCandidate[] {
+  const profiles = [ownProfile(runtime), ...runtime.kernel.find(peersName).alive()];
   return profiles
     .filter(({ ready, leaving }) => ready && !leaving)
     .map(({ frontAddress, ...profile }) => ({ ...profile, address: frontAddress }));
 }
 
-/** Logs when the box serves, and tells the others at once. */
-function announceReady({ kernel, ports }: BoxParts, feed: DesiredFeed): void {
+/** Logs when the box becomes ready and notifies its peers immediately. */
+function announceReady({ kernel, ports }: BoxRuntime, feed: DesiredFeed): void {
   const { clock, logger } = ports;
   const startedAt = clock.now();
   const check = () => {
-    if (!feed.ready()) return void clock.after(readyCheckMs, check);
+    if (!feed.ready()) return void clock.after(readyPollIntervalMs, check);
     const version = feed.activeConfiguration()?.configuration.version;
     logger.event("boxReady", { afterMs: Math.round(clock.now() - startedAt), version });
-    kernel.find(peersName).send();
+    kernel.find(peersName).sendHeartbeats();
   };
   check();
 }
 
-/** Creates a box; it does nothing before it is started. */
+/** Creates a box that does nothing until it is started. */
 export function createEntryBox(settings: EntrySettings, ports: EntryBoxPorts): EntryBox {
-  const parts = createBoxParts(settings, ports);
-  const { kernel, incarnation, stop, peerClient } = parts;
+  const runtime = createBoxRuntime(settings, ports);
+  const { kernel, incarnation, shutdown, peerClient } = runtime;
   const { logger } = ports;
-  const front = provideServices(parts);
+  const front = provideServices(runtime);
   const feed = kernel.find(desiredFeedName);
   const peers = kernel.find(peersName);
   const lease = kernel.find(orderLeaseName);
@@ -125,38 +129,38 @@
     quota: kernel.find(accountQuotaName).allocate,
     permit: kernel.find(targetLimitsName).allocate,
   });
-  registerGauges(parts, front);
+  registerGauges(runtime, front);
   const blame = kernel.find(crashBlameName);
   const heldStore = kernel.find(heldStoreName);
-  const ready = () => feed.ready() && heldStore.ready() && !stop.begun();
+  const ready = () => feed.ready() && heldStore.ready() && !shutdown.hasBegun();
 
   return {
     async start() {
       logger.event("boxStarted", { incarnation });
-      learnSeeds(peers, settings.box.seeds);
+      addSeeds(peers, settings.box.seeds);
       await peerServer.listen(settings.box.peer_listen_address ?? settings.box.peer_address);
       await front.listen();
       await kernel.start();
       const self = { box: settings.box.name, peerAddress: settings.box.peer_address };
-      void followRegistry(ports, ports.boxStream, self, peers, stop.begun);
-      announceReady(parts, feed);
+      void followRegistry(ports, ports.boxStream, self, peers, shutdown.hasBegun);
+      announceReady(runtime, feed);
     },
     async drain() {
-      logger.event("boxDraining", { inFlight: front.open() });
-      stop.begin();
-      peers.send();
+      logger.event("boxDraining", { inFlight: front.openRequests() });
+      shutdown.begin();
+      peers.sendHeartbeats();
       void lease.release();
-      await stop.finish(front);
-      logger.event("boxStopped", { inFlight: front.open() });
+      await shutdown.finish(front);
+      logger.event("boxStopped", { inFlight: front.openRequests() });
       front.closeAll();
       await kernel.stop();
       peerClient.close();
       peerServer.close();
     },
-    takeSettings: createSettingsTaker(settings, peers, logger),
+    applySettings: createSettingsUpdater(settings, peers, logger),
     ready,
     entries: (domain) => ({
-      addresses: chooseEntries(servingBoxes(parts), domain),
+      addresses: chooseEntries(servingBoxes(runtime), domain),
       lifetimeMs: settings.callers.entries_lifetime_ms,
     }),
     metricsText: kernel.find(metricsName).expose,
--- a/packages/entry-box/src/forward-context.ts
+++ b/packages/entry-box/src/forward-context.ts
@@ -1,4 +1,4 @@
-/** What the forwarding of a box's requests is made of. */
+/** Assembles the dependencies of request forwarding. */
 import { peersName } from "@linkfall/box-peers";
 import { crashBlameName } from "@linkfall/crash-blame";
 import { fleetName } from "@linkfall/fleet";
@@ -18,48 +18,49 @@
 import { createRetryBudget } from "@linkfall/retry-budget";
 import type { Milliseconds } from "@linkfall/types";
 import { orderDispatcherName } from "@linkfall/weight-orders";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import type { HeartbeatReceiver } from "./heartbeat-receiver.js";
 import { targetLimitsName } from "./provide-limits.js";
-import { boxesWithCallers } from "./boxes-with-callers.js";
+import { countBoxesWithCallers } from "./boxes-with-callers.js";
 
-/** Requests that begin to wait within this time are told together: little against the time of a load. */
-const gatherMs: Milliseconds = 10;
-/** A target that ended refuses within a millisecond or two; one that is cut off does not answer. */
-const lookMs: Milliseconds = 100;
+/** Requests that start waiting within this time share one announcement; short compared to a load. */
+const announceDelayMs: Milliseconds = 10;
+/** A stopped target refuses the connection within milliseconds; an unreachable one does not answer. */
+const listenProbeTimeoutMs: Milliseconds = 100;
 const microsecondsPerMillisecond = 1000;
 
-/** Tells the box that gives orders of demand, several requests together. */
-function createDemandAnnouncer({ kernel, ports }: BoxParts): () => void {
+/** Announces demand for models to the lease holder, batching concurrent requests. */
+function createDemandAnnouncer({ kernel, ports }: BoxRuntime): () => void {
   const { clock } = ports;
-  let announcing = false;
+  let scheduled = false;
   const announce = () => {
-    announcing = false;
+    scheduled = false;
     const lease = kernel.find(orderLeaseName);
     if (lease.epoch() !== undefined) return kernel.find(orderDispatcherName).triggerCycle();
     const holder = lease.observedLease()?.holder;
-    kernel.find(peersName).send((member) => member.status?.incarnation === holder);
+    kernel.find(peersName).sendHeartbeats((member) => member.status?.incarnation === holder);
   };
   return () => {
-    if (announcing) return;
-    announcing = true;
-    clock.after(gatherMs, announce);
+    if (scheduled) return;
+    scheduled = true;
+    clock.after(announceDelayMs, announce);
   };
 }
 
-/** A waiter that wakes its requests when what is believed of targets has changed. */
-export function createFleetWaiter({ kernel, ports }: BoxParts): ChangeWaiter {
+/** Creates a waiter that wakes waiting requests when the state of a target changes. */
+export function createFleetWaiter({ kernel, ports }: BoxRuntime): ChangeWaiter {
   const waiter = createChangeWaiter(ports.clock);
   kernel.find(fleetName).onChange(waiter.wakeAll);
   return waiter;
 }
 
+/** Creates the context in which this box forwards requests. */
 export function createForwardContext(
-  parts: BoxParts,
+  runtime: BoxRuntime,
   waiter: ChangeWaiter,
   receiver: HeartbeatReceiver,
 ): ForwardContext {
-  const { kernel, settings, ports, demand } = parts;
+  const { kernel, settings, ports, demand } = runtime;
   const { forwarding, retries } = settings;
   const { clock, random, logger } = ports;
   return {
@@ -69,16 +70,18 @@
     metrics: createForwardMetrics(kernel.find(metricsName)),
     blame: kernel.find(crashBlameName),
     finalAttempts: createFinalAttempts(),
-    targetProbe: createTargetProbe(clock, (address) => isListening(clock, address, lookMs)),
+    targetProbe: createTargetProbe(clock, (address) =>
+      isListening(clock, address, listenProbeTimeoutMs),
+    ),
     targetLimits: kernel.find(targetLimitsName),
     codec: ports.requests,
     fleet: kernel.find(fleetName),
     demand,
     changeWaiter: waiter,
     domain: settings.box.domain,
-    announceDemand: createDemandAnnouncer(parts),
-    acceptsRoute: parts.stop.takes,
-    boxCount: () => boxesWithCallers(parts),
+    announceDemand: createDemandAnnouncer(runtime),
+    acceptsRoute: runtime.shutdown.accepts,
+    boxCount: () => countBoxesWithCallers(runtime),
     expectedWeightsMs: receiver.expectedWeightsMs,
     retryBudget: createRetryBudget(clock, {
       ratio: retries.ratio,
--- a/packages/entry-box/src/front.ts
+++ b/packages/entry-box/src/front.ts
@@ -1,11 +1,11 @@
-/** The address where callers connect: reads requests within the limits and hands them on. */
+/** The HTTP server that callers connect to: reads requests within the configured limits and passes them on. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import { type ResponseSink, createResponseSink, localReplyHeaders } from "@linkfall/forwarding";
 import type { CallerLimits, Milliseconds } from "@linkfall/types";
 import { readBody } from "./read-body.js";
 
-/** One request as it was read. */
+/** A request with its complete body. */
 export interface FrontRequest {
   readonly method: string;
   readonly path: string;
@@ -16,26 +16,26 @@
   readonly arrivedAt: Milliseconds;
 }
 
-export interface FrontInput {
+export interface FrontOptions {
   /** `host:port`. */
   readonly address: string;
   readonly maxHeaderBytes: number;
   now(): Milliseconds;
-  /** Called for each connection that is taken. */
+  /** Called for each accepted connection. */
   onConnection(): void;
   limits(): CallerLimits | undefined;
-  /** Whether connections are to be closed after their answer. */
-  closing(): boolean;
+  /** Whether connections are closed after their response. */
+  isClosing(): boolean;
   handle(request: FrontRequest): Promise<void>;
 }
 
 export interface Front {
   listen(): Promise<void>;
-  /** Requests that have no final answer yet. */
-  open(): number;
-  /** Time since the last request began. */
-  quietMs(): Milliseconds;
-  /** Takes no new connections and closes those without a request. */
+  /** Number of requests without a complete response. */
+  openRequests(): number;
+  /** Time since the last request arrived. */
+  idleMs(): Milliseconds;
+  /** Accepts no new connections and closes idle ones. */
   close(): void;
   closeAll(): void;
 }
@@ -46,19 +46,19 @@
   headerTimeoutMs: 5_000,
   idleTimeoutMs: 15_000,
 };
-const checkConnectionsMs = 500;
+const connectionCheckIntervalMs = 500;
 
-const malformedAnswers: Readonly<Record<string, string>> = {
+const malformedRequestStatuses: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: "431 Request Header Fields Too Large",
   ERR_HTTP_REQUEST_TIMEOUT: "408 Request Timeout",
 };
 
-function answerMalformed(problem: NodeJS.ErrnoException, socket: Socket): void {
+function rejectMalformed(problem: NodeJS.ErrnoException, socket: Socket): void {
   if (problem.code === "ECONNRESET" || !socket.writable) {
     socket.destroy();
     return;
   }
-  const status = malformedAnswers[problem.code ?? ""] ?? "400 Bad Request";
+  const status = malformedRequestStatuses[problem.code ?? ""] ?? "400 Bad Request";
   socket.end(`HTTP/1.1 ${status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n`);
 }
 
@@ -67,29 +67,29 @@
   server.headersTimeout = limits.headerTimeoutMs;
 }
 
-function refuseUnread(response: ServerResponse, status: number): void {
+function rejectUnread(response: ServerResponse, status: number): void {
   response.shouldKeepAlive = false;
   response.writeHead(status, { "Content-Length": 0 });
   response.end();
 }
 
-/** Creates a front that does not listen yet. */
-export function createFront(input: FrontInput): Front {
-  let open = 0;
-  let lastAt = input.now();
+/** Creates the server; it does not listen until `listen` is called. */
+export function createFront(options: FrontOptions): Front {
+  let openRequests = 0;
+  let lastRequestAt = options.now();
 
   const serve = async (message: IncomingMessage, response: ServerResponse) => {
-    const arrivedAt = input.now();
-    lastAt = arrivedAt;
-    const limits = input.limits() ?? defaultLimits;
+    const arrivedAt = options.now();
+    lastRequestAt = arrivedAt;
+    const limits = options.limits() ?? defaultLimits;
     applyLimits(server, limits);
-    const sink = createResponseSink(response, input.closing);
+    const sink = createResponseSink(response, options.isClosing);
     const path = message.url ?? "";
-    if (!path.startsWith("/")) return refuseUnread(response, 400);
+    if (!path.startsWith("/")) return rejectUnread(response, 400);
     const body = await readBody(message, limits.maxBodyBytes);
-    if (body.kind === "too_large") return refuseUnread(response, 413);
-    if (body.kind === "cut") return;
-    await input.handle({
+    if (body.kind === "too_large") return rejectUnread(response, 413);
+    if (body.kind === "aborted") return;
+    await options.handle({
       method: message.method ?? "GET",
       path,
       host: message.headers.host ?? "",
@@ -101,26 +101,33 @@
   };
 
   const server = createServer(
-    { maxHeaderSize: input.maxHeaderBytes, connectionsCheckingInterval: checkConnectionsMs },
+    {
+      maxHeaderSize: options.maxHeaderBytes,
+      connectionsCheckingInterval: connectionCheckIntervalMs,
+    },
     (message, response) => {
-      open += 1;
-      void serve(message, response).finally(() => void (open -= 1));
+      openRequests += 1;
+      void serve(message, response).finally(() => void (openRequests -= 1));
     },
   );
   server.requestTimeout = 0;
   applyLimits(server, defaultLimits);
-  server.on("clientError", answerMalformed);
-  server.on("connection", input.onConnection);
+  server.on("clientError", rejectMalformed);
+  server.on("connection", options.onConnection);
 
-  const mark = input.address.lastIndexOf(":");
+  const separator = options.address.lastIndexOf(":");
   return {
     listen: () =>
       new Promise((resolve, reject) => {
         server.once("error", reject);
-        server.listen(Number(input.address.slice(mark + 1)), input.address.slice(0, mark), resolve);
+        server.listen(
+          Number(options.address.slice(separator + 1)),
+          options.address.slice(0, separator),
+          resolve,
+        );
       }),
-    open: () => open,
-    quietMs: () => input.now() - lastAt,
+    openRequests: () => openRequests,
+    idleMs: () => options.now() - lastRequestAt,
     close() {
       server.close();
       server.closeIdleConnections();
@@ -129,7 +136,11 @@
   };
 }
 
-/** Answers a request that no target gets. */
-export function answerOwn(sink: ResponseSink, status: number, retryAfterMs?: Milliseconds): void {
+/** Answers a request that is not forwarded to a target. */
+export function respondLocally(
+  sink: ResponseSink,
+  status: number,
+  retryAfterMs?: Milliseconds,
+): void {
   sink.send(status, localReplyHeaders(retryAfterMs), Buffer.from("{}\n"));
 }
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -1,4 +1,4 @@
-/** From a request as it was read to its way through the box. */
+/** Handles a caller's request: routing, authentication, account limits and forwarding. */
 import type { AccountQuota } from "@linkfall/account-quota";
 import type { ActiveConfiguration, DesiredFeed } from "@linkfall/desired-feed";
 import {
@@ -13,32 +13,31 @@
 import { selectShare } from "@linkfall/route-table";
 import type { ClientAccount, Milliseconds, RequestTerms, Route } from "@linkfall/types";
 import { admitToQuota, settleQuota } from "./account-admission.js";
-import { answerOwn, type FrontRequest } from "./front.js";
+import { respondLocally, type FrontRequest } from "./front.js";
 import { identify } from "./identify.js";
 
-export interface HandleContext {
-  /** Whether the box knows what it has to know before it serves. */
+export interface RequestContext {
+  /** Whether the box has loaded the state it needs to serve requests. */
   ready(): boolean;
   readonly feed: DesiredFeed;
   readonly codec: RequestCodec;
   readonly forward: ForwardContext;
   readonly quota: AccountQuota;
   readonly metrics: Metrics;
-  /** Name of an account in metrics. */
+  /** Label of an account in metrics. */
   accountLabel(account: string | undefined): string;
 }
 
-const notReadyMs: Milliseconds = 500;
-/** The account has used up its limit. */
+const notReadyRetryMs: Milliseconds = 500;
 const overLimitStatus = 429;
 
-/** Works the fingerprint out when it is first asked for: most requests never need theirs. */
-function fingerprintLater(content: RequestContent): () => string {
-  let known: string | undefined;
-  return () => (known ??= fingerprintOf(content));
+/** Computes the fingerprint on first use, since most requests never need it. */
+function lazyFingerprint(content: RequestContent): () => string {
+  let cached: string | undefined;
+  return () => (cached ??= fingerprintOf(content));
 }
 
-function toForwarded(
+function toForwardedRequest(
   request: FrontRequest,
   terms: RequestTerms,
   route: Route,
@@ -47,17 +46,17 @@
 ): ForwardedRequest | undefined {
   const service = configuration.services.get(selectShare(route, terms.id).service);
   if (!service) return undefined;
-  const heldMs = Math.min(terms.deadlineMs ?? route.timeoutMs, route.timeoutMs);
+  const timeoutMs = Math.min(terms.deadlineMs ?? route.timeoutMs, route.timeoutMs);
   return {
     ...request,
     route,
     service,
     terms,
     account: account?.name,
-    fingerprint: fingerprintLater({ ...request, account: account?.name }),
+    fingerprint: lazyFingerprint({ ...request, account: account?.name }),
     priority: account?.priority ?? route.priority,
-    responseStartDueAt: request.arrivedAt + Math.min(heldMs, route.patienceMs ?? heldMs),
-    deadlineAt: request.arrivedAt + heldMs,
+    responseStartDueAt: request.arrivedAt + Math.min(timeoutMs, route.patienceMs ?? timeoutMs),
+    deadlineAt: request.arrivedAt + timeoutMs,
     streamPosition: { lastEventId: terms.resumeAfter },
     triedTargets: new Set(),
     possibleRuns: 0,
@@ -69,8 +68,8 @@
   };
 }
 
-function record(
-  context: HandleContext,
+function recordEnd(
+  context: RequestContext,
   request: ForwardedRequest,
   end: RequestOutcome,
   units: number | undefined,
@@ -83,7 +82,7 @@
     outcome: end.outcome,
     reason,
   });
-  context.metrics.observe("linkfall_request_ms", "Time until the final answer.", tookMs);
+  context.metrics.observe("linkfall_request_ms", "Time until the response was complete.", tookMs);
   logger.event("requestEnded", {
     request: request.terms.id,
     route: request.route.name,
@@ -106,39 +105,44 @@
   });
 }
 
-/** Answers one request; what it needs to know of the deployment is of the moment of its arrival. */
-export async function handleRequest(context: HandleContext, request: FrontRequest): Promise<void> {
+/** Handles one request under the configuration in force when it arrives. */
+export async function handleRequest(context: RequestContext, request: FrontRequest): Promise<void> {
   const { feed, codec, forward } = context;
   const terms = codec.readTerms(request.headers);
-  const refused = (status: number, why: string, retryAfterMs?: Milliseconds, more?: object) => {
+  const reject = (status: number, why: string, retryAfterMs?: Milliseconds, details?: object) => {
     const { path } = request;
-    forward.logger.event("requestRejected", { request: terms.id, status, why, path, ...more });
-    answerOwn(request.sink, status, retryAfterMs);
+    forward.logger.event("requestRejected", { request: terms.id, status, why, path, ...details });
+    respondLocally(request.sink, status, retryAfterMs);
   };
   const unreadable = codec.unreadable(request.headers);
-  if (unreadable !== undefined) return refused(400, unreadable);
+  if (unreadable !== undefined) return reject(400, unreadable);
   const inForce = feed.activeConfiguration();
-  if (!inForce || !context.ready()) return refused(503, "no configuration yet", notReadyMs);
+  if (!inForce || !context.ready()) return reject(503, "no configuration yet", notReadyRetryMs);
   const route = inForce.routes.find(request.host, request.path);
-  if (!route) return refused(404, `no route in version ${inForce.configuration.version}`);
+  if (!route) return reject(404, `no route in version ${inForce.configuration.version}`);
   const { version } = inForce.configuration;
   const caller = identify(inForce.keys, route, codec.readKey(request.headers));
   if (caller.kind === "unknown") {
-    return refused(401, caller.why, undefined, { version, key: caller.fingerprint });
+    return reject(401, caller.why, undefined, { version, key: caller.fingerprint });
   }
-  const forwarded = toForwarded(request, terms, route, caller.account, inForce);
-  if (!forwarded) return refused(503, "no such service", notReadyMs);
+  const forwarded = toForwardedRequest(request, terms, route, caller.account, inForce);
+  if (!forwarded) return reject(503, "no such service", notReadyRetryMs);
   const admission = await admitToQuota(context.quota, caller.account, terms, version);
   if (admission.kind === "refused") {
-    const more = { account: forwarded.account, version, retryAfterMs: admission.retryAfterMs };
+    const details = { account: forwarded.account, version, retryAfterMs: admission.retryAfterMs };
     context.metrics.count(
       "linkfall_account_refusals_total",
-      "Requests over the limit of their account; accounts beyond the first 64 are summed.",
+      "Requests rejected by their account's limit; accounts beyond the first 64 share a series.",
       { account: context.accountLabel(forwarded.account) },
     );
-    return refused(overLimitStatus, "the account's limit is used up", admission.retryAfterMs, more);
+    return reject(
+      overLimitStatus,
+      "the account's limit is used up",
+      admission.retryAfterMs,
+      details,
+    );
   }
   const end = await forwardRequest(forward, forwarded);
   settleQuota(context.quota, admission.use, forwarded, end);
-  record(context, forwarded, end, admission.use?.units);
+  recordEnd(context, forwarded, end, admission.use?.units);
 }
--- a/packages/entry-box/src/heartbeat-receiver.ts
+++ b/packages/entry-box/src/heartbeat-receiver.ts
@@ -1,9 +1,9 @@
-/** Takes the heartbeats of other boxes: their load, desired state, what the order giver knows. */
+/** Applies the heartbeats of other boxes: their loads, desired state and the lease holder's reports. */
 import {
   type BoxStatus,
-  type FollowedReport,
+  type ReportPosition,
   type Heartbeat,
-  type HolderReport,
+  type LeaseHolderReport,
   peersName,
 } from "@linkfall/box-peers";
 import { crashBlameName } from "@linkfall/crash-blame";
@@ -14,116 +14,125 @@
 import { orderLeaseName } from "@linkfall/order-lease";
 import type { Milliseconds } from "@linkfall/types";
 import { orderDispatcherName } from "@linkfall/weight-orders";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import { targetLimitsName } from "./provide-limits.js";
-import { hasWaiting, sumLoads } from "./box-loads.js";
+import { hasWaitingRequests, sumLoads } from "./box-loads.js";
 
 export interface HeartbeatReceiver {
-  /** Time until weights are expected to be there, as the order giver told. */
+  /** Time until the weights are expected to be loaded, as reported by the lease holder. */
   expectedWeightsMs(wanted: RequestedWeights): Milliseconds | undefined;
 }
 
-/** What was taken of the order giver's reports. */
-export interface HolderKnowledge {
-  followed?: FollowedReport;
-  /** The order giver hears most boxes. */
-  hearsMost: boolean;
-  /** When models are expected, by `service model`, on this box's clock. */
-  expectedAt: ReadonlyMap<string, Milliseconds>;
+/** State received in the lease holder's reports. */
+export interface LeaseHolderView {
+  /** Position in the lease holder's reports. */
+  followed?: ReportPosition;
+  /** Whether the lease holder receives heartbeats from a majority of boxes. */
+  reachesMajority: boolean;
+  /** When models are expected to be loaded, by `service model`, on this box's clock. */
+  weightsExpectedAt: ReadonlyMap<string, Milliseconds>;
 }
 
-/** The loads of boxes that are heard are summed at most this often. */
-const sumEveryMs: Milliseconds = 20;
+/** Minimum interval between two sums over the loads of all peers. */
+const minSumIntervalMs: Milliseconds = 20;
 
-/** Whether the order giver was heard lately enough for its report to count more than the list. */
-function trustsHolder({ kernel, settings }: BoxParts): boolean {
+/** Whether the lease holder's report is recent enough to take precedence over the registered state of targets. */
+function hasCurrentHolderReport({ kernel, settings }: BoxRuntime): boolean {
   const lease = kernel.find(orderLeaseName);
   if (lease.epoch() !== undefined) return true;
   const holder = lease.observedLease()?.holder;
-  const heardMs = holder === undefined ? undefined : kernel.find(peersName).heardMs(holder);
-  return heardMs !== undefined && heardMs < settings.peers.suspect_ms;
+  const silentMs =
+    holder === undefined ? undefined : kernel.find(peersName).sinceHeartbeatMs(holder);
+  return silentMs !== undefined && silentMs < settings.peers.suspect_ms;
 }
 
-/** Asks boxes that are ahead for their configuration, one at a time. */
-function createCatchUp({ kernel, peerClient }: BoxParts): (other: BoxStatus) => Promise<void> {
-  let asking = false;
+/** Fetches the configuration from a box that has a newer version, one fetch at a time. */
+function createConfigurationFetcher({
+  kernel,
+  peerClient,
+}: BoxRuntime): (other: BoxStatus) => Promise<void> {
+  let fetching = false;
   return async ({ configurationVersion, peerAddress }) => {
     const feed = kernel.find(desiredFeedName);
     const version = feed.activeConfiguration()?.configuration.version ?? -1;
-    if (asking || configurationVersion <= version) return;
-    asking = true;
+    if (fetching || configurationVersion <= version) return;
+    fetching = true;
     (await peerClient.configuration(peerAddress)).ifRight(feed.applyConfigurationCopy);
-    asking = false;
+    fetching = false;
   };
 }
 
-/** Sums the loads of the boxes that this one hears, at most every so often. */
-function createLoadSummer({ kernel, ports }: BoxParts): () => void {
-  let summedAt = -Infinity;
+/** Sums the loads reported by peers, at most once per `minSumIntervalMs`. */
+function createPeerLoadAggregator({ kernel, ports }: BoxRuntime): () => void {
+  let lastSummedAt = -Infinity;
   return () => {
     const now = ports.clock.now();
-    if (now - summedAt < sumEveryMs) return;
-    summedAt = now;
+    if (now - lastSummedAt < minSumIntervalMs) return;
+    lastSummedAt = now;
     const statuses = kernel.find(peersName).statuses();
     kernel.find(fleetName).setOtherBoxesLoads(sumLoads(statuses.map((status) => status.loads)));
   };
 }
 
-/** Takes targets that another box has read, unless this one reads them itself. */
-function takeTargets({ kernel }: BoxParts, { targets }: Heartbeat): void {
+/** Applies target changes read by another box, unless this box reads them from the store. */
+function applyTargets({ kernel }: BoxRuntime, { targets }: Heartbeat): void {
   const feed = kernel.find(desiredFeedName);
   if (targets && !(feed.readsStore() && feed.reachesStore())) feed.applyTargetChanges(targets);
 }
 
-function takeReport({ kernel, ports }: BoxParts, knowledge: HolderKnowledge, report: HolderReport) {
+function applyReport(
+  { kernel, ports }: BoxRuntime,
+  holderView: LeaseHolderView,
+  report: LeaseHolderReport,
+) {
   const fleet = kernel.find(fleetName);
   fleet.setWithheldModels(new Map(Object.entries(report.withheld)));
   for (const { id, holdings } of report.engines) fleet.applyRelayedHoldings(id, holdings);
   if (report.othersLoads) fleet.setOtherBoxesLoads(new Map(Object.entries(report.othersLoads)));
-  knowledge.followed = report.followed;
-  knowledge.hearsMost = report.hearsMost;
+  holderView.followed = report.followed;
+  holderView.reachesMajority = report.hearsMost;
   const now = ports.clock.now();
   const expected = Object.entries(report.expected);
-  knowledge.expectedAt = new Map(expected.map(([key, ms]) => [key, now + ms]));
+  holderView.weightsExpectedAt = new Map(expected.map(([key, ms]) => [key, now + ms]));
 }
 
-/** Begins to take heartbeats. */
+/** Subscribes to the heartbeats of other boxes. */
 export function receiveHeartbeats(
-  parts: BoxParts,
-  knowledge: HolderKnowledge,
+  runtime: BoxRuntime,
+  holderView: LeaseHolderView,
   waiter: ChangeWaiter,
 ): HeartbeatReceiver {
-  const { kernel, ports } = parts;
+  const { kernel, ports } = runtime;
   const peers = kernel.find(peersName);
   const lease = kernel.find(orderLeaseName);
-  const giver = kernel.find(orderDispatcherName);
+  const dispatcher = kernel.find(orderDispatcherName);
   const blame = kernel.find(crashBlameName);
   const targetLimits = kernel.find(targetLimitsName);
-  const catchUp = createCatchUp(parts);
-  const sumHeardLoads = createLoadSummer(parts);
-  kernel.find(fleetName).preferDirectReportsWhile(() => trustsHolder(parts));
+  const fetchConfiguration = createConfigurationFetcher(runtime);
+  const sumPeerLoads = createPeerLoadAggregator(runtime);
+  kernel.find(fleetName).preferDirectReportsWhile(() => hasCurrentHolderReport(runtime));
 
   peers.onHeartbeat((heartbeat) => {
     const { status, report } = heartbeat;
     if (status.lease) lease.observe(status.lease);
-    const givesOrders = lease.epoch() !== undefined;
-    if (peers.mesh() || givesOrders) sumHeardLoads();
-    takeTargets(parts, heartbeat);
+    const holdsLease = lease.epoch() !== undefined;
+    if (peers.isFullMesh() || holdsLease) sumPeerLoads();
+    applyTargets(runtime, heartbeat);
     if (heartbeat.blame) blame.applyChanges(status.incarnation, heartbeat.blame);
     if (heartbeat.limits) targetLimits.applyChanges(status.incarnation, heartbeat.limits);
-    void catchUp(status);
+    void fetchConfiguration(status);
     if (report && lease.observedLease()?.holder === status.incarnation) {
-      takeReport(parts, knowledge, report);
+      applyReport(runtime, holderView, report);
       waiter.wakeAll();
     }
-    if (givesOrders && hasWaiting(status)) giver.triggerCycle();
+    if (holdsLease && hasWaitingRequests(status)) dispatcher.triggerCycle();
   });
 
   return {
     expectedWeightsMs({ service, model }) {
       const key = `${service} ${model}`;
-      if (lease.epoch() !== undefined) return giver.timesToReady()[key];
-      const at = knowledge.expectedAt.get(key);
+      if (lease.epoch() !== undefined) return dispatcher.timesToReady()[key];
+      const at = holderView.weightsExpectedAt.get(key);
       return at === undefined ? undefined : Math.max(0, at - ports.clock.now());
     },
   };
--- a/packages/entry-box/src/heartbeat-source.ts
+++ b/packages/entry-box/src/heartbeat-source.ts
@@ -1,7 +1,7 @@
-/** Makes the heartbeats that this box sends. */
+/** Builds the heartbeats that this box sends. */
 import {
   type BoxStatus,
-  type FollowedReport,
+  type ReportPosition,
   type Heartbeat,
   type HeartbeatSource,
   peersName,
@@ -12,52 +12,51 @@
 import { fleetName } from "@linkfall/fleet";
 import { orderLeaseName } from "@linkfall/order-lease";
 import type { BlameWord, TargetLimitWord } from "@linkfall/types";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import { ownLoads, recentDemand } from "./box-loads.js";
 import { ownProfile } from "./own-profile.js";
 import { targetLimitsName } from "./provide-limits.js";
-import { createReportMaker } from "./holder-report.js";
+import { createReportBuilder } from "./holder-report.js";
 
-/** What this box has read of the list, for one that does not read it or cannot. */
-function targetsFor({ kernel }: BoxParts, reader: BoxStatus): TargetChanges | undefined {
+/** Target changes read by this box, for a peer that cannot read them from the store itself. */
+function targetChangesFor({ kernel }: BoxRuntime, peer: BoxStatus): TargetChanges | undefined {
   const feed = kernel.find(desiredFeedName);
-  if (reader.reading && reader.reachesStore) return undefined;
-  if (!feed.ready() || !feed.readsStore() || reader.targetsEnd >= feed.targetsEnd())
-    return undefined;
-  return feed.targetChangesSince(reader.targetsEnd);
+  if (peer.reading && peer.reachesStore) return undefined;
+  if (!feed.ready() || !feed.readsStore() || peer.targetsEnd >= feed.targetsEnd()) return undefined;
+  return feed.targetChangesSince(peer.targetsEnd);
 }
 
-/** What this box knows of requests that end targets and the reader does not. */
-function blameFor({ kernel }: BoxParts, reader?: BoxStatus): BlameWord | undefined {
-  const word = kernel.find(crashBlameName).changesSince(reader?.blameFollowed ?? 0);
-  return word.records.length > 0 ? word : undefined;
+/** Records of requests that crash targets, as far as the recipient lacks them. */
+function blameFor({ kernel }: BoxRuntime, recipient?: BoxStatus): BlameWord | undefined {
+  const message = kernel.find(crashBlameName).changesSince(recipient?.blameFollowed ?? 0);
+  return message.records.length > 0 ? message : undefined;
 }
 
-/** What this box knows of targets' limits and the reader does not. */
-function limitsFor({ kernel }: BoxParts, reader?: BoxStatus): TargetLimitWord | undefined {
-  const word = kernel.find(targetLimitsName).changesSince(reader?.limitsFollowed ?? 0);
-  return word.records.length > 0 ? word : undefined;
+/** Records of targets' rate limits, as far as the recipient lacks them. */
+function limitsFor({ kernel }: BoxRuntime, recipient?: BoxStatus): TargetLimitWord | undefined {
+  const message = kernel.find(targetLimitsName).changesSince(recipient?.limitsFollowed ?? 0);
+  return message.records.length > 0 ? message : undefined;
 }
 
-/** Creates the source; it finds its services when the first heartbeat is made. */
+/** Creates the source; it looks up its services when it builds the first heartbeat. */
 export function createHeartbeatSource(
-  parts: BoxParts,
-  followed: () => FollowedReport | undefined,
+  runtime: BoxRuntime,
+  followed: () => ReportPosition | undefined,
 ): HeartbeatSource {
-  const { kernel, demand } = parts;
-  const report = createReportMaker(parts);
+  const { kernel, demand } = runtime;
+  const report = createReportBuilder(runtime);
   let beat = 0;
 
-  const status = (reader?: BoxStatus): BoxStatus => {
+  const status = (recipient?: BoxStatus): BoxStatus => {
     const feed = kernel.find(desiredFeedName);
     const lease = kernel.find(orderLeaseName);
     const known = lease.observedLease();
-    // Demand and load are most of a status, and of use only to boxes that give orders or hear all.
-    const toHolder = reader !== undefined && reader.incarnation === known?.holder;
-    const toAll = kernel.find(peersName).mesh();
+    // Demand and loads dominate the size of a status and are only used by the lease holder and in a full mesh.
+    const toHolder = recipient !== undefined && recipient.incarnation === known?.holder;
+    const toAll = kernel.find(peersName).isFullMesh();
     beat += 1;
     return {
-      ...ownProfile(parts),
+      ...ownProfile(runtime),
       beat,
       reachesStore: feed.reachesStore(),
       configurationVersion: feed.activeConfiguration()?.configuration.version ?? -1,
@@ -67,24 +66,26 @@
       lease: known,
       ordersForMs: lease.remainingLeaseMs(),
       followed: followed(),
-      limitsFollowed: reader && kernel.find(targetLimitsName).appliedSequence(reader.incarnation),
-      blameFollowed: reader && kernel.find(crashBlameName).appliedSequence(reader.incarnation),
+      limitsFollowed:
+        recipient && kernel.find(targetLimitsName).appliedSequence(recipient.incarnation),
+      blameFollowed:
+        recipient && kernel.find(crashBlameName).appliedSequence(recipient.incarnation),
     };
   };
 
   return {
-    resting: () =>
-      !parts.activity.takesRequests() && kernel.find(orderLeaseName).epoch() === undefined,
+    isIdle: () =>
+      !runtime.activity.takesRequests() && kernel.find(orderLeaseName).epoch() === undefined,
     holder: () => kernel.find(orderLeaseName).observedLease()?.holder,
-    message(reader, sightings): Heartbeat {
-      const gives = kernel.find(orderLeaseName).epoch() !== undefined;
+    createHeartbeat(recipient, sightings): Heartbeat {
+      const holdsLease = kernel.find(orderLeaseName).epoch() !== undefined;
       return {
-        status: status(reader),
+        status: status(recipient),
         sightings,
-        report: gives ? report(reader) : undefined,
-        targets: reader && targetsFor(parts, reader),
-        blame: blameFor(parts, reader),
-        limits: limitsFor(parts, reader),
+        report: holdsLease ? report(recipient) : undefined,
+        targets: recipient && targetChangesFor(runtime, recipient),
+        blame: blameFor(runtime, recipient),
+        limits: limitsFor(runtime, recipient),
       };
     },
   };
--- a/packages/entry-box/src/holder-report.ts
+++ b/packages/entry-box/src/holder-report.ts
@@ -1,31 +1,32 @@
-/** What the holder of the order lease tells one other box: what changed since that box's last report. */
+/** Builds the lease holder's report for one other box: the changes since the last report that it processed. */
 import {
   type BoxStatus,
-  createChangeNumbers,
+  createChangeTracker,
   type EngineHoldings,
-  type FollowedReport,
-  type HolderReport,
+  type ReportPosition,
+  type LeaseHolderReport,
   peersName,
   type Sighting,
 } from "@linkfall/box-peers";
 import { fleetName, type TargetLoad } from "@linkfall/fleet";
 import type { Milliseconds } from "@linkfall/types";
 import { orderDispatcherName } from "@linkfall/weight-orders";
-import { type Loads, ownLoads, sumLoads, withoutPart } from "./box-loads.js";
-import type { BoxParts } from "./box-parts.js";
-import { hearsMost } from "./connected.js";
+import { type LoadByTarget, ownLoads, sumLoads, subtractLoads } from "./box-loads.js";
+import type { BoxRuntime } from "./box-runtime.js";
+import { reachesMajority } from "./connected.js";
 
-export type ReportMaker = (reader?: BoxStatus) => HolderReport;
+/** Builds the report for one box; `recipient` is undefined for a box that has not sent a heartbeat yet. */
+export type ReportBuilder = (recipient?: BoxStatus) => LeaseHolderReport;
 
-/** Members and loads are brought up to date at most this often, however many boxes ask. */
-const refreshMs: Milliseconds = 50;
+/** Minimum interval between refreshes of members and loads, independent of the number of boxes. */
+const minRefreshIntervalMs: Milliseconds = 50;
 
 function isSameEngine(left: EngineHoldings, right: EngineHoldings): boolean {
   return left.holdings === right.holdings;
 }
 
-/** What may change of a box under one incarnation. */
-const changing: readonly (keyof Sighting)[] = [
+/** Fields of a sighting that may change; the others are constant for one incarnation. */
+const mutableFields: readonly (keyof Sighting)[] = [
   "incarnation",
   "ready",
   "leaving",
@@ -35,58 +36,63 @@
   "silent",
 ];
 
-/** Whether a box looks as before, but for the age of what is known. */
+/** Whether two sightings differ at most in their age. */
 function isSameMember(left: Sighting, right: Sighting): boolean {
-  return changing.every((field) => left[field] === right[field]);
+  return mutableFields.every((field) => left[field] === right[field]);
 }
 
-export function createReportMaker({ kernel, ports, incarnation }: BoxParts): ReportMaker {
-  const engines = createChangeNumbers(isSameEngine);
-  const members = createChangeNumbers(isSameMember);
-  let refreshedAt = -Infinity;
-  let sums: ReadonlyMap<string, TargetLoad> = new Map();
+/** Creates a builder of reports; it tracks changes across all recipients. */
+export function createReportBuilder({ kernel, ports, incarnation }: BoxRuntime): ReportBuilder {
+  const engines = createChangeTracker(isSameEngine);
+  const members = createChangeTracker(isSameMember);
+  let lastRefreshAt = -Infinity;
+  let totalLoads: ReadonlyMap<string, TargetLoad> = new Map();
 
   const refreshEngines = () => {
     const fleet = kernel.find(fleetName);
-    const asked = fleet.all().filter(({ state }) => state !== undefined);
-    const pairs = asked.map(({ listed, holdings }) => [listed.id, { id: listed.id, holdings }]);
-    engines.update(new Map(pairs as [string, EngineHoldings][]));
+    const polled = fleet.all().filter(({ state }) => state !== undefined);
+    const entries = polled.map(({ listed, holdings }) => [listed.id, { id: listed.id, holdings }]);
+    engines.update(new Map(entries as [string, EngineHoldings][]));
   };
   const refreshBoxes = () => {
     const now = ports.clock.now();
-    if (now - refreshedAt < refreshMs) return;
-    refreshedAt = now;
+    if (now - lastRefreshAt < minRefreshIntervalMs) return;
+    lastRefreshAt = now;
     const peers = kernel.find(peersName);
     members.update(new Map(peers.sightings().map((sighting) => [sighting.box, sighting])));
     const loads = peers.statuses().map((status) => status.loads);
-    sums = sumLoads([ownLoads(kernel.find(fleetName)), ...loads]);
+    totalLoads = sumLoads([ownLoads(kernel.find(fleetName)), ...loads]);
   };
 
-  /** What a box that does not hear all others is told beside. */
-  const ofBoxes = (
-    known: FollowedReport | undefined,
-    reader?: BoxStatus,
-  ): { members?: readonly Sighting[]; othersLoads?: Loads } => {
-    if (kernel.find(peersName).mesh()) return {};
+  /** Members and loads for a recipient that is not part of a full mesh. */
+  const memberChangesFor = (
+    known: ReportPosition | undefined,
+    recipient?: BoxStatus,
+  ): { members?: readonly Sighting[]; othersLoads?: LoadByTarget } => {
+    if (kernel.find(peersName).isFullMesh()) return {};
     refreshBoxes();
-    const changed = members.after(known?.members ?? 0);
-    if (!reader?.takesRequests) return { members: changed };
-    return { members: changed, othersLoads: withoutPart(sums, reader.loads) };
+    const changed = members.changedAfter(known?.members ?? 0);
+    if (!recipient?.takesRequests) return { members: changed };
+    return { members: changed, othersLoads: subtractLoads(totalLoads, recipient.loads) };
   };
 
-  return (reader) => {
-    const giver = kernel.find(orderDispatcherName);
-    const followed = reader?.followed;
+  return (recipient) => {
+    const dispatcher = kernel.find(orderDispatcherName);
+    const followed = recipient?.followed;
     const known = followed?.holder === incarnation ? followed : undefined;
     refreshEngines();
-    const boxes = ofBoxes(known, reader);
+    const memberChanges = memberChangesFor(known, recipient);
     return {
-      engines: engines.after(known?.engines ?? 0),
-      ...boxes,
-      followed: { holder: incarnation, engines: engines.newest(), members: members.newest() },
-      hearsMost: hearsMost(kernel.find(peersName)),
-      withheld: Object.fromEntries(giver.pendingEvictions()),
-      expected: giver.timesToReady(),
+      engines: engines.changedAfter(known?.engines ?? 0),
+      ...memberChanges,
+      followed: {
+        holder: incarnation,
+        engines: engines.latestNumber(),
+        members: members.latestNumber(),
+      },
+      hearsMost: reachesMajority(kernel.find(peersName)),
+      withheld: Object.fromEntries(dispatcher.pendingEvictions()),
+      expected: dispatcher.timesToReady(),
     };
   };
 }
--- a/packages/entry-box/src/own-profile.ts
+++ b/packages/entry-box/src/own-profile.ts
@@ -1,15 +1,16 @@
-/** What this box tells of itself to everybody. */
+/** This box's profile, as sent to all other boxes. */
 import type { BoxProfile } from "@linkfall/box-peers";
 import { desiredFeedName } from "@linkfall/desired-feed";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 
+/** Creates the current profile of this box. */
 export function ownProfile({
   kernel,
   settings,
   incarnation,
-  stop,
+  shutdown,
   activity,
-}: BoxParts): BoxProfile {
+}: BoxRuntime): BoxProfile {
   const { box } = settings;
   const feed = kernel.find(desiredFeedName);
   return {
@@ -19,8 +20,8 @@
     peerAddress: box.peer_address,
     domain: box.domain,
     capacity: box.processor_share * box.processor_speed,
-    ready: feed.ready() && !stop.begun(),
-    leaving: stop.begun(),
+    ready: feed.ready() && !shutdown.hasBegun(),
+    leaving: shutdown.hasBegun(),
     strained: activity.strained(),
     takesRequests: activity.takesRequests(),
     reading: feed.readsStore(),
--- a/packages/entry-box/src/planned-stop.steps.ts
+++ b/packages/entry-box/src/planned-stop.steps.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
-import { createPlannedStop, type PlannedStop } from "./planned-stop.js";
+import { createGracefulShutdown, type GracefulShutdown } from "./planned-stop.js";
 
 interface Scene {
   readonly clock: VirtualClock;
-  readonly stop: PlannedStop;
+  readonly shutdown: GracefulShutdown;
   readonly startedAt: number;
 }
 
@@ -17,25 +17,25 @@
   return scene;
 }
 
-Given("a stop with {int} ms of grace", function (this: object, graceMs: number) {
+Given("a shutdown with a grace period of {int} ms", function (this: object, graceMs: number) {
   const clock = createVirtualClock();
-  const stop = createPlannedStop(clock, {
+  const shutdown = createGracefulShutdown(clock, {
     callers: { max_header_bytes: 1_024, entries_lifetime_ms: 1_500 },
     stop: { grace_ms: graceMs },
   });
-  scenes.set(this, { clock, stop, startedAt: clock.now() });
+  scenes.set(this, { clock, shutdown, startedAt: clock.now() });
 });
 
-When("the stop has begun {int} ms ago", async function (this: object, ms: number) {
-  const { clock, stop, startedAt } = sceneOf(this);
-  stop.begin();
+When("the shutdown began {int} ms ago", async function (this: object, ms: number) {
+  const { clock, shutdown, startedAt } = sceneOf(this);
+  shutdown.begin();
   await clock.runUntil(startedAt + ms);
 });
 
 Then(
   /^an? (stream|answer) with an objective of (\d+) ms is (taken|not taken)$/,
-  function (this: object, kind: string, objectiveMs: string, taken: string) {
+  function (this: object, kind: string, objectiveMs: string, outcome: string) {
     const route = { streaming: kind === "stream", objectiveMs: Number(objectiveMs) };
-    assert.equal(sceneOf(this).stop.takes(route), taken === "taken");
+    assert.equal(sceneOf(this).shutdown.accepts(route), outcome === "taken");
   },
 );
--- a/packages/entry-box/src/provide-blame.ts
+++ b/packages/entry-box/src/provide-blame.ts
@@ -1,4 +1,4 @@
-/** What this box knows of requests that end targets: told to the others at once, and kept in the store. */
+/** Records of requests that crash targets: sent to the other boxes immediately and persisted in the store. */
 import {
   type CrashBlame,
   crashBlameName,
@@ -9,16 +9,17 @@
 } from "@linkfall/crash-blame";
 import { serviceName } from "@linkfall/kernel";
 import { metricsName } from "@linkfall/metrics";
-import type { BoxParts } from "./box-parts.js";
-import { createTeller } from "./tell-others.js";
+import type { BoxRuntime } from "./box-runtime.js";
+import { createPeerNotifier } from "./tell-others.js";
 
 export const heldStoreName = serviceName<HeldRequestStore>("held-store");
 
-export function provideBlame(parts: BoxParts): CrashBlame {
-  const { kernel, ports } = parts;
+/** Registers the records of requests that crash targets, and the store that persists them. */
+export function provideCrashBlame(runtime: BoxRuntime): CrashBlame {
+  const { kernel, ports } = runtime;
   const { clock, logger, heldStream } = ports;
   const blame = kernel.provide(crashBlameName, createCrashBlame(clock));
-  blame.onChange(createTeller(parts));
+  blame.onChange(createPeerNotifier(runtime));
   reportDecisions(blame, { logger, metrics: kernel.find(metricsName) });
   const store = createHeldRequestStore(blame, heldStream, { clock, logger });
   kernel.provide(heldStoreName, store, store);
--- a/packages/entry-box/src/provide-limits.ts
+++ b/packages/entry-box/src/provide-limits.ts
@@ -1,51 +1,55 @@
-/** Limits that targets name: what this box has heard of them, and who hands out their permits. */
+/** Rate limits announced by targets, and the allocation of their permits among boxes. */
 import { fleetName } from "@linkfall/fleet";
 import { serviceName } from "@linkfall/kernel";
 import { metricsName } from "@linkfall/metrics";
 import { createTargetLimits, type LimitChange, type TargetLimits } from "@linkfall/target-limits";
-import { allocatorsFor } from "./allocators.js";
-import type { BoxParts } from "./box-parts.js";
-import { boxesWithCallers } from "./boxes-with-callers.js";
+import { currentAllocators } from "./allocators.js";
+import type { BoxRuntime } from "./box-runtime.js";
+import { countBoxesWithCallers } from "./boxes-with-callers.js";
 import { createConnectionCheck } from "./connected.js";
-import type { HolderKnowledge } from "./heartbeat-receiver.js";
-import { createLimitParts } from "./limit-parts.js";
-import { createTeller } from "./tell-others.js";
+import type { LeaseHolderView } from "./heartbeat-receiver.js";
+import { createLimitShares } from "./limit-parts.js";
+import { createPeerNotifier } from "./tell-others.js";
 
 export const targetLimitsName = serviceName<TargetLimits>("target-limits");
 
-function logChange({ ports }: BoxParts, { target, perSecond, source }: LimitChange): void {
+function logChange({ ports }: BoxRuntime, { target, perSecond, source }: LimitChange): void {
   if (perSecond === undefined) ports.logger.event("targetLimitEnded", { target, source });
   else ports.logger.event("targetLimited", { target, perSecond, source });
 }
 
-export function provideLimits(parts: BoxParts, knowledge: HolderKnowledge): TargetLimits {
-  const { kernel, settings, ports, peerClient } = parts;
+/** Registers the rate limits of targets, with logging of changes and a metric. */
+export function provideTargetLimits(
+  runtime: BoxRuntime,
+  holderView: LeaseHolderView,
+): TargetLimits {
+  const { kernel, settings, ports, peerClient } = runtime;
   const fleet = kernel.find(fleetName);
-  const limitParts = createLimitParts(parts);
+  const limitShares = createLimitShares(runtime);
   const limits = createTargetLimits(
     ports.clock,
     {
       self: settings.box.peer_address,
-      allocators: (target) => allocatorsFor(parts, target),
+      allocators: (target) => currentAllocators(runtime, target),
       sendRequest: (address, ask) => peerClient.permit(address, ask),
-      connected: createConnectionCheck(parts, knowledge),
-      ownShare: () => limitParts().own,
-      silentShare: () => limitParts().silent,
-      boxCount: () => boxesWithCallers(parts),
+      connected: createConnectionCheck(runtime, holderView),
+      ownShare: () => limitShares().own,
+      silentShare: () => limitShares().silent,
+      boxCount: () => countBoxesWithCallers(runtime),
     },
     (target) => fleet.find(target)?.born,
   );
   fleet.onIncarnationEnded(limits.forget);
-  const tell = createTeller(parts);
+  const notifyPeers = createPeerNotifier(runtime);
   limits.onChange((change) => {
-    logChange(parts, change);
-    tell();
+    logChange(runtime, change);
+    notifyPeers();
   });
   kernel
     .find(metricsName)
     .gauge(
       "linkfall_limited_targets",
-      "Targets that have named the requests a second that they take.",
+      "Targets that have announced a limit of requests per second.",
       () => limits.limited().length,
     );
   return kernel.provide(targetLimitsName, limits);
--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -1,4 +1,4 @@
-/** Services that give orders to engines: the lease and what it allows. */
+/** Services that send load and unload orders to engines, under the order lease. */
 import { type Peers, peersName } from "@linkfall/box-peers";
 import { desiredFeedName } from "@linkfall/desired-feed";
 import { fleetName } from "@linkfall/fleet";
@@ -15,38 +15,39 @@
   type OrderDispatcher,
   orderDispatcherName,
 } from "@linkfall/weight-orders";
-import { hasWaiting } from "./box-loads.js";
-import type { BoxParts } from "./box-parts.js";
+import { hasWaitingRequests } from "./box-loads.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import { targetLimitsName } from "./provide-limits.js";
 import { rankBoxes } from "./box-ranking.js";
 import { ownProfile } from "./own-profile.js";
 
-/** What the lease has to know of the other boxes. */
-function leasePeers(parts: BoxParts, peers: Peers): LeasePeers {
-  const { kernel, settings, incarnation } = parts;
+/** The view of other boxes that the order lease depends on. */
+function leasePeers(runtime: BoxRuntime, peers: Peers): LeasePeers {
+  const { kernel, settings, incarnation } = runtime;
   const feed = kernel.find(desiredFeedName);
   return {
-    sinceLastMessageMs: peers.heardMs,
+    sinceLastMessageMs: peers.sinceHeartbeatMs,
     isOwnEarlierIncarnation: (holder) =>
       holder !== incarnation && boxOf(holder) === settings.box.name,
-    remainingLeaseMs: (holder) => peers.find(holder)?.ordersForMs ?? 0,
-    announceClaim: () => peers.send(() => true),
-    isLeaving: (holder) => peers.find(holder)?.leaving ?? false,
+    remainingLeaseMs: (holder) => peers.findStatus(holder)?.ordersForMs ?? 0,
+    announceClaim: () => peers.sendHeartbeats(() => true),
+    isLeaving: (holder) => peers.findStatus(holder)?.leaving ?? false,
     rank() {
       const serving = peers.alive().filter((box) => box.ready);
-      return rankBoxes([ownProfile(parts), ...serving]).indexOf(settings.box.name);
+      return rankBoxes([ownProfile(runtime), ...serving]).indexOf(settings.box.name);
     },
     isStoreDownForAll() {
-      const heard = peers.statuses();
-      if (feed.reachesStore() || heard.length * 2 < peers.most()) return false;
-      return heard.every((status) => !status.reachesStore);
+      const statuses = peers.statuses();
+      if (feed.reachesStore() || statuses.length * 2 < peers.maxKnownBoxes()) return false;
+      return statuses.every((status) => !status.reachesStore);
     },
   };
 }
 
-export function provideLease(parts: BoxParts): OrderLease {
-  const { kernel, settings, ports, incarnation } = parts;
-  const peers = leasePeers(parts, kernel.find(peersName));
+/** Registers the lease that permits one box at a time to send orders. */
+export function provideOrderLease(runtime: BoxRuntime): OrderLease {
+  const { kernel, settings, ports, incarnation } = runtime;
+  const peers = leasePeers(runtime, kernel.find(peersName));
   const lease = createOrderLease(kernel, incarnation, ports.leaseStream, peers, {
     enginesFence: settings.lease.engines_fence,
     leaseMs: settings.lease.lease_ms,
@@ -57,13 +58,19 @@
   return kernel.provide(orderLeaseName, lease, lease);
 }
 
-export function provideGiver({ kernel, settings, ports, demand }: BoxParts): OrderDispatcher {
+/** Registers the service that sends orders to engines while this box holds the lease. */
+export function provideOrderDispatcher({
+  kernel,
+  settings,
+  ports,
+  demand,
+}: BoxRuntime): OrderDispatcher {
   const { placement } = settings;
   const fleet = kernel.find(fleetName);
   const feed = kernel.find(desiredFeedName);
   const peers = kernel.find(peersName);
   const targetLimits = kernel.find(targetLimitsName);
-  const giver: OrderDispatcher = createOrderDispatcher(kernel, {
+  const dispatcher: OrderDispatcher = createOrderDispatcher(kernel, {
     self: settings.box.name,
     fleet,
     engines: ports.engines,
@@ -74,10 +81,10 @@
     onLimitReported: (target, notice) =>
       targetLimits.recordAnswer({ target, notice, sentMsAgo: 0, served: false }),
     notifyPeers() {
-      fleet.setWithheldModels(giver.pendingEvictions());
-      // In a large deployment all others hear of it in their next round.
-      if (peers.mesh()) peers.send();
-      else peers.send((member) => hasWaiting(member.status));
+      fleet.setWithheldModels(dispatcher.pendingEvictions());
+      // In a large deployment the other boxes receive it in their next heartbeat round.
+      if (peers.isFullMesh()) peers.sendHeartbeats();
+      else peers.sendHeartbeats((member) => hasWaitingRequests(member.status));
     },
     rules: {
       plan: { targetReplicaLoad: placement.load_of_replica, horizonMs: placement.horizon_ms },
@@ -87,5 +94,5 @@
       moveTimeoutMs: placement.give_up_ms,
     },
   });
-  return kernel.provide(orderDispatcherName, giver, giver);
+  return kernel.provide(orderDispatcherName, dispatcher, dispatcher);
 }
--- a/packages/entry-box/src/provide-quota.ts
+++ b/packages/entry-box/src/provide-quota.ts
@@ -1,35 +1,39 @@
-/** Limits of client accounts: which boxes allocate for an account, and what this one may do alone. */
+/** Rate limits of client accounts: the boxes that allocate them, and the share of this box while it is isolated. */
 import { type AccountQuota, createAccountQuota } from "@linkfall/account-quota";
 import { serviceName } from "@linkfall/kernel";
-import { allocatorsFor } from "./allocators.js";
-import type { BoxParts } from "./box-parts.js";
+import { currentAllocators } from "./allocators.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import { createConnectionCheck } from "./connected.js";
-import type { HolderKnowledge } from "./heartbeat-receiver.js";
-import { createLimitParts } from "./limit-parts.js";
+import type { LeaseHolderView } from "./heartbeat-receiver.js";
+import { createLimitShares } from "./limit-parts.js";
 
 export const accountQuotaName = serviceName<AccountQuota>("account-quota");
 
-const partDigits = 3;
-const rounded = (part: number) => Number(part.toFixed(partDigits));
+const shareDigits = 3;
+const rounded = (share: number) => Number(share.toFixed(shareDigits));
 
-export function provideQuota(parts: BoxParts, knowledge: HolderKnowledge): AccountQuota {
-  const { kernel, settings, ports, peerClient } = parts;
+/** Registers the rate limits of client accounts. */
+export function provideAccountQuota(
+  runtime: BoxRuntime,
+  holderView: LeaseHolderView,
+): AccountQuota {
+  const { kernel, settings, ports, peerClient } = runtime;
   const { accounts, box } = settings;
-  const limitParts = createLimitParts(parts);
+  const limitShares = createLimitShares(runtime);
 
   const quota = createAccountQuota(
     ports.clock,
     {
       self: box.peer_address,
-      allocators: (account) => allocatorsFor(parts, account),
+      allocators: (account) => currentAllocators(runtime, account),
       sendRequest: (address, ask) => peerClient.quota(address, ask),
-      connected: createConnectionCheck(parts, knowledge),
+      connected: createConnectionCheck(runtime, holderView),
       onIsolatedDecision: (account, granted, part) =>
         ports.logger.event("quotaAlone", { account, granted, part: rounded(part) }),
       onExhausted: (allotted) =>
         ports.logger.event("quotaShort", { ...allotted, part: rounded(allotted.part) }),
-      ownShare: () => limitParts().own,
-      silentShare: () => limitParts().silent,
+      ownShare: () => limitShares().own,
+      silentShare: () => limitShares().silent,
     },
     {
       windowSeconds: accounts.window_s,
--- a/packages/entry-box/src/provide-state.ts
+++ b/packages/entry-box/src/provide-state.ts
@@ -1,21 +1,21 @@
-/** Services that hold what a box believes: targets, configuration, other boxes. */
+/** Services that hold a box's view of targets, configuration and other boxes. */
 import { createPeers, type HeartbeatSource, type Peers, peersName } from "@linkfall/box-peers";
 import { createDesiredFeed, type DesiredFeed, desiredFeedName } from "@linkfall/desired-feed";
 import { createFleet, type Fleet, fleetName } from "@linkfall/fleet";
 import { repeatEvery } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import { createStoreReaders } from "./store-readers.js";
 
 /**
- * Changes of targets of this share of the time in which all boxes have to know of them are read together;
- * the rest is left for telling the others. Targets change several times a second, so that this sets how
- * often the store is read.
+ * Fraction of the time by which all boxes must have received a target change that is spent on batching reads of the
+ * store; the rest is left for propagation. Targets change several times per second, so this determines the read rate.
  */
-const gatherShare = 0.3;
-const lapseCheckMs: Milliseconds = 250;
+const batchingFraction = 0.3;
+const lapseCheckIntervalMs: Milliseconds = 250;
 
-export function provideFleet({ kernel, settings }: BoxParts): Fleet {
+/** Registers this box's view of the targets. */
+export function provideFleet({ kernel, settings }: BoxRuntime): Fleet {
   const { targets } = settings;
   const fleet = createFleet(kernel, {
     lapse: { graceMs: targets.lapse_grace_ms, minShare: targets.lapse_share },
@@ -28,47 +28,49 @@
   return kernel.provide(fleetName, fleet);
 }
 
-export function provideFeed(parts: BoxParts, fleet: Fleet): DesiredFeed {
-  const { kernel, settings, ports } = parts;
+/** Registers the feed of configuration and targets, and the periodic expiry of lapsed targets. */
+export function provideFeed(runtime: BoxRuntime, fleet: Fleet): DesiredFeed {
+  const { kernel, settings, ports } = runtime;
   const { store, targets } = settings;
   const feed = createDesiredFeed(kernel, {
     configurationStream: ports.configurationStream,
     targetStream: ports.targetStream,
     codec: ports.records,
     fleet,
-    peers: createStoreReaders(parts),
+    peers: createStoreReaders(runtime),
     times: {
       maxWaitMs: store.wait_ms,
       coalesceMs: 0,
       initialRetryPauseMs: store.first_pause_ms,
       maxRetryPauseMs: store.longest_pause_ms,
     },
-    coalesceTargetsMs: store.gather_targets_ms ?? targets.leaving_ms * gatherShare,
+    coalesceTargetsMs: store.gather_targets_ms ?? targets.leaving_ms * batchingFraction,
     configurationKey: ports.configurationKey,
     settleMs: store.settle_ms,
   });
-  const lapses = repeatEvery(ports.clock, ports.random, lapseCheckMs, () =>
+  const lapses = repeatEvery(ports.clock, ports.random, lapseCheckIntervalMs, () =>
     fleet.expireMissing(feed.storeUnsettled()),
   );
   kernel.provide({ name: "lapses" }, undefined, lapses);
   return kernel.provide(desiredFeedName, feed, feed);
 }
 
+/** Registers the membership of other boxes. */
 export function providePeers(
-  { kernel, settings, peerClient }: BoxParts,
+  { kernel, settings, peerClient }: BoxRuntime,
   source: HeartbeatSource,
 ): Peers {
   const peers = createPeers(kernel, peerClient, source, {
     selfAddress: settings.box.peer_address,
-    roundMs: settings.peers.round_ms,
-    roundPerBoxMs: settings.peers.round_per_box_ms,
-    suspectMs: settings.peers.suspect_ms,
-    forgetMs: settings.peers.forget_ms,
-    vouchedMs: settings.peers.vouched_ms,
-    fanout: settings.peers.fanout,
+    minRoundIntervalMs: settings.peers.round_ms,
+    roundIntervalPerBoxMs: settings.peers.round_per_box_ms,
+    baseSuspicionTimeoutMs: settings.peers.suspect_ms,
+    removeAfterMs: settings.peers.forget_ms,
+    holderReportTtlMs: settings.peers.vouched_ms,
+    maxFullMeshPeers: settings.peers.fanout,
     searchFanout: settings.peers.search_fanout,
-    randomEvery: settings.peers.random_every,
-    sightings: settings.peers.sightings,
+    randomPartnerPeriod: settings.peers.random_every,
+    maxSightings: settings.peers.sightings,
   });
   return kernel.provide(peersName, peers, peers);
 }
--- a/packages/entry-box/src/tell-others.ts
+++ b/packages/entry-box/src/tell-others.ts
@@ -1,20 +1,23 @@
-/** Tells other boxes at once of what can't wait for the next round of heartbeats. */
+/** Sends heartbeats early for changes that cannot wait for the next round. */
 import { peersName } from "@linkfall/box-peers";
 import type { Milliseconds } from "@linkfall/types";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 
-/** News of one moment are told in one message. */
-const gatherMs: Milliseconds = 10;
+/** Changes within this time share one heartbeat. */
+const notifyDelayMs: Milliseconds = 10;
 
-/** Tells the others soon; what is found meanwhile goes with it. */
-export function createTeller({ kernel, ports }: Pick<BoxParts, "kernel" | "ports">): () => void {
-  let telling = false;
+/** Creates a function that schedules a heartbeat; calls before it is sent have no further effect. */
+export function createPeerNotifier({
+  kernel,
+  ports,
+}: Pick<BoxRuntime, "kernel" | "ports">): () => void {
+  let scheduled = false;
   return () => {
-    if (telling) return;
-    telling = true;
-    ports.clock.after(gatherMs, () => {
-      telling = false;
-      kernel.find(peersName).send();
+    if (scheduled) return;
+    scheduled = true;
+    ports.clock.after(notifyDelayMs, () => {
+      scheduled = false;
+      kernel.find(peersName).sendHeartbeats();
     });
   };
 }
--- a/packages/forwarding/src/answer-sink.ts
+++ b/packages/forwarding/src/answer-sink.ts
@@ -1,6 +1,6 @@
 /** Writes the response to one caller: the head once, then the body, ended or aborted so that truncation is visible. */
 import type { ServerResponse } from "node:http";
-import { onCallerLeft } from "@linkfall/caller-presence";
+import { onCallerDisconnect } from "@linkfall/caller-presence";
 import type { RawHeaders } from "@linkfall/ports";
 
 export interface ResponseSink {
@@ -31,7 +31,7 @@
   let callerGone = false;
   const listeners: (() => void)[] = [];
   response.on("error", () => undefined);
-  onCallerLeft(response, () => {
+  onCallerDisconnect(response, () => {
     callerGone = true;
     for (const listener of listeners) listener();
   });
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -1,5 +1,5 @@
 /** Sends a request to one target once and forwards a streamed response as it arrives. */
-import { lookForCaller } from "@linkfall/caller-presence";
+import { awaitPendingDisconnects } from "@linkfall/caller-presence";
 import type { TargetUnreachable } from "@linkfall/errors";
 import { createEventSplitter, type StreamEvent } from "@linkfall/event-stream";
 import type { Clock } from "@linkfall/kernel";
@@ -188,7 +188,7 @@
     settle({ kind: "silent", responseStarted: responseStarted() }),
   );
   const openedAt = clock.now();
-  const beforeWrite = () => lookForCaller(clock.now, sink.isCallerGone, openedAt);
+  const beforeWrite = () => awaitPendingDisconnects(clock.now, sink.isCallerGone, openedAt);
   const exchange: Exchange = openExchange(
     clock,
     { ...input.request, beforeWrite },
--- a/packages/peer-grpc/src/convert.ts
+++ b/packages/peer-grpc/src/convert.ts
@@ -1,4 +1,4 @@
-/** Between the generated messages and the types of the ports. */
+/** Converts between the generated messages and the types of the ports. */
 import type {
   BlameExchange,
   Heartbeat,
@@ -27,12 +27,12 @@
   UsageReport as UsageMessage,
 } from "./generated/peer.js";
 
-/** A message that lacks a part which every sender sets. */
-export class IncompleteMessage extends Error {}
+/** Thrown for a message that lacks a required field or holds an invalid value in it. */
+export class IncompleteMessageError extends Error {}
 
-function present<T>(part: T | undefined, name: string): T {
-  if (part === undefined) throw new IncompleteMessage(name);
-  return part;
+function requireField<T>(value: T | undefined, name: string): T {
+  if (value === undefined) throw new IncompleteMessageError(name);
+  return value;
 }
 
 function toSummary(summary: Summary): MemberSummary {
@@ -64,12 +64,12 @@
   return { from: report.from, demand: [...report.demand], accounts: [...report.accounts] };
 }
 
-/** @throws IncompleteMessage */
+/** @throws IncompleteMessageError */
 export function fromBeatRequest(message: BeatRequest): Heartbeat {
   return {
-    from: present(message.from, "from"),
+    from: requireField(message.from, "from"),
     members: message.members,
-    summary: toSummary(present(message.summary, "summary")),
+    summary: toSummary(requireField(message.summary, "summary")),
     blame: toBlame(message.blame),
   };
 }
@@ -78,7 +78,7 @@
   return { ...toBeatRequest(reply), records: reply.records.map((record) => ({ ...record })) };
 }
 
-/** @throws IncompleteMessage */
+/** @throws IncompleteMessageError */
 export function fromBeatReply(message: BeatReply): HeartbeatReply {
   return { ...fromBeatRequest(message), records: message.records };
 }
@@ -87,10 +87,10 @@
   return { ...request, pools: [...request.pools], held: [...request.held] };
 }
 
-/** One of the words that a text may hold. */
-function oneOf<T extends string>(words: readonly T[], text: string): T {
-  return present(
-    words.find((word) => word === text),
+/** Narrows a text to one of the allowed literals. */
+function parseLiteral<T extends string>(literals: readonly T[], text: string): T {
+  return requireField(
+    literals.find((literal) => literal === text),
     text,
   );
 }
@@ -104,8 +104,11 @@
   const { role, residents } = message;
   return {
     ...message,
-    role: oneOf(engineRoles, role),
-    residents: residents.map((copy) => ({ ...copy, state: oneOf(residentStates, copy.state) })),
+    role: parseLiteral(engineRoles, role),
+    residents: residents.map((resident) => ({
+      ...resident,
+      state: parseLiteral(residentStates, resident.state),
+    })),
   };
 }
 
@@ -119,17 +122,17 @@
   return { from: reply.from, reports };
 }
 
-function toRelayed(message: RelayedMessage): RelayedReport {
+function toRelayedReport(message: RelayedMessage): RelayedReport {
   const { ageMs, placementVersion, placement } = message;
   return {
-    load: present(message.load, "load"),
+    load: requireField(message.load, "load"),
     ageMs,
     placementVersion,
     placement: placement && toPlacement(placement),
   };
 }
 
-/** @throws IncompleteMessage */
+/** @throws IncompleteMessageError */
 export function fromReportsReply(message: ReportsReplyMessage): ReportsReply {
-  return { from: message.from, reports: message.reports.map(toRelayed) };
+  return { from: message.from, reports: message.reports.map(toRelayedReport) };
 }
--- a/packages/peer-grpc/src/peer-server.ts
+++ b/packages/peer-grpc/src/peer-server.ts
@@ -1,11 +1,11 @@
-/** Answers other boxes. */
+/** Server for messages from other boxes. */
 import { once } from "node:events";
 import { Server, type ServerWritableStream, status } from "@grpc/grpc-js";
 import type { AddressUnavailable } from "@linkfall/errors";
 import type { CallerResponse, PeerHandler } from "@linkfall/ports";
 import { type Either, Left, Right } from "purify-ts";
 import { match } from "ts-pattern";
-import { fromBeatRequest, IncompleteMessage, toBeatReply, toReportsReply } from "./convert.js";
+import { fromBeatRequest, IncompleteMessageError, toBeatReply, toReportsReply } from "./convert.js";
 import {
   type Answer,
   type Ask,
@@ -16,10 +16,10 @@
 } from "./generated/peer.js";
 import { type PeerTls, serverCredentials } from "./peer-tls.js";
 
-const statePartLength = 1_000_000;
+const maxStatePartLength = 1_000_000;
 
 export interface PeerGrpcServer {
-  /** Starts to listen; resolves with the port. */
+  /** Starts listening; resolves with the port. */
   listen(address: string): Promise<Either<AddressUnavailable, number>>;
   close(): void;
 }
@@ -31,7 +31,7 @@
   try {
     await once(call, "drain", { signal: gone });
   } catch {
-    // The asking box has gone; the caller of this function sees it.
+    // The requesting box disconnected; callers check `gone`.
   }
 }
 
@@ -43,7 +43,7 @@
   } else {
     for await (const part of response.body) {
       if (gone.aborted) return;
-      // Ended without the marker of a whole answer, so that the other side sees the cut.
+      // Ending without the end marker lets the requesting box detect the truncation.
       if (part.isLeft()) return void call.end();
       const chunk = part.extract() as Uint8Array;
       await writePart(call, { $case: "chunk", value: Buffer.from(chunk) }, gone);
@@ -54,11 +54,11 @@
 }
 
 /**
- * The answer to one small message.
+ * Handles one message and returns its answer.
  *
- * @throws IncompleteMessage
+ * @throws IncompleteMessageError
  */
-function answerTo(handler: PeerHandler, body: Ask["body"]): Answer["body"] {
+function handleAsk(handler: PeerHandler, body: Ask["body"]): Answer["body"] {
   return match(body)
     .returnType<Answer["body"]>()
     .with({ $case: "beat" }, ({ $case, value }) => ({
@@ -74,7 +74,7 @@
       value: toReportsReply(handler.readReports(value)),
     }))
     .with(undefined, () => {
-      throw new IncompleteMessage("body");
+      throw new IncompleteMessageError("body");
     })
     .exhaustive();
 }
@@ -82,20 +82,20 @@
 /**
  * Creates the server of one box.
  *
- * @param defect takes an error that no value stands for
+ * @param onDefect called for unexpected errors
  */
 export function createPeerServer(
   handler: PeerHandler,
-  defect: (problem: unknown) => void,
+  onDefect: (problem: unknown) => void,
   tls?: PeerTls,
 ): PeerGrpcServer {
   const implementation: PeerServer = {
     exchange(call) {
       call.on("data", ({ number, body }: Ask) => {
         try {
-          call.write({ number, body: answerTo(handler, body) });
+          call.write({ number, body: handleAsk(handler, body) });
         } catch (problem) {
-          if (!(problem instanceof IncompleteMessage)) return defect(problem);
+          if (!(problem instanceof IncompleteMessageError)) return onDefect(problem);
           call.emit("error", { code: status.INVALID_ARGUMENT, message: problem.message });
         }
       });
@@ -103,8 +103,8 @@
     },
     fetchState(call) {
       const { offset, data } = handler.fetchState();
-      for (let start = 0; start < data.length; start += statePartLength) {
-        call.write({ offset, data: data.slice(start, start + statePartLength) });
+      for (let start = 0; start < data.length; start += maxStatePartLength) {
+        call.write({ offset, data: data.slice(start, start + maxStatePartLength) });
       }
       call.end();
     },
@@ -115,7 +115,7 @@
       handler
         .forward({ method, path, headers, body, gone: gone.signal })
         .then((response) => writeForwarded(call, response, gone.signal))
-        .catch(defect);
+        .catch(onDefect);
     },
   };
   const server = new Server({ "grpc.max_receive_message_length": 64_000_000 });
--- a/packages/peer-grpc/src/peer-tls.ts
+++ b/packages/peer-grpc/src/peer-tls.ts
@@ -1,14 +1,15 @@
-/** Credentials of the peer protocol: TLS with certificates on both sides, or plain TCP. */
+/** Credentials for connections between boxes: mutual TLS, or plain TCP. */
 import { ChannelCredentials, ServerCredentials } from "@grpc/grpc-js";
 
-/** PEM texts. */
+/** Certificates and key in PEM format. */
 export interface PeerTls {
   readonly cert: string;
   readonly key: string;
-  /** Authority that the other side's certificate is checked against. */
+  /** Certificate authority that verifies the other box's certificate. */
   readonly ca: string;
 }
 
+/** Credentials of the client side; insecure without `tls`. */
 export function clientCredentials(tls?: PeerTls): ChannelCredentials {
   if (!tls) return ChannelCredentials.createInsecure();
   return ChannelCredentials.createSsl(
@@ -18,6 +19,7 @@
   );
 }
 
+/** Credentials of the server side, which require a client certificate; insecure without `tls`. */
 export function serverCredentials(tls?: PeerTls): ServerCredentials {
   if (!tls) return ServerCredentials.createInsecure();
   const pair = { private_key: Buffer.from(tls.key), cert_chain: Buffer.from(tls.cert) };
--- a/packages/routing/src/choose.ts
+++ b/packages/routing/src/choose.ts
@@ -1,6 +1,6 @@
 /** Routing policies that choose one target. See docs/design/routing.md. */
 import { pick, type Random } from "@linkfall/kernel";
-import { affinity, hash32 } from "@linkfall/rendezvous";
+import { nodeScore, hash32 } from "@linkfall/rendezvous";
 import type { Milliseconds } from "@linkfall/types";
 import { match } from "ts-pattern";
 
@@ -46,7 +46,7 @@
   let best = eligible[0];
   let bestScore = -1;
   for (const candidate of eligible) {
-    const score = affinity(keyHash, candidate.target);
+    const score = nodeScore(keyHash, candidate.target);
     if (score > bestScore) [best, bestScore] = [candidate, score];
   }
   return best;
