--- a/packages/account-quota/src/account-quota.steps.ts
+++ b/packages/account-quota/src/account-quota.steps.ts
@@ -2,7 +2,7 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
 import { notes } from "@linkfall/test-support";
-import type { AccountLimit, ClientAccount, RequestTerms } from "@linkfall/types";
+import type { AccountLimit, ClientAccount, RequestMetadata } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
 import {
   type AllottedUnits,
@@ -147,7 +147,7 @@
 }
 
 function accountOf(perSecond: number): ClientAccount {
-  const limit: AccountLimit = { unit: "tokens", perSecond, burst: perSecond, plainTokens: 200 };
+  const limit: AccountLimit = { unit: "tokens", perSecond, burst: perSecond, defaultTokens: 200 };
   return { name: "a", keys: [], limit };
 }
 
@@ -275,14 +275,14 @@
   (told: string, units: number, unit: AccountLimit["unit"]) => {
     const [prompt, output] = told.split(" and ").map(Number);
     const tokensTold = Number.isFinite(prompt);
-    const terms: RequestTerms = {
+    const terms: RequestMetadata = {
       id: "r",
-      tokensTold,
+      tokensDeclared: tokensTold,
       promptTokens: tokensTold ? prompt : 0,
       maxOutputTokens: tokensTold ? output : 0,
       parts: [],
     };
-    const limit = { unit, perSecond: 1, burst: 1, plainTokens: 200 };
+    const limit = { unit, perSecond: 1, burst: 1, defaultTokens: 200 };
     assert.equal(unitsOf(limit, terms), units);
   },
 );
--- a/packages/box-peers/src/messages.ts
+++ b/packages/box-peers/src/messages.ts
@@ -3,13 +3,13 @@
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { LeaseWord } from "@linkfall/order-lease";
 import type {
-  BlameWord,
+  BlameMessage,
   Holdings,
   Incarnation,
   ListedTarget,
   Milliseconds,
   Offset,
-  TargetLimitWord,
+  TargetLimitMessage,
 } from "@linkfall/types";
 
 /** What every box has to know of every other one. It changes seldom. */
@@ -119,9 +119,9 @@
   /** Present where the sender reads the list and the reader does not. */
   readonly targets?: TargetChanges;
   /** What the sender knows of requests that end targets; absent where the reader knows it. */
-  readonly blame?: BlameWord;
+  readonly blame?: BlameMessage;
   /** What the sender knows of targets' limits; absent where the reader knows it. */
-  readonly limits?: TargetLimitWord;
+  readonly limits?: TargetLimitMessage;
 }
 
 /** The configuration as one box has read it, in the form in which the store gave it. */
--- a/packages/crash-blame/src/index.ts
+++ b/packages/crash-blame/src/index.ts
@@ -4,7 +4,7 @@
  */
 import { createFollowedNews } from "@linkfall/followed-news";
 import { type Clock, serviceName } from "@linkfall/kernel";
-import type { BlameWord, Fingerprint, HeldRequest, Incarnation } from "@linkfall/types";
+import type { BlameMessage, Fingerprint, HeldRequest, Incarnation } from "@linkfall/types";
 import {
   createBlameState,
   isSuspect,
@@ -47,9 +47,9 @@
   /** Takes a word that was kept for boxes that start. */
   takeKept(word: HeldRequest): void;
   /** What another box lacks that has followed this one to `number`. */
-  tell(number: number): BlameWord;
+  tell(number: number): BlameMessage;
   /** Takes the word of another box. */
-  take(from: Incarnation, word: BlameWord): void;
+  take(from: Incarnation, word: BlameMessage): void;
   /** How far this box has followed another one. */
   followed(other: Incarnation): number;
   /** Calls the listener when this box has found something to tell. */
--- a/packages/entry-box/src/account-admission.ts
+++ b/packages/entry-box/src/account-admission.ts
@@ -1,7 +1,7 @@
 /** Takes a request from the limit of its account, and settles it when the request has its end. */
 import { type AccountQuota, type QuotaUse, unitsOf } from "@linkfall/account-quota";
 import type { ForwardedRequest, RequestEnd } from "@linkfall/forwarding";
-import type { ClientAccount, Milliseconds, RequestTerms } from "@linkfall/types";
+import type { ClientAccount, Milliseconds, RequestMetadata } from "@linkfall/types";
 
 export type AccountAdmission =
   /** `use` is what was taken; absent where no limit holds. */
@@ -12,7 +12,7 @@
 export async function admitToQuota(
   quota: AccountQuota,
   account: ClientAccount | undefined,
-  terms: RequestTerms,
+  terms: RequestMetadata,
   version: number,
 ): Promise<AccountAdmission> {
   if (!account?.limit) return { kind: "admitted" };
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -11,7 +11,7 @@
 import type { RequestCodec } from "@linkfall/ports";
 import { fingerprintOf, type RequestContent } from "@linkfall/request-fingerprint";
 import { shareFor } from "@linkfall/route-table";
-import type { ClientAccount, Milliseconds, RequestTerms, Route } from "@linkfall/types";
+import type { ClientAccount, Milliseconds, RequestMetadata, Route } from "@linkfall/types";
 import { admitToQuota, settleQuota } from "./account-admission.js";
 import { answerOwn, type FrontRequest } from "./front.js";
 import { identify } from "./identify.js";
@@ -40,7 +40,7 @@
 
 function toForwarded(
   request: FrontRequest,
-  terms: RequestTerms,
+  terms: RequestMetadata,
   route: Route,
   account: ClientAccount | undefined,
   { configuration }: ConfigurationInForce,
@@ -56,7 +56,7 @@
     account: account?.name,
     fingerprint: fingerprintLater({ ...request, account: account?.name }),
     priority: account?.priority ?? route.priority,
-    awaitedUntil: request.arrivedAt + Math.min(heldMs, route.patienceMs ?? heldMs),
+    awaitedUntil: request.arrivedAt + Math.min(heldMs, route.eventTimeoutMs ?? heldMs),
     endsAt: request.arrivedAt + heldMs,
     position: { lastId: terms.resumeAfter },
     tried: new Set(),
--- a/packages/entry-box/src/heartbeat-source.ts
+++ b/packages/entry-box/src/heartbeat-source.ts
@@ -11,7 +11,7 @@
 import { desiredFeedName } from "@linkfall/desired-feed";
 import { fleetName } from "@linkfall/fleet";
 import { orderLeaseName } from "@linkfall/order-lease";
-import type { BlameWord, TargetLimitWord } from "@linkfall/types";
+import type { BlameMessage, TargetLimitMessage } from "@linkfall/types";
 import type { BoxParts } from "./box-parts.js";
 import { ownLoads, recentDemand } from "./box-loads.js";
 import { ownProfile } from "./own-profile.js";
@@ -27,13 +27,13 @@
 }
 
 /** What this box knows of requests that end targets and the reader does not. */
-function blameFor({ kernel }: BoxParts, reader?: BoxStatus): BlameWord | undefined {
+function blameFor({ kernel }: BoxParts, reader?: BoxStatus): BlameMessage | undefined {
   const word = kernel.find(crashBlameName).tell(reader?.blameFollowed ?? 0);
   return word.records.length > 0 ? word : undefined;
 }
 
 /** What this box knows of targets' limits and the reader does not. */
-function limitsFor({ kernel }: BoxParts, reader?: BoxStatus): TargetLimitWord | undefined {
+function limitsFor({ kernel }: BoxParts, reader?: BoxStatus): TargetLimitMessage | undefined {
   const word = kernel.find(targetLimitsName).tell(reader?.limitsFollowed ?? 0);
   return word.records.length > 0 ? word : undefined;
 }
--- a/packages/fleet/src/belief.ts
+++ b/packages/fleet/src/belief.ts
@@ -1,7 +1,7 @@
 /** What one box believes of one target. */
 import { createPrefixIndex, type PrefixIndex } from "@linkfall/prefix-index";
 import type {
-  EngineShape,
+  EngineSpec,
   EngineState,
   Holdings,
   ListedTarget,
@@ -63,7 +63,7 @@
 export function createBelief(
   listed: ListedTarget,
   born: Milliseconds | undefined,
-  engine: EngineShape | undefined,
+  engine: EngineSpec | undefined,
   now: Milliseconds,
 ): TargetBelief {
   const cacheTokens = engine?.cacheTokens ?? defaultCacheTokens;
--- a/packages/fleet/src/fleet-state.ts
+++ b/packages/fleet/src/fleet-state.ts
@@ -1,7 +1,7 @@
 /** What the steps of the fleet share. */
 import type { Clock } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
-import type { EngineShape, Holdings, Milliseconds } from "@linkfall/types";
+import type { EngineSpec, Holdings, Milliseconds } from "@linkfall/types";
 import type { TargetBelief } from "./belief.js";
 import type { EjectionRule } from "./health.js";
 
@@ -28,7 +28,7 @@
   readonly listeners: (() => void)[];
   /** Called with the id of a target that is gone or has started again. */
   readonly lifeListeners: ((id: string) => void)[];
-  engines: ReadonlyMap<string, EngineShape | undefined>;
+  engines: ReadonlyMap<string, EngineSpec | undefined>;
   /** Whether engines' own word is fresh, so that the list is not believed about models. */
   ownWord: () => boolean;
 }
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -2,7 +2,7 @@
 import { clockName, type Kernel, serviceName } from "@linkfall/kernel";
 import { loggerName } from "@linkfall/logger";
 import type {
-  EngineShape,
+  EngineSpec,
   EngineState,
   Holdings,
   ListedTarget,
@@ -51,7 +51,7 @@
   onLifeEnded(listener: (id: string) => void): void;
   /** Calls the listener after each change that may let a waiting request go on. */
   onChange(listener: () => void): void;
-  setEngines(shapes: ReadonlyMap<string, EngineShape | undefined>): void;
+  setEngines(shapes: ReadonlyMap<string, EngineSpec | undefined>): void;
   /** Tells when the list is to be believed about models: never while engines' own word is fresh. */
   trustOwnWord(fresh: () => boolean): void;
   /** Removes targets whose lapse has lasted longer than the grace. */
--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -1,7 +1,7 @@
 /** One request on its way through a box. */
 import type { Wanted } from "@linkfall/model-demand";
 import type { RawHeaders } from "@linkfall/ports";
-import type { Milliseconds, RequestTerms, Route, RoutedService } from "@linkfall/types";
+import type { Milliseconds, RequestMetadata, Route, RoutedService } from "@linkfall/types";
 import type { AnswerSink } from "./answer-sink.js";
 import type { StreamPosition } from "./attempt.js";
 
@@ -15,7 +15,7 @@
   readonly body: Buffer;
   /** Names the request by its content; its returns have the same. */
   fingerprint(): string;
-  readonly terms: RequestTerms;
+  readonly terms: RequestMetadata;
   /** Name of the client account; absent where no key was needed. */
   readonly account?: string;
   /** Of the client account where it has one, else of the route; 0 is the most urgent. */
@@ -65,6 +65,6 @@
 }
 
 /** Weights as the demand meter and the prefix index name them. */
-export function weightsOf(terms: RequestTerms): string {
+export function weightsOf(terms: RequestMetadata): string {
   return terms.adapter === undefined ? (terms.model ?? "") : `${terms.model}/${terms.adapter}`;
 }
--- a/packages/forwarding/src/hold-for-weights.ts
+++ b/packages/forwarding/src/hold-for-weights.ts
@@ -31,7 +31,7 @@
   request: ForwardedRequest,
 ): Milliseconds {
   const { model = "" } = request.terms;
-  const loadMs = request.service.engine?.models.get(model)?.fromDiskMs ?? 0;
+  const loadMs = request.service.engine?.models.get(model)?.loadFromDiskMs ?? 0;
   return Math.max(forwardLimits.comeBackMs, loadMs);
 }
 
--- a/packages/forwarding/src/pick.ts
+++ b/packages/forwarding/src/pick.ts
@@ -1,7 +1,7 @@
 /** Which target a request goes to now, or what it has to wait for. */
 import { holds, type TargetBelief } from "@linkfall/fleet";
 import { topNodes } from "@linkfall/rendezvous";
-import type { Milliseconds, RequestTerms } from "@linkfall/types";
+import type { Milliseconds, RequestMetadata } from "@linkfall/types";
 import { type Candidate, type Choice, chooseTarget } from "@linkfall/target-choice";
 import { longestQueueMs } from "./admission.js";
 import type { ForwardContext } from "./forward-context.js";
@@ -58,7 +58,7 @@
 const homeShare = 0.8;
 
 /** Tokens of a prompt that a target has to read, before one is chosen. */
-export function probablyUnread({ promptTokens, parts }: RequestTerms): number {
+export function probablyUnread({ promptTokens, parts }: RequestMetadata): number {
   const shared = parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
   return Math.max(0, promptTokens - shared * homeShare);
 }
--- a/packages/ports/src/routed-ports.ts
+++ b/packages/ports/src/routed-ports.ts
@@ -6,8 +6,8 @@
   LimitNotice,
   ListedTarget,
   Milliseconds,
-  OrderAnswer,
-  RequestTerms,
+  OrderResult,
+  RequestMetadata,
   RoutedConfiguration,
 } from "@linkfall/types";
 import type { Either } from "purify-ts";
@@ -48,7 +48,7 @@
 
 /** Translates between requests on the wire and their terms. */
 export interface RequestCodec {
-  readTerms(headers: RawHeaders): RequestTerms;
+  readTerms(headers: RawHeaders): RequestMetadata;
   /** The key of the caller's account. It is kept out of the terms, which are logged. */
   readKey(headers: RawHeaders): string | undefined;
   /** Why the terms cannot be read, such as one that comes with two values; such a request reaches no target. */
@@ -63,5 +63,5 @@
 /** Asks engines for their state and gives them orders. */
 export interface RoutedEnginePort {
   state(target: ListedTarget): Promise<Either<TargetUnreachable, EngineState>>;
-  order(target: ListedTarget, order: FencedOrder): Promise<OrderAnswer>;
+  order(target: ListedTarget, order: FencedOrder): Promise<OrderResult>;
 }
--- a/packages/route-table/src/index.ts
+++ b/packages/route-table/src/index.ts
@@ -1,5 +1,5 @@
 /** Finds the route of a request: exact host, then the longest path prefix. */
-import type { Route, RoutedConfiguration, RouteShare } from "@linkfall/types";
+import type { Route, RoutedConfiguration, WeightedService } from "@linkfall/types";
 import murmurhash from "murmurhash";
 
 const hashSteps = 0x1_0000_0000;
@@ -41,12 +41,12 @@
 }
 
 /** The service that a request goes to: the same for the same request on every box. */
-export function shareFor(route: Route, requestId: string): RouteShare {
-  const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
+export function shareFor(route: Route, requestId: string): WeightedService {
+  const total = route.weightedServices.reduce((sum, share) => sum + share.weight, 0);
   let point = (murmurhash.v3(requestId) / hashSteps) * total;
-  for (const share of route.shares) {
+  for (const share of route.weightedServices) {
     if (point < share.weight) return share;
     point -= share.weight;
   }
-  return route.shares[0];
+  return route.weightedServices[0];
 }
--- a/packages/route-table/src/route-table.steps.ts
+++ b/packages/route-table/src/route-table.steps.ts
@@ -10,7 +10,7 @@
     name,
     host,
     pathPrefix,
-    shares: [{ service: "s", weight: 1 }],
+    weightedServices: [{ service: "s", weight: 1 }],
     repeatability: "repeatable",
     streaming: false,
     resumable: false,
--- a/packages/target-limits/src/limit-book.ts
+++ b/packages/target-limits/src/limit-book.ts
@@ -7,7 +7,7 @@
   LimitNotice,
   Milliseconds,
   TargetLimitRecord,
-  TargetLimitWord,
+  TargetLimitMessage,
 } from "@linkfall/types";
 
 /** One target that has named a limit; changed in place by the book that owns it. */
@@ -53,9 +53,9 @@
   /** Forgets a target whose life has ended. */
   forget(target: string): void;
   /** What another box lacks that has followed this one to `number`. */
-  tell(number: number): TargetLimitWord;
+  tell(number: number): TargetLimitMessage;
   /** Takes the word of another box. */
-  take(from: Incarnation, word: TargetLimitWord): void;
+  take(from: Incarnation, word: TargetLimitMessage): void;
   /** How far this box has followed another one. */
   followed(other: Incarnation): number;
   /** Calls the listener with each change. */
--- a/packages/types/src/routed-targets.ts
+++ b/packages/types/src/routed-targets.ts
@@ -70,7 +70,7 @@
  * What an engine says to an order. `unanswered`: it may still be carried out; `gone`: another start
  * has the address.
  */
-export type OrderAnswer =
+export type OrderResult =
   "under_way" | "in_force" | "conflict" | "fenced" | "refused" | "gone" | "unanswered";
 
 /** A part of a prompt that requests may share. */
@@ -80,14 +80,14 @@
 }
 
 /** What a request says of itself beside its method, path and body. */
-export interface RequestTerms {
+export interface RequestMetadata {
   readonly id: string;
   /** Time that the caller will wait, from its sending. */
   readonly deadlineMs?: Milliseconds;
   readonly model?: string;
   readonly adapter?: string;
   /** Whether the caller told its tokens; where not, both counts are 0. */
-  readonly tokensTold: boolean;
+  readonly tokensDeclared: boolean;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
   readonly parts: readonly PromptPart[];
--- a/packages/types/src/target-limits.ts
+++ b/packages/types/src/target-limits.ts
@@ -29,7 +29,7 @@
 }
 
 /** What one box tells another: limits that have changed since the other's last word. */
-export interface TargetLimitWord {
+export interface TargetLimitMessage {
   /** How far the reader has followed the sender once it has taken this. */
   readonly number: number;
   readonly records: readonly TargetLimitRecord[];
--- a/packages/weight-orders/src/give-order.ts
+++ b/packages/weight-orders/src/give-order.ts
@@ -2,11 +2,11 @@
 import { invariant } from "@linkfall/errors";
 import type { TargetBelief } from "@linkfall/fleet";
 import type {
-  EngineShape,
+  EngineSpec,
   Epoch,
   FencedOrder,
   Milliseconds,
-  OrderAnswer,
+  OrderResult,
   ResidentModel,
   WeightOrder,
 } from "@linkfall/types";
@@ -48,7 +48,7 @@
 /** Whether an order leaves the engine within its memory and its adapter places. */
 export function fits(
   belief: TargetBelief,
-  shape: EngineShape,
+  shape: EngineSpec,
   { wanted, residents }: PlannedOrder,
 ): boolean {
   if (wanted.action !== "load") return true;
@@ -96,7 +96,7 @@
   work.aheadFrom = clock.now() + aheadAgainMs;
 }
 
-function takeAnswer(context: GiverContext, id: string, order: FencedOrder, answer: OrderAnswer) {
+function takeAnswer(context: GiverContext, id: string, order: FencedOrder, answer: OrderResult) {
   const { fleet, state } = context;
   if (answer === "gone") fleet.unreachable(id, "another start has its address");
   if (answer !== "conflict" && answer !== "refused" && answer !== "gone") return;
--- a/packages/weight-orders/src/giver-context.ts
+++ b/packages/weight-orders/src/giver-context.ts
@@ -7,7 +7,7 @@
 import type { OrderLease } from "@linkfall/order-lease";
 import type { RoutedEnginePort } from "@linkfall/ports";
 import type {
-  EngineShape,
+  EngineSpec,
   EngineState,
   Epoch,
   LimitNotice,
@@ -111,7 +111,7 @@
 }
 
 /** What the configuration says of the engine's service. */
-export function shapeOf(context: GiverContext, belief: TargetBelief): EngineShape | undefined {
+export function shapeOf(context: GiverContext, belief: TargetBelief): EngineSpec | undefined {
   return context.configuration()?.services.get(belief.listed.service)?.engine;
 }
 
--- a/packages/weight-orders/src/move-time.ts
+++ b/packages/weight-orders/src/move-time.ts
@@ -17,7 +17,11 @@
   const belief = context.fleet.find(move.engine);
   const model = belief && shapeOf(context, belief)?.models.get(move.load);
   if (!model) return context.rules.giveUpMs;
-  const { fromMemoryMs, fromDiskMs, fromStoreMs } = model;
+  const {
+    loadFromMemoryMs: fromMemoryMs,
+    loadFromDiskMs: fromDiskMs,
+    loadFromStoreMs: fromStoreMs,
+  } = model;
   const loadMs = { memory: fromMemoryMs, disk: fromDiskMs, store: fromStoreMs }[move.source];
   if (sent?.order.action !== "load") return loadMs + unloadMs;
   const leftMs = sent.at + loadMs * usualOverrun - context.clock.now();
--- a/packages/weight-orders/src/plan-service.ts
+++ b/packages/weight-orders/src/plan-service.ts
@@ -1,7 +1,7 @@
 /** Plans the moves of one service from what is believed and asked now, and begins them. */
 import { isEjected, type TargetBelief } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
-import type { EngineShape, Epoch, Milliseconds } from "@linkfall/types";
+import type { EngineSpec, Epoch, Milliseconds } from "@linkfall/types";
 import { type AdapterNeed, type EngineView, planAdapters, planMoves } from "@linkfall/weight-plan";
 import { beginMove } from "./advance-moves.js";
 import { fits, giveOrder, planOrder } from "./give-order.js";
@@ -12,7 +12,7 @@
 function viewOf(
   context: GiverContext,
   belief: TargetBelief,
-  shape: EngineShape,
+  shape: EngineSpec,
 ): EngineView | undefined {
   const work = context.state.work.get(belief.listed.id);
   const view = toEngineView(
@@ -29,11 +29,7 @@
   return { ...view, adaptersComing, freeInMs: Math.max(view.freeInMs, leastLeftMs) };
 }
 
-function viewsOf(
-  context: GiverContext,
-  service: string,
-  shape: EngineShape,
-): readonly EngineView[] {
+function viewsOf(context: GiverContext, service: string, shape: EngineSpec): readonly EngineView[] {
   const now = context.clock.now();
   return enginesOf(context)
     .filter((belief) => belief.listed.service === service && belief.missingSince === undefined)
@@ -42,7 +38,7 @@
 }
 
 /** Loads that may begin now, less those of moves whose load has yet to be ordered. */
-function storeLoadsLeft({ state, clock }: GiverContext, shape: EngineShape): number {
+function storeLoadsLeft({ state, clock }: GiverContext, shape: EngineSpec): number {
   const ahead = [...state.work.values()].filter(
     ({ move, sent }) => move.source === "store" && sent?.order.action !== "load",
   );
@@ -71,7 +67,7 @@
   context: GiverContext,
   views: readonly EngineView[],
   needs: readonly AdapterNeed[],
-  shape: EngineShape,
+  shape: EngineSpec,
   epoch: Epoch,
 ): void {
   const { state, fleet } = context;
@@ -100,7 +96,7 @@
 export function planService(
   context: GiverContext,
   service: string,
-  shape: EngineShape,
+  shape: EngineSpec,
   epoch: Epoch,
 ): void {
   const { state, clock, rules } = context;
--- a/packages/weight-orders/src/views.ts
+++ b/packages/weight-orders/src/views.ts
@@ -1,7 +1,7 @@
 /** From what the box believes of engines to what the planner needs. */
 import type { TargetBelief } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
-import type { EngineShape, EngineState, Milliseconds } from "@linkfall/types";
+import type { EngineSpec, EngineState, Milliseconds } from "@linkfall/types";
 import type { EngineView, ModelNeed } from "@linkfall/weight-plan";
 import type { EngineWork } from "./engine-work.js";
 import type { LastAsked } from "./giver-context.js";
@@ -13,7 +13,7 @@
 export function toEngineView(
   belief: TargetBelief,
   state: EngineState | undefined,
-  shape: EngineShape,
+  shape: EngineSpec,
   work: EngineWork | undefined,
   workLeftMs: Milliseconds,
   takesPerSecond: number | undefined,
@@ -54,7 +54,7 @@
 export function toNeeds(
   demand: readonly ModelDemand[],
   service: string,
-  shape: EngineShape,
+  shape: EngineSpec,
   lastAsked: (model: string) => LastAsked | undefined,
   now: Milliseconds,
 ): ReadonlyMap<string, ModelNeed> {
--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -19,7 +19,7 @@
   DeclaredModel,
   FencedOrder,
   ListedTarget,
-  OrderAnswer,
+  OrderResult,
   RoutedConfiguration,
 } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
@@ -87,9 +87,9 @@
   return {
     name,
     memoryMb: modelMb,
-    fromMemoryMs: loadMs,
-    fromDiskMs: loadMs,
-    fromStoreMs: loadMs,
+    loadFromMemoryMs: loadMs,
+    loadFromDiskMs: loadMs,
+    loadFromStoreMs: loadMs,
     adapterMb: 1,
   };
 }
@@ -111,7 +111,7 @@
 }
 
 /** Carries an order out, unless the engine refuses it. */
-function carryOut(scene: Scene, engine: FakeEngine, order: FencedOrder): OrderAnswer {
+function carryOut(scene: Scene, engine: FakeEngine, order: FencedOrder): OrderResult {
   const now = scene.clock.now();
   if (order.epoch < engine.seenEpoch) return "fenced";
   engine.seenEpoch = order.epoch;
--- a/packages/weight-plan/src/copies.ts
+++ b/packages/weight-plan/src/copies.ts
@@ -57,7 +57,7 @@
   if (input.needs.size === 0) return unknownLastMs;
   const need = input.needs.get(name);
   const idleMs = idleOf(input, need);
-  const { fromDiskMs } = model;
+  const { loadFromDiskMs: fromDiskMs } = model;
   return (fromDiskMs * lateShare(fromDiskMs, need) * input.rules.horizonMs) / idleMs;
 }
 
@@ -83,5 +83,5 @@
   if (loadAfter > easy) return (inFlight / (have - 1)) * atWorkMs;
   const model = input.models.get(name);
   const idleMs = idleOf(input, need);
-  return inFlight * surplusMs + ((model?.fromDiskMs ?? 0) * surplusHorizonMs) / idleMs;
+  return inFlight * surplusMs + ((model?.loadFromDiskMs ?? 0) * surplusHorizonMs) / idleMs;
 }
--- a/packages/weight-plan/src/engine-view.ts
+++ b/packages/weight-plan/src/engine-view.ts
@@ -55,11 +55,11 @@
 export function loadTimeMs(source: LoadSource, model: DeclaredModel): Milliseconds {
   switch (source) {
     case "memory":
-      return model.fromMemoryMs;
+      return model.loadFromMemoryMs;
     case "disk":
-      return model.fromDiskMs;
+      return model.loadFromDiskMs;
     case "store":
-      return model.fromStoreMs;
+      return model.loadFromStoreMs;
   }
 }
 
--- a/packages/weight-plan/src/places.ts
+++ b/packages/weight-plan/src/places.ts
@@ -141,7 +141,7 @@
   if (reason === "unreachable") return true;
   const need = needs.get(model.name);
   if (!need) return false;
-  return need.objectiveMs > model.fromDiskMs && need.objectiveMs < model.fromStoreMs;
+  return need.objectiveMs > model.loadFromDiskMs && need.objectiveMs < model.loadFromStoreMs;
 }
 
 /** Loads from the store that may begin: one takes all orders of an engine for seconds, so most engines stay
--- a/packages/weight-plan/src/wishes.ts
+++ b/packages/weight-plan/src/wishes.ts
@@ -92,7 +92,7 @@
   if (have === 0 && input.needs.size === 0 && atHand.has(model.name)) {
     return { model, reason: "standby", weight: standbyWeight, carried: 0 };
   }
-  if (have === 0 && need && need.objectiveMs < model.fromDiskMs) {
+  if (have === 0 && need && need.objectiveMs < model.loadFromDiskMs) {
     return { model, reason: "standby", weight: standbyWeight, carried: 0 };
   }
   if (have === 0 && !atHand.has(model.name)) {
