--- a/packages/caller-service/src/run-request.ts
+++ b/packages/caller-service/src/run-request.ts
@@ -51,7 +51,7 @@
 
   return {
     run({ request, account, terms, forwarded }, prepared) {
-      if (prepared.mayBeRepeated) return admitAndRun(account, prepared, request.gone);
+      if (prepared.mayBeRepeated) return admitAndRun(account, prepared, request.signal);
       // It runs to its end even when its caller goes, so that a repeat finds its answer.
       const never = new AbortController().signal;
       return owners.handle(request, account, terms, forwarded, () =>
--- a/packages/crash-guard/src/index.ts
+++ b/packages/crash-guard/src/index.ts
@@ -94,7 +94,7 @@
       }
     },
     async mayGoOn({ facts, targets }, { name, address }) {
-      const listening = await ports.listens(address);
+      const listening = await ports.probeListener(address);
       logger.event("sendLost", { fingerprint: facts.request, target: name, listening });
       if (listening !== "refuses") return true;
       blame.targetEnded(name, facts);
--- a/packages/daemon/src/run-daemon.ts
+++ b/packages/daemon/src/run-daemon.ts
@@ -64,7 +64,7 @@
     engines: createEngineHttp(engines),
     targets: {
       send: client.send,
-      listens: (address) => isListening(clock, address, lookMs),
+      probeListener: (address) => isListening(clock, address, lookMs),
     },
   });
 
--- a/packages/desired-feed/src/configuration-holder.ts
+++ b/packages/desired-feed/src/configuration-holder.ts
@@ -70,7 +70,7 @@
     version,
     copy: () => ({ version: version(), text: inForceText }),
     take(text, from) {
-      codec.configuration(text).caseOf({
+      codec.parseConfiguration(text).caseOf({
         Left: (invalid) => {
           const problem = describeProblems(invalid);
           logger.event("badRecord", { key: configurationKey, problem });
--- a/packages/desired-feed/src/desired-feed.steps.ts
+++ b/packages/desired-feed/src/desired-feed.steps.ts
@@ -40,11 +40,11 @@
 
 /** Records are a version, or the name of a target's service. */
 const codec: RecordCodec = {
-  configuration: (text) =>
+  parseConfiguration: (text) =>
     Number.isFinite(Number(text))
       ? Right(configuration(Number(text)))
       : Left({ kind: "invalid_input", problems: [{ field: "version", reason: "no number" }] }),
-  target: (id, text) =>
+  parseTarget: (id, text) =>
     text === "{"
       ? Left({ kind: "invalid_input", problems: [{ field: "", reason: "no JSON" }] })
       : Right({ id, service: text, address: "10.0.0.1:1", domain: "d", slots: 1, leaving: false }),
--- a/packages/desired-feed/src/desired-feed.ts
+++ b/packages/desired-feed/src/desired-feed.ts
@@ -86,7 +86,7 @@
 /** Reads the entry of one target; what can't be read is logged and counted, and never used. */
 function readTarget({ input, logger, metrics }: FeedContext, id: string, text: string) {
   return input.codec
-    .target(id, text)
+    .parseTarget(id, text)
     .ifLeft(({ problems }) => {
       const [problem] = problems;
       metrics.count("linkfall_bad_entries_total", "Entries of targets that could not be read.");
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -109,20 +109,20 @@
 /** Answers one request; what it needs to know of the deployment is of the moment of its arrival. */
 export async function handleRequest(context: HandleContext, request: FrontRequest): Promise<void> {
   const { feed, codec, forward } = context;
-  const terms = codec.readTerms(request.headers);
+  const terms = codec.readMetadata(request.headers);
   const refused = (status: number, why: string, retryAfterMs?: Milliseconds, more?: object) => {
     const { path } = request;
     forward.logger.event("requestRejected", { request: terms.id, status, why, path, ...more });
     answerOwn(request.sink, status, retryAfterMs);
   };
-  const unreadable = codec.unreadable(request.headers);
+  const unreadable = codec.describeInvalidHeaders(request.headers);
   if (unreadable !== undefined) return refused(400, unreadable);
   const inForce = feed.inForce();
   if (!inForce || !context.ready()) return refused(503, "no configuration yet", notReadyMs);
   const route = inForce.routes.find(request.host, request.path);
   if (!route) return refused(404, `no route in version ${inForce.configuration.version}`);
   const { version } = inForce.configuration;
-  const caller = identify(inForce.keys, route, codec.readKey(request.headers));
+  const caller = identify(inForce.keys, route, codec.readApiKey(request.headers));
   if (caller.kind === "unknown") {
     return refused(401, caller.why, undefined, { version, key: caller.fingerprint });
   }
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -3,7 +3,7 @@
 import type { TargetUnreachable } from "@linkfall/errors";
 import { createEventSplitter, type StreamEvent } from "@linkfall/event-stream";
 import type { Clock } from "@linkfall/kernel";
-import type { AnswerFacts, RawHeaders, RequestCodec } from "@linkfall/ports";
+import type { ResponseMetadata, RawHeaders, RequestCodec } from "@linkfall/ports";
 import {
   type AnswerHead,
   type Exchange,
@@ -55,7 +55,7 @@
   /** Longest time without a byte before another target is tried; absent where none may be. */
   readonly silentMs?: Milliseconds;
   /** Called with what the head of an answer says. */
-  onHead(status: number, facts: AnswerFacts): void;
+  onHead(status: number, facts: ResponseMetadata): void;
   /** Called when the caller has left, with how far the send had come. */
   onLeft(progress: SendProgress): void;
   /** Called with the first byte of the body. */
@@ -85,7 +85,7 @@
   const held: Buffer[] = [];
   let heldSize = 0;
   let head: AnswerHead | undefined;
-  let facts: AnswerFacts | undefined;
+  let facts: ResponseMetadata | undefined;
   let passing = false;
   let bytesAt: Milliseconds | undefined;
   let settled = false;
@@ -113,7 +113,7 @@
   };
   const beginPassing = (answer: AnswerHead) => {
     passing = true;
-    if (!sink.begun()) sink.head(answer.status, input.codec.forCaller(answer.headers));
+    if (!sink.begun()) sink.head(answer.status, input.codec.toCallerHeaders(answer.headers));
   };
   const passEvents = (answer: AnswerHead, bytes: Buffer) => {
     for (const event of splitter.push(bytes)) {
@@ -136,7 +136,7 @@
 
   const takeHead = (answer: AnswerHead) => {
     watchSilence();
-    const read = input.codec.readAnswer(answer.status, answer.headers);
+    const read = input.codec.readResponse(answer.status, answer.headers);
     if (read.requestId !== undefined && read.requestId !== input.requestId) {
       return settle({ kind: "lost", reason: "answer to another request", begun: begun() });
     }
--- a/packages/forwarding/src/forward.ts
+++ b/packages/forwarding/src/forward.ts
@@ -77,7 +77,7 @@
   const worthRetry = head.status >= failedStatus && mayRepeat(context, request);
   if (worthRetry && takeRetry(context, request)) return on;
   if (head.status < failedStatus) noteServed(context, request);
-  request.sink.whole(head.status, context.codec.forCaller(head.headers), body);
+  request.sink.whole(head.status, context.codec.toCallerHeaders(head.headers), body);
   return ended({ outcome: "answered", status: head.status });
 }
 
--- a/packages/forwarding/src/forwarding.steps.ts
+++ b/packages/forwarding/src/forwarding.steps.ts
@@ -80,18 +80,18 @@
 const address = "127.0.0.1:1";
 
 const codec: RequestCodec = {
-  readTerms: () => ({
+  readMetadata: () => ({
     id: "r",
     tokensDeclared: false,
     promptTokens: 0,
     maxOutputTokens: 0,
     parts: [],
   }),
-  readKey: () => undefined,
-  unreadable: () => undefined,
-  forSend: () => [],
-  forCaller: () => [],
-  readAnswer: () => ({ notRun: false, misdirected: false, limit: { kind: "none" } }),
+  readApiKey: () => undefined,
+  describeInvalidHeaders: () => undefined,
+  toTargetHeaders: () => [],
+  toCallerHeaders: () => [],
+  readResponse: () => ({ notRun: false, misdirected: false, limit: { kind: "none" } }),
 };
 
 function contextOf(
--- a/packages/forwarding/src/send-to-target.ts
+++ b/packages/forwarding/src/send-to-target.ts
@@ -2,7 +2,7 @@
 import type { Fleet, TargetBelief, TargetLoad } from "@linkfall/fleet";
 import type { Clock } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
-import type { AnswerFacts, RequestCodec } from "@linkfall/ports";
+import type { ResponseMetadata, RequestCodec } from "@linkfall/ports";
 import type { TargetLimits } from "@linkfall/target-limits";
 import type { Milliseconds } from "@linkfall/types";
 import { type AttemptEnd, sendAttempt } from "./attempt.js";
@@ -109,7 +109,7 @@
   target: TargetBelief,
   sentMsAgo: Milliseconds,
   status: number,
-  { limit, notRun }: AnswerFacts,
+  { limit, notRun }: ResponseMetadata,
 ): void {
   const { id } = target.listed;
   // What an earlier life says holds no more.
@@ -166,7 +166,7 @@
       address: listed.address,
       method: request.method,
       path: request.path,
-      headers: codec.forSend(request.headers, {
+      headers: codec.toTargetHeaders(request.headers, {
         targetId: listed.id,
         remainingMs: Math.max(1, remainingMs),
         account: request.account,
--- a/packages/http-front/src/http-front.ts
+++ b/packages/http-front/src/http-front.ts
@@ -79,7 +79,7 @@
           path: message.url ?? "/",
           headers: requestHeaders(message),
           body: bytes,
-          gone: gone.signal,
+          signal: gone.signal,
         }),
     });
     await writeResponse(sink, response, gone.signal);
--- a/packages/operator-service/src/operator-service.ts
+++ b/packages/operator-service/src/operator-service.ts
@@ -169,7 +169,7 @@
         const released = blame.release(query.get("request") ?? "");
         return answer(released ? 200 : 404, { released });
       })
-      .with(["GET", "/v1/watch"], async () => watch(query, request.gone))
+      .with(["GET", "/v1/watch"], async () => watch(query, request.signal))
       .with(P._, async () => answer(404, { error: { code: "unknown_path", reason: path } }))
       .exhaustive();
 
--- a/packages/peer-grpc/src/peer-client.ts
+++ b/packages/peer-grpc/src/peer-client.ts
@@ -190,7 +190,7 @@
       const { method, path, headers, body } = request;
       const message = { method, path, headers: { ...headers }, body: Buffer.from(body) };
       const stream = peerAt(address).client.forward(message, new Metadata());
-      request.gone.addEventListener("abort", () => stream.cancel(), { once: true });
+      request.signal.addEventListener("abort", () => stream.cancel(), { once: true });
       return readForwarded(stream);
     },
     close() {
--- a/packages/peer-grpc/src/peer-server.ts
+++ b/packages/peer-grpc/src/peer-server.ts
@@ -113,7 +113,7 @@
       call.on("cancelled", () => gone.abort());
       const { method, path, headers, body } = call.request;
       handler
-        .forward({ method, path, headers, body, gone: gone.signal })
+        .forward({ method, path, headers, body, signal: gone.signal })
         .then((response) => writeForwarded(call, response, gone.signal))
         .catch(defect);
     },
--- a/packages/raw-exchange/src/is-listening.ts
+++ b/packages/raw-exchange/src/is-listening.ts
@@ -1,7 +1,7 @@
 /** Whether anybody listens at an address: what tells a process that ended from a connection that was lost. */
 import { connect } from "node:net";
 import type { Clock } from "@linkfall/kernel";
-import type { Listening } from "@linkfall/ports";
+import type { ListenerStatus } from "@linkfall/ports";
 import type { Milliseconds } from "@linkfall/types";
 
 /** What the system calls a port where nobody listens. */
@@ -12,11 +12,11 @@
   clock: Clock,
   address: string,
   limitMs: Milliseconds,
-): Promise<Listening> {
+): Promise<ListenerStatus> {
   const mark = address.lastIndexOf(":");
   const socket = connect(Number(address.slice(mark + 1)), address.slice(0, mark));
   return new Promise((resolve) => {
-    const end = (listening: Listening) => {
+    const end = (listening: ListenerStatus) => {
       cancel();
       socket.destroy();
       resolve(listening);
--- a/packages/route-table/src/route-table.steps.ts
+++ b/packages/route-table/src/route-table.steps.ts
@@ -44,11 +44,11 @@
 );
 
 Given("a route that splits 90 to 10", function (this: object) {
-  const shares = [
+  const weightedServices = [
     { service: "first", weight: 90 },
     { service: "second", weight: 10 },
   ];
-  notes(this).set("route", { ...route("a.example /"), shares });
+  notes(this).set("route", { ...route("a.example /"), weightedServices: weightedServices });
 });
 
 Then(
--- a/packages/soak/src/scenarios/bad-input.steps.ts
+++ b/packages/soak/src/scenarios/bad-input.steps.ts
@@ -47,7 +47,7 @@
     path,
     headers: { authorization: `Bearer ${tokenOf(account)}`, ...headers?.(box) },
     body: Buffer.from(body),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
   await world.clock.runUntil(world.clock.now() + 1_000);
   notes(this).set("response", await asked);
--- a/packages/soak/src/scenarios/callers.ts
+++ b/packages/soak/src/scenarios/callers.ts
@@ -81,7 +81,7 @@
     path,
     headers: { authorization: `Bearer ${tokenOf(account)}`, ...headers },
     body: Buffer.from(body === undefined ? "" : JSON.stringify(body)),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
 
   const directoryOf = async (account: AccountName): Promise<Directory | undefined> => {
--- a/packages/soak/src/scenarios/crashing-requests.steps.ts
+++ b/packages/soak/src/scenarios/crashing-requests.steps.ts
@@ -40,7 +40,7 @@
       "linkfall-repeatable": "true",
     },
     body: Buffer.from(body),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
   let answered = false;
   void asked.then(() => (answered = true));
--- a/packages/soak/src/scenarios/fleet.steps.ts
+++ b/packages/soak/src/scenarios/fleet.steps.ts
@@ -115,7 +115,7 @@
       const headers = { authorization: `Bearer ${operatorToken}` };
       const { signal: gone } = new AbortController();
       void box.operators
-        .handle({ method: "POST", path: "/v1/writes", headers, body, gone })
+        .handle({ method: "POST", path: "/v1/writes", headers, body, signal: gone })
         .then((answer) => told.push(Buffer.from(answer.body as Uint8Array).toString("utf8")));
     }
   },
--- a/packages/soak/src/scenarios/operators.ts
+++ b/packages/soak/src/scenarios/operators.ts
@@ -43,7 +43,7 @@
       path: "/v1/writes",
       headers: { authorization: `Bearer ${operatorToken}` },
       body: Buffer.from(JSON.stringify({ changes })),
-      gone: new AbortController().signal,
+      signal: new AbortController().signal,
     };
     const response = await box.process.gate(box.box.operators.handle(request));
     const result = JSON.parse(Buffer.from(response.body as Uint8Array).toString("utf8"));
--- a/packages/soak/src/scenarios/soak.steps.ts
+++ b/packages/soak/src/scenarios/soak.steps.ts
@@ -74,7 +74,7 @@
       path: "/v1/entries",
       headers: {},
       body: new Uint8Array(),
-      gone: new AbortController().signal,
+      signal: new AbortController().signal,
     });
     const { error } = JSON.parse(Buffer.from(response.body as Uint8Array).toString("utf8"));
     assert.equal(error.code, code);
@@ -112,7 +112,7 @@
     body: Buffer.from(
       JSON.stringify({ model: "m0", prompt: "long", max_tokens: 400, stream: true }),
     ),
-    gone: caller.signal,
+    signal: caller.signal,
   });
   await world.clock.runUntil(world.clock.now() + 1_000);
   assert.equal((await asked).status, 200);
@@ -168,7 +168,7 @@
         path: "/services/feed/snippets",
         headers: { authorization: `Bearer ${tokenOf("dispatch")}` },
         body: new Uint8Array(),
-        gone: new AbortController().signal,
+        signal: new AbortController().signal,
       });
       if (response && !(response.body instanceof Uint8Array)) {
         for await (const part of response.body) assert.ok(part.isRight());
@@ -201,7 +201,7 @@
     path: "/v1/writes",
     headers: { authorization: `Bearer ${operatorToken}` },
     body: Buffer.from(JSON.stringify({ changes: [{ action: "put", resource, base }] })),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
   await world.clock.runUntil(world.clock.now() + 3_000);
 }
