--- a/packages/box-peers/src/partners.ts
+++ b/packages/box-peers/src/partners.ts
@@ -31,7 +31,7 @@
 ): readonly Member[] {
   if (members.length <= count) return members;
   const chosen = new Set<Member>();
-  while (chosen.size < count) chosen.add(members[random.below(members.length)]);
+  while (chosen.size < count) chosen.add(members[random.nextInt(members.length)]);
   return [...chosen];
 }
 
--- a/packages/box-peers/src/peers.ts
+++ b/packages/box-peers/src/peers.ts
@@ -102,7 +102,7 @@
   /** A box that hears all others, or follows the holder's reports, knows them already, but for new ones. */
   const sightingsFor = (reader?: BoxStatus): readonly Member[] => {
     const knowsOthers = reader !== undefined && (table.mesh() || reader.followed !== undefined);
-    if (knowsOthers && random.below(rememberEvery) !== 0) return [];
+    if (knowsOthers && random.nextInt(rememberEvery) !== 0) return [];
     const alive = table.all().filter(table.isAlive);
     return sample(alive, knowsOthers ? 1 : rules.sightings, random);
   };
@@ -149,7 +149,7 @@
     round += 1;
     logSilent();
     for (const member of partners()) if (isDue(member)) void ask(member);
-    const jitter = 1 + jitterShare * (random.fraction() - 0.5);
+    const jitter = 1 + jitterShare * (random.nextFloat() - 0.5);
     const factor = source.resting() && !table.mesh() ? restingFactor : 1;
     cancel = clock.after(table.intervalMs() * factor * jitter, runRound);
   };
--- a/packages/box-peers/src/wire-format.steps.ts
+++ b/packages/box-peers/src/wire-format.steps.ts
@@ -25,8 +25,8 @@
     const told = Array.from({ length: engines }, () => ({
       id: `i-${random.identifier()}`,
       holdings: {
-        sequence: random.below(40),
-        models: Array.from({ length: models }, () => named(random.below(166))),
+        sequence: random.nextInt(40),
+        models: Array.from({ length: models }, () => named(random.nextInt(166))),
       },
     }));
     notes(this).set("message", { kind: "heartbeat", report: { engines: told } });
--- a/packages/caller-service/src/entries.ts
+++ b/packages/caller-service/src/entries.ts
@@ -36,7 +36,7 @@
   /** In random order, so that callers spread; those of the caller's domain first. */
   const ordered = (boxes: readonly MemberEntry[], domain: string | null) => {
     const shuffled = boxes
-      .map((entry) => ({ entry, place: random.fraction() }))
+      .map((entry) => ({ entry, place: random.nextFloat() }))
       .sort((a, b) => a.place - b.place)
       .map(({ entry }) => entry);
     const near = shuffled.filter((entry) => entry.domain === domain);
--- a/packages/crash-blame/src/crash-blame.steps.ts
+++ b/packages/crash-blame/src/crash-blame.steps.ts
@@ -260,7 +260,7 @@
     if (verdict === "guilty") load.heldBack.add(request);
     if (verdict === "unsettled") load.coming.push({ request, at: now + 500, returns });
     if (verdict === "guilty" || verdict === "unsettled" || up.length === 0) continue;
-    const ends = now + (request === poison ? poisonAfterMs : workMs * (0.5 + random.fraction()));
+    const ends = now + (request === poison ? poisonAfterMs : workMs * (0.5 + random.nextFloat()));
     atWork.get(pick(random, up))?.push({ request, box, ends });
   }
 }
@@ -276,7 +276,7 @@
     endAt(scene, box, target, [request]);
     const left = returnsLeft.get(load)?.get(request) ?? 0;
     if (left === 0) continue;
-    load.coming.push({ request, at: now + 50 + random.below(400), returns: left - 1 });
+    load.coming.push({ request, at: now + 50 + random.nextInt(400), returns: left - 1 });
   }
   exchange(scene);
 }
@@ -317,7 +317,7 @@
       await play(load, (now) => {
         if (now === 0 || now % (everyS * 1_000) !== 0) return;
         const targets = [...load.atWork.keys()];
-        const from = load.random.below(targets.length);
+        const from = load.random.nextInt(targets.length);
         for (let index = 0; index < count; index++) {
           crash(load, targets[(from + index) % targets.length]);
         }
--- a/packages/membership/src/round-peers.ts
+++ b/packages/membership/src/round-peers.ts
@@ -14,6 +14,6 @@
   fanout: number,
 ): readonly string[] {
   const others = [...new Set(known)].filter((address) => address !== own);
-  const start = random.below(Math.max(1, others.length));
+  const start = random.nextInt(Math.max(1, others.length));
   return [...others.slice(start), ...others.slice(0, start)].slice(0, fanout);
 }
--- a/packages/order-lease/src/order-lease.steps.ts
+++ b/packages/order-lease/src/order-lease.steps.ts
@@ -357,8 +357,8 @@
   };
   for (let step = 0; step < 12; step++) {
     const box = pick(random, scene.boxes);
-    await choices[random.below(choices.length)](scene, box, seed);
-    await pass(scene, 300 + random.below(3_000), look);
+    await choices[random.nextInt(choices.length)](scene, box, seed);
+    await pass(scene, 300 + random.nextInt(3_000), look);
   }
   for (const box of scene.boxes) {
     box.silent = false;
--- a/packages/soak/src/scenarios/box-faults.ts
+++ b/packages/soak/src/scenarios/box-faults.ts
@@ -43,7 +43,7 @@
 /** Every box, or every box but one, is replaced at the same moment. */
 export function replaceBoxes(world: World): End {
   const running = world.boxes.filter((box) => box.process.state() === "running" && !box.draining);
-  const replaced = running.slice(world.random.below(2));
+  const replaced = running.slice(world.random.nextInt(2));
   for (const box of replaced) world.removeBox(box);
   return () => {
     for (const box of replaced) void world.startBox(box.name);
--- a/packages/soak/src/scenarios/world-ports.ts
+++ b/packages/soak/src/scenarios/world-ports.ts
@@ -100,8 +100,8 @@
         const engine = engineAt(world, address);
         if (engine && !engine.down) engine.core.order(order);
       };
-      if (random.fraction() < network.faults.repeatedOrders) network.deliverLate(again);
-      if (random.fraction() < network.faults.lateOrders) {
+      if (random.nextFloat() < network.faults.repeatedOrders) network.deliverLate(again);
+      if (random.nextFloat() < network.faults.lateOrders) {
         network.deliverLate(again);
         return process.gate(Promise.resolve(Left(targetLost(true))));
       }
--- a/packages/target-choice/src/index.ts
+++ b/packages/target-choice/src/index.ts
@@ -63,6 +63,6 @@
   });
   const best = Math.min(...timed.map(({ costMs }) => costMs));
   const near = timed.filter(({ costMs }) => costMs <= best + tieMs);
-  const { id, expectedMs: chosenMs } = near[random.below(near.length)];
+  const { id, expectedMs: chosenMs } = near[random.nextInt(near.length)];
   return { id, expectedMs: chosenMs };
 }
--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -475,9 +475,9 @@
 });
 
 function randomFate(random: Random): Fate {
-  const choice = random.below(5);
+  const choice = random.nextInt(5);
   if (choice === 0) return "lost";
-  if (choice === 1) return { lateMs: 200 + random.below(6_000) };
+  if (choice === 1) return { lateMs: 200 + random.nextInt(6_000) };
   return "taken";
 }
 
@@ -494,8 +494,8 @@
       await scene.giver?.start();
       for (let step = 0; step < 10; step++) {
         for (let index = 0; index < 4; index++) scene.fates.push(randomFate(random));
-        waitFor(scene, scene.names[random.below(scene.names.length)], random.below(20));
-        await pass(scene, 500 + random.below(2_000));
+        waitFor(scene, scene.names[random.nextInt(scene.names.length)], random.nextInt(20));
+        await pass(scene, 500 + random.nextInt(2_000));
       }
       for (const engine of scene.engines)
         assert.ok(!engine.overfilled, `seed ${seed} ${engine.id}`);
