--- a/packages/box-peers/src/transport.ts
+++ b/packages/box-peers/src/transport.ts
@@ -12,7 +12,11 @@
   type UntypedServiceImplementation,
 } from "@grpc/grpc-js";
 import type { QuotaAsk, QuotaGrant } from "@linkfall/account-quota";
-import { type AskStream, createAskStream, type Numbered } from "@linkfall/ask-stream";
+import {
+  type RequestStream,
+  createRequestStream,
+  type NumberedMessage,
+} from "@linkfall/ask-stream";
 import type { PeerUnreachable } from "@linkfall/errors";
 import type { Clock } from "@linkfall/kernel";
 import type { PermitAsk, PermitGrant } from "@linkfall/target-limits";
@@ -57,7 +61,7 @@
   | { readonly kind: "quota"; readonly grant: QuotaGrant }
   | { readonly kind: "permit"; readonly grant: PermitGrant };
 
-const exchange: MethodDefinition<Numbered<Ask>, Numbered<Answer>> = {
+const exchange: MethodDefinition<NumberedMessage<Ask>, NumberedMessage<Answer>> = {
   path: "/linkfall.Boxes/Exchange",
   requestStream: true,
   responseStream: true,
@@ -81,7 +85,7 @@
 };
 
 interface OpenStream {
-  readonly stream: AskStream<Ask, Answer>;
+  readonly stream: RequestStream<Ask, Answer>;
   usedAt: Milliseconds;
 }
 
@@ -111,39 +115,39 @@
       streams.delete(address);
     }
   };
-  const streamTo = (address: string): AskStream<Ask, Answer> => {
+  const streamTo = (address: string): RequestStream<Ask, Answer> => {
     const known = streams.get(address);
     if (known) {
       known.usedAt = clock.now();
       return known.stream;
     }
     closeUnused();
-    const stream = createAskStream<Ask, Answer>(clock, callMs, () => dial(address));
+    const stream = createRequestStream<Ask, Answer>(clock, callMs, () => dial(address));
     streams.set(address, { stream, usedAt: clock.now() });
     return stream;
   };
 
   return {
     async exchange(address, heartbeat) {
-      const answered = await streamTo(address).ask({ kind: "heartbeat", heartbeat });
+      const answered = await streamTo(address).request({ kind: "heartbeat", heartbeat });
       return answered.chain((answer) =>
         answer.kind === "heartbeat" ? Right(answer.heartbeat) : Left(otherKind(answer)),
       );
     },
     async configuration(address) {
-      const answered = await streamTo(address).ask({ kind: "configuration" });
+      const answered = await streamTo(address).request({ kind: "configuration" });
       return answered.chain((answer) =>
         answer.kind === "configuration" ? Right(answer.copy) : Left(otherKind(answer)),
       );
     },
     async quota(address, ask) {
-      const answered = await streamTo(address).ask({ kind: "quota", ask });
+      const answered = await streamTo(address).request({ kind: "quota", ask });
       return answered.chain((answer) =>
         answer.kind === "quota" ? Right(answer.grant) : Left(otherKind(answer)),
       );
     },
     async permit(address, ask) {
-      const answered = await streamTo(address).ask({ kind: "permit", ask });
+      const answered = await streamTo(address).request({ kind: "permit", ask });
       return answered.chain((answer) =>
         answer.kind === "permit" ? Right(answer.grant) : Left(otherKind(answer)),
       );
@@ -172,8 +176,8 @@
 export function createPeerServer(handler: PeerHandler): PeerServer {
   const server = new Server(options);
   const implementation: UntypedServiceImplementation = {
-    exchange: ((call: ServerDuplexStream<Numbered<Ask>, Numbered<Answer>>) => {
-      call.on("data", ({ number, body }: Numbered<Ask>) => {
+    exchange: ((call: ServerDuplexStream<NumberedMessage<Ask>, NumberedMessage<Answer>>) => {
+      call.on("data", ({ number, body }: NumberedMessage<Ask>) => {
         if (body === undefined) return;
         void answerTo(handler, body).then((answer) => {
           if (call.writable) call.write({ number, body: answer });
--- a/packages/http-front/src/http-front.steps.ts
+++ b/packages/http-front/src/http-front.steps.ts
@@ -37,7 +37,7 @@
         handled.push(path);
         return path === "/cut" ? { ...whole, body: cutBody() } : whole;
       },
-      defect(problem) {
+      onDefect(problem) {
         throw problem;
       },
     });
--- a/packages/peer-grpc/src/peer-client.ts
+++ b/packages/peer-grpc/src/peer-client.ts
@@ -1,6 +1,6 @@
 /** Asks other boxes. */
 import { type ClientReadableStream, Metadata, type ServiceError, status } from "@grpc/grpc-js";
-import { type AskStream, createAskStream } from "@linkfall/ask-stream";
+import { type RequestStream, createRequestStream } from "@linkfall/ask-stream";
 import type { PeerUnreachable, TargetUnreachable } from "@linkfall/errors";
 import type { Clock } from "@linkfall/kernel";
 import type { BodyPart, CallerRequest, CallerResponse, PeerPort, PeerState } from "@linkfall/ports";
@@ -41,7 +41,7 @@
 interface HeldPeer {
   /** For forwarded requests and the fetching of state. */
   readonly client: PeerClient;
-  readonly stream: AskStream<AskBody, AnswerBody>;
+  readonly stream: RequestStream<AskBody, AnswerBody>;
   usedAt: Milliseconds;
 }
 
@@ -158,7 +158,7 @@
     };
     const peer: HeldPeer = {
       client: new PeerClient(address, credentials, channelOptions),
-      stream: createAskStream(clock, limit, dial),
+      stream: createRequestStream(clock, limit, dial),
       usedAt: clock.now(),
     };
     held.set(address, peer);
@@ -168,16 +168,16 @@
   return {
     async heartbeat(address, message) {
       const body = { $case: "beat", value: toBeatRequest(message) } as const;
-      return answerOf(await peerAt(address).stream.ask(body), "beat", fromBeatReply);
+      return answerOf(await peerAt(address).stream.request(body), "beat", fromBeatReply);
     },
     async reportUsage(address, report) {
       const body = { $case: "usage", value: toUsageMessage(report) } as const;
-      const answer = await peerAt(address).stream.ask(body);
+      const answer = await peerAt(address).stream.request(body);
       return answerOf(answer, "usage", ({ accounts }) => accounts);
     },
     async readReports(address, request) {
       const body = { $case: "reports", value: toReportsMessage(request) } as const;
-      return answerOf(await peerAt(address).stream.ask(body), "reports", fromReportsReply);
+      return answerOf(await peerAt(address).stream.request(body), "reports", fromReportsReply);
     },
     async fetchState(address) {
       const stream = peerAt(address).client.fetchState({});
--- a/packages/stand-ins/src/http-stand-ins.ts
+++ b/packages/stand-ins/src/http-stand-ins.ts
@@ -42,7 +42,7 @@
       const [path, query] = request.path.split("?", 2);
       return handle(request, path, new URLSearchParams(query));
     },
-    defect(problem) {
+    onDefect(problem) {
       throw problem;
     },
   });
--- a/packages/stand-ins/src/weight-store-http.ts
+++ b/packages/stand-ins/src/weight-store-http.ts
@@ -26,7 +26,7 @@
         );
         request.signal.addEventListener("abort", cancel, { once: true });
       }),
-    defect(problem) {
+    onDefect(problem) {
       throw problem;
     },
   });
