--- a/packages/account-keys/src/account-keys.steps.ts
+++ b/packages/account-keys/src/account-keys.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import fc from "fast-check";
 import { createKeyTable, fingerprint, type KeyTable } from "./index.js";
 
@@ -11,12 +11,12 @@
       { name: one, keys: keys.split(" ") },
       { name: other, keys: otherKeys.split(" ") },
     ];
-    notes(this).set("table", createKeyTable(accounts));
+    scenarioState(this).set("table", createKeyTable(accounts));
   },
 );
 
 Then("the key {string} belongs to {string}", function (this: object, key: string, name: string) {
-  const found = notes(this).get<KeyTable>("table").find(key);
+  const found = scenarioState(this).get<KeyTable>("table").find(key);
   assert.equal(found?.name ?? "nobody", name);
 });
 
--- a/packages/account-quota/src/account-quota.steps.ts
+++ b/packages/account-quota/src/account-quota.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import type { AccountLimit, ClientAccount, RequestMetadata } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
 import {
@@ -24,12 +24,17 @@
   grants: readonly QuotaGrant[];
 }
 
-const sceneOf = (world: object) => notes(world).get<AllocatorScene>("allocator");
+const sceneOf = (world: object) => scenarioState(world).get<AllocatorScene>("allocator");
 
 function setUp(world: object, rate: QuotaRate, firstLevel: number): void {
   const clock = createVirtualClock();
   const allocator = createQuotaAllocator(clock, () => firstLevel);
-  notes(world).set("allocator", { clock, allocator, rate, grants: [] } satisfies AllocatorScene);
+  scenarioState(world).set("allocator", {
+    clock,
+    allocator,
+    rate,
+    grants: [],
+  } satisfies AllocatorScene);
 }
 
 function request(world: object, count: number, needed: number, version = 1): void {
@@ -135,7 +140,7 @@
   readonly tookMs: number[];
 }
 
-const boxOf = (world: object) => notes(world).get<BoxScene>("box");
+const boxOf = (world: object) => scenarioState(world).get<BoxScene>("box");
 const alike = { connected: () => true, ownPart: () => 1, silentPart: () => 0 };
 const tolerance = { windowSeconds: 8, overage: 0.1, slack: 0 };
 
@@ -143,7 +148,13 @@
   const told: AllottedUnits[] = [];
   const onShort = (allotted: AllottedUnits) => void told.push(allotted);
   const quota = createAccountQuota(clock, { self: "self", onShort, ...peers }, tolerance);
-  notes(world).set("box", { clock, quota, decisions: [], tookMs: [], told } satisfies BoxScene);
+  scenarioState(world).set("box", {
+    clock,
+    quota,
+    decisions: [],
+    tookMs: [],
+    told,
+  } satisfies BoxScene);
 }
 
 function accountOf(perSecond: number): ClientAccount {
--- a/packages/box-peers/src/wire-format.steps.ts
+++ b/packages/box-peers/src/wire-format.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
 import { seededRandom } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import fc from "fast-check";
 import { fromBytes, toBytes } from "./wire-format.js";
 
@@ -29,12 +29,12 @@
         models: Array.from({ length: models }, () => named(random.nextInt(166))),
       },
     }));
-    notes(this).set("message", { kind: "heartbeat", report: { engines: told } });
+    scenarioState(this).set("message", { kind: "heartbeat", report: { engines: told } });
   },
 );
 
 Then("it is written in less than {float} of its text", function (this: object, share: number) {
-  const message = notes(this).get<object>("message");
+  const message = scenarioState(this).get<object>("message");
   const written = toBytes(message).length / JSON.stringify(message).length;
   assert.ok(written < share, String(written));
 });
--- a/packages/config/src/settings.steps.ts
+++ b/packages/config/src/settings.steps.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from "node:fs";
 import { Then, When } from "@cucumber/cucumber";
 import type { InvalidInput } from "@linkfall/errors";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import type { Either } from "purify-ts";
 import { describeSettings } from "./describe-settings.js";
 import type { Settings } from "./settings-schema.js";
@@ -20,10 +20,11 @@
 list_url = http://127.0.0.1:5
 `;
 
-const readResult = (world: object) => notes(world).get<Either<InvalidInput, Settings>>("read");
+const readResult = (world: object) =>
+  scenarioState(world).get<Either<InvalidInput, Settings>>("read");
 
 When("settings are read that name only what is required", function (this: object) {
-  notes(this).set("read", readSettings(requiredSettings));
+  scenarioState(this).set("read", readSettings(requiredSettings));
 });
 
 Then(
@@ -37,14 +38,14 @@
   "settings are read with an unknown key, a port without an IP number and a lease that is too short",
   function (this: object) {
     const text = `${requiredSettings.replace("127.0.0.1:1\n", "localhost:1\n")}[lease]\nlease_ms = 1\ncolour = red\n`;
-    notes(this).set("read", readSettings(text));
+    scenarioState(this).set("read", readSettings(text));
   },
 );
 
 When(
   "settings are read whose renewals are further apart than half a lease",
   function (this: object) {
-    notes(this).set(
+    scenarioState(this).set(
       "read",
       readSettings(`${requiredSettings}[lease]\nlease_ms = 1000\nrenew_ms = 900\n`),
     );
--- a/packages/entry-box/src/accounts.steps.ts
+++ b/packages/entry-box/src/accounts.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
 import type { BoxProfile, BoxStatus } from "@linkfall/box-peers";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { createBoundedLabel } from "./bounded-label.js";
 import { hearsMost } from "./connected.js";
 import { partsOf } from "./limit-parts.js";
@@ -31,11 +31,11 @@
     const boxes = numbers(capacities).map((capacity, index) =>
       profileOf(capacity, index, index === 0),
     );
-    notes(this).set("boxes", boxes);
+    scenarioState(this).set("boxes", boxes);
   },
 );
 
-const boxesOf = (world: object) => notes(world).get<readonly BoxProfile[]>("boxes");
+const boxesOf = (world: object) => scenarioState(world).get<readonly BoxProfile[]>("boxes");
 const firstOf = (account: string, boxes: readonly BoxProfile[]) =>
   rankAllocators(account, boxes)[0];
 const accounts = Array.from({ length: 50 }, (_, index) => `account-${index}`);
--- a/packages/forwarding/src/meters.steps.ts
+++ b/packages/forwarding/src/meters.steps.ts
@@ -1,21 +1,21 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { createStreamPace, createWorkCostMeter, type WorkCostMeter } from "./index.js";
 
 const perRequestMs = 30;
 const promptTokens = 1_000;
-const meterOf = (world: object) => notes(world).get<WorkCostMeter>("meter");
+const meterOf = (world: object) => scenarioState(world).get<WorkCostMeter>("meter");
 
 Given("a target that reads a token in {float} ms", function (this: object, perTokenMs: number) {
   const costs = { perTokenMs, perRequestMs, perAnswerMs: 300, crossDomainMs: 8 };
-  notes(this).set("meter", createWorkCostMeter(costs));
-  notes(this).set("usualMs", perRequestMs + perTokenMs * promptTokens);
+  scenarioState(this).set("meter", createWorkCostMeter(costs));
+  scenarioState(this).set("usualMs", perRequestMs + perTokenMs * promptTokens);
 });
 
 function answers(world: object, count: number, lateMs: number): void {
-  const usualMs = notes(world).get<number>("usualMs");
+  const usualMs = scenarioState(world).get<number>("usualMs");
   for (let index = 0; index < count; index++) {
     meterOf(world).observe("service", "t", promptTokens, usualMs + lateMs);
   }
--- a/packages/membership/src/membership.steps.ts
+++ b/packages/membership/src/membership.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import type { MemberEntry } from "@linkfall/types";
 import { isIsolated } from "./isolation.js";
 import { createMemberTable, type MemberTable } from "./member-table.js";
@@ -15,13 +15,13 @@
   heartbeat,
   leaving: false,
 });
-const tableOf = (world: object) => notes(world).get<MemberTable>("table");
+const tableOf = (world: object) => scenarioState(world).get<MemberTable>("table");
 
 Given("a member that was heard at 0 ms with heartbeat 1", function (this: object) {
   const changes = { joined: () => undefined, gone: () => undefined };
   const table = createMemberTable("b@1", { suspectMs: 1_000, forgetMs: 5_000 }, changes);
   table.hearDirectly(entry("c@1", 1), 0);
-  notes(this).set("table", table);
+  scenarioState(this).set("table", table);
 });
 
 When("another box passes on its heartbeat 2 at 900 ms", function (this: object) {
--- a/packages/placement/src/placement.steps.ts
+++ b/packages/placement/src/placement.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { ledgersOf } from "@linkfall/ledger";
-import { engine, model, notes, report } from "@linkfall/test-support";
+import { engine, model, scenarioState, report } from "@linkfall/test-support";
 import { type Engine, type Model, modelArtifact, type Resident } from "@linkfall/types";
 import fc from "fast-check";
 import { planPool } from "./plan.js";
@@ -90,7 +90,7 @@
   }
 }
 
-const poolOf = (world: object) => notes(world).get<SmallPool>("pool");
+const poolOf = (world: object) => scenarioState(world).get<SmallPool>("pool");
 
 Given(
   "3 engines of 100 MB in 3 domains, and 6 models of 30 MB of which {string} wants 2 copies",
@@ -101,7 +101,7 @@
     const models = [0, 1, 2, 3, 4, 5].map((index) =>
       model(`m${index}`, { sizeMb: 30, minReplicas: `m${index}` === name ? 2 : 1 }),
     );
-    notes(this).set("pool", new SmallPool(engines, models));
+    scenarioState(this).set("pool", new SmallPool(engines, models));
   },
 );
 
--- a/packages/prefix-index/src/prefix-index.steps.ts
+++ b/packages/prefix-index/src/prefix-index.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { createPrefixIndex, type PrefixIndex, type PrefixQuery } from "./index.js";
 
 /** From `model/adapter: id:tokens id:tokens`. */
@@ -13,14 +13,14 @@
   return { weights, parts };
 }
 
-const indexOf = (world: object) => notes(world).get<PrefixIndex>("index");
+const indexOf = (world: object) => scenarioState(world).get<PrefixIndex>("index");
 
 Given(
   "an index of {int} tokens that has seen {string}",
   function (this: object, tokens: number, text: string) {
     const index = createPrefixIndex(tokens);
     index.note(query(text));
-    notes(this).set("index", index);
+    scenarioState(this).set("index", index);
   },
 );
 
--- a/packages/report-relay/src/report-relay.steps.ts
+++ b/packages/report-relay/src/report-relay.steps.ts
@@ -2,7 +2,7 @@
 import { Then, When } from "@cucumber/cucumber";
 import type { RelayedReport } from "@linkfall/ports";
 import type { WatchedReport } from "@linkfall/target-watch";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import type { EngineReport, Milliseconds } from "@linkfall/types";
 import fc from "fast-check";
 import { createIncomingReports, type IncomingReports } from "./incoming.js";
@@ -85,23 +85,26 @@
     const read = watched(reportOf(1, 1, 1), answeredAt - age);
     const reports = createOutgoingReports().answer([read], [], answeredAt);
     const [received] = createIncomingReports().take({ from: "b@1", reports }, askedAt);
-    notes(this).set("requestedAt", received.requestedAt);
+    scenarioState(this).set("requestedAt", received.requestedAt);
   },
 );
 
 Then("it counts as asked for at {int} ms", function (this: object, expected: number) {
-  assert.equal(notes(this).get("requestedAt"), expected);
+  assert.equal(scenarioState(this).get("requestedAt"), expected);
 });
 
 When("a box asks twice and only the load of the engine has changed", function (this: object) {
   const outgoing = createOutgoingReports();
   const incoming = createIncomingReports();
   exchange(outgoing, "b@1", incoming, watched(reportOf(1, 1, 2), 0));
-  notes(this).set("second", outgoing.answer([watched(reportOf(2, 5, 2), 9)], incoming.held(), 9));
+  scenarioState(this).set(
+    "second",
+    outgoing.answer([watched(reportOf(2, 5, 2), 9)], incoming.held(), 9),
+  );
 });
 
 Then("the second answer carries no placement", function (this: object) {
-  const [second] = notes(this).get<readonly RelayedReport[]>("second");
+  const [second] = scenarioState(this).get<readonly RelayedReport[]>("second");
   assert.equal(second.placement, undefined);
   assert.equal(second.load.running, 5);
 });
--- a/packages/route-table/src/route-table.steps.ts
+++ b/packages/route-table/src/route-table.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import type { Route } from "@linkfall/types";
 import { createRouteTable, type RouteTable, shareFor } from "./index.js";
 
@@ -31,14 +31,14 @@
       services: new Map(),
       limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
     });
-    notes(this).set("table", table);
+    scenarioState(this).set("table", table);
   },
 );
 
 Then(
   "a request for {string} and {string} goes to route {string}",
   function (this: object, host: string, path: string, name: string) {
-    const found = notes(this).get<RouteTable>("table").find(host, path);
+    const found = scenarioState(this).get<RouteTable>("table").find(host, path);
     assert.equal(found?.name ?? "none", name);
   },
 );
@@ -48,13 +48,13 @@
     { service: "first", weight: 90 },
     { service: "second", weight: 10 },
   ];
-  notes(this).set("route", { ...route("a.example /"), weightedServices: weightedServices });
+  scenarioState(this).set("route", { ...route("a.example /"), weightedServices: weightedServices });
 });
 
 Then(
   "of 1000 requests between 850 and 950 go to the first service, each always to the same",
   function (this: object) {
-    const split = notes(this).get<Route>("route");
+    const split = scenarioState(this).get<Route>("route");
     const ids = Array.from({ length: 1000 }, (_, index) => `request-${index}`);
     const first = ids.filter((id) => shareFor(split, id).service === "first");
     assert.ok(first.length > 850 && first.length < 950);
--- a/packages/target-choice/src/target-choice.steps.ts
+++ b/packages/target-choice/src/target-choice.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
 import { seededRandom } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { type Candidate, chooseTarget, expectedMs } from "./index.js";
 
 const costs = { perTokenMs: 0.026, perRequestMs: 30, perAnswerMs: 1_000, crossDomainMs: 2 };
@@ -50,7 +50,7 @@
     const of = (id: string) =>
       expectedMs(candidates(this).find((candidate) => candidate.id === id) as Candidate);
     assert.ok(of(later) > of(sooner) + ms);
-    notes(this).set("compared", true);
+    scenarioState(this).set("compared", true);
   },
 );
 
--- a/packages/target-limits/src/limit-book.steps.ts
+++ b/packages/target-limits/src/limit-book.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import type { LimitNotice } from "@linkfall/types";
 import { createLimitBook, type LimitBook } from "./index.js";
 
@@ -12,7 +12,7 @@
 }
 
 const target = "t1";
-const sceneOf = (world: object) => notes(world).get<Scene>("limit book");
+const sceneOf = (world: object) => scenarioState(world).get<Scene>("limit book");
 
 async function hear(
   world: object,
@@ -35,7 +35,7 @@
     const book = createLimitBook(clock, () => undefined);
     const changes: string[] = [];
     book.onChange((change) => changes.push(String(change.perSecond ?? "none")));
-    notes(this).set("limit book", { clock, book, changes } satisfies Scene);
+    scenarioState(this).set("limit book", { clock, book, changes } satisfies Scene);
     await hear(this, at, at, limited(perSecond));
   },
 );
--- a/packages/target-limits/src/permits.steps.ts
+++ b/packages/target-limits/src/permits.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { Left } from "purify-ts";
 import {
   createTargetLimits,
@@ -27,8 +27,8 @@
 
 const target = "t1";
 const millisecondsPerSecond = 1000;
-const permitsOf = (world: object) => notes(world).get<Permits>("permits at a target");
-const boxesOf = (world: object) => notes(world).get<Boxes>("boxes with limits");
+const permitsOf = (world: object) => scenarioState(world).get<Permits>("permits at a target");
+const boxesOf = (world: object) => scenarioState(world).get<Boxes>("boxes with limits");
 
 const alone: PermitPeers = {
   self: "b1",
@@ -44,7 +44,7 @@
   const clock = createVirtualClock();
   const limits = births.map((born) => createTargetLimits(clock, alone, () => born));
   const boxes: Boxes = { clock, limits };
-  notes(world).set("boxes with limits", boxes);
+  scenarioState(world).set("boxes with limits", boxes);
   return boxes;
 }
 
@@ -64,7 +64,7 @@
   function (this: object, perSecond: number) {
     const clock = createVirtualClock();
     const allocator = createPermitAllocator(clock);
-    notes(this).set("permits at a target", {
+    scenarioState(this).set("permits at a target", {
       clock,
       allocator,
       perSecond,
