--- a/packages/types/src/crash-blame.ts
+++ b/packages/types/src/crash-blame.ts
@@ -1,28 +1,29 @@
-/** What boxes tell each other of requests that end the targets that run them. */
+/** Messages between boxes about requests that crash the targets that run them. */
 import type { Milliseconds } from "./identifiers.js";
 
-/** Names a request by its content. */
+/** Hash of a request's content. */
 export type Fingerprint = string;
 
-/** A request that is held back, or was until an operator released it. */
+/** A request that is held back (blocked on all boxes), or was until an operator released it. */
 export interface HeldRequest {
   readonly request: Fingerprint;
-  /** Grows with each change; of two words the one with the higher revision holds. */
+  /** Incremented with each change; of two versions the higher revision wins. */
   readonly revision: number;
-  /** False once it has been released. */
+  /** Whether the request is still blocked. */
   readonly held: boolean;
   readonly service: string;
   readonly route: string;
-  /** Absent where no key was needed. */
+  /** Client account of the request; absent on routes that allow anonymous requests. */
   readonly account?: string;
-  /** Targets that had ended under it when it was held back. */
+  /** Targets that had crashed while running the request when it was blocked. */
   readonly targets: readonly string[];
-  /** Wall-clock time of the change, ISO 8601, for people to read. */
+  /** Wall-clock time of the change, ISO 8601; for display only. */
   readonly since: string;
 }
 
-/** One record between boxes; times are told as ages, since boxes' clocks are never compared. */
+/** One event of a {@link BlameMessage}. Times are sent as ages, because the clocks of boxes are not synchronized. */
 export type BlameRecord =
+  /** A target crashed while it ran these requests. */
   | {
       readonly kind: "end";
       readonly target: string;
@@ -30,13 +31,14 @@
       readonly ageMs: Milliseconds;
       readonly requests: readonly Fingerprint[];
     }
-  /** The request was answered well by a target. */
+  /** A target answered the request successfully. */
   | { readonly kind: "served"; readonly request: Fingerprint; readonly ageMs: Milliseconds }
+  /** A request was blocked or released. */
   | { readonly kind: "held"; readonly word: HeldRequest };
 
-/** What one box tells another: what it has learnt since the other's last word. */
+/** The blame records that the receiver has not acknowledged yet. */
 export interface BlameMessage {
-  /** How far the reader has followed the sender once it has taken this. */
+  /** Position in the sender's change sequence that the receiver has reached after applying this message. */
   readonly number: number;
   readonly records: readonly BlameRecord[];
 }
--- a/packages/types/src/members.ts
+++ b/packages/types/src/members.ts
@@ -1,47 +1,46 @@
-/** Boxes as they see one another. */
+/** Membership and usage data that boxes exchange. */
 import type { Incarnation, Milliseconds, Offset } from "./identifiers.js";
 
-/** What a box says of itself and passes on of others. */
+/** Membership entry of one box, sent by the box itself and gossiped by others. */
 export interface MemberEntry {
   readonly box: string;
   readonly incarnation: Incarnation;
   /** `host:port` of the peer protocol. */
   readonly peerAddress: string;
-  /** `host:port` where callers connect. */
+  /** `host:port` of the caller API. */
   readonly callerAddress: string;
   readonly domain: string;
-  /** Grows by one with each heartbeat; a member whose counter stands still is suspected. */
+  /** Incremented with each heartbeat; a member whose counter stops advancing is suspected. */
   readonly heartbeat: number;
   readonly leaving: boolean;
 }
 
-/** One line of the platform's lagging list. */
+/** One entry of the platform's eventually consistent list of boxes. */
 export interface ListedBox {
   readonly box: string;
   readonly peerAddress: string;
   readonly state: "live" | "leaving";
 }
 
-/** A short summary that travels with each heartbeat. */
+/** Summary of a box's state, sent with each heartbeat. */
 export interface MemberSummary {
   readonly offset: Offset;
-  /** Whether the box has a state to serve from. */
+  /** Whether the box has loaded the state that it serves requests from. */
   readonly ready: boolean;
-  /** Time since the box last read the log, in its own clock. */
+  /** Time since the box last read the log, by its own clock. */
   readonly logSilentMs: Milliseconds;
 }
 
-/** Requests of one client account as one box saw them, smoothed. */
+/** Smoothed request rate of one client account at one box. */
 export interface AccountRate {
   readonly account: string;
   readonly requestsPerSecond: number;
 }
 
-/** Demand for one model as one box saw it. */
+/** Smoothed demand for one model at one box. */
 export interface DemandSample {
   readonly model: string;
-  /** Requests a second, smoothed. */
   readonly requestsPerSecond: number;
-  /** Output tokens a second that these requests ask for, smoothed. */
+  /** Output tokens per second that these requests ask for. */
   readonly tokensPerSecond: number;
 }
--- a/packages/types/src/orders.ts
+++ b/packages/types/src/orders.ts
@@ -1,18 +1,18 @@
-/** Orders to engines and their replies. */
+/** Orders to engines, their replies, and entries of the audit trail. */
 import type { Epoch, Mebibytes } from "./identifiers.js";
 import type { EngineRole, ResourceName } from "./resources.js";
 
 interface OrderBase {
-  /** Unique; a repeat under the same identifier has no further effect. */
+  /** Unique; an engine carries out an order at most once per identifier. */
   readonly id: string;
   readonly engine: string;
   /**
-   * The start of the engine that the order is meant for. An engine that has restarted refuses it,
-   * so an order delayed over a restart cannot surprise its successor.
+   * Incarnation of the engine that the order is addressed to. A restarted engine refuses it, which
+   * keeps a delayed order from reaching a later incarnation.
    */
   readonly engineIncarnation: string;
   readonly epoch: Epoch;
-  /** Why the order was given; goes to the audit trail. */
+  /** Reason for the order, recorded in the audit trail. */
   readonly cause: string;
 }
 
@@ -24,7 +24,7 @@
   readonly sizeMb: Mebibytes;
 }
 
-/** Free an artifact's memory, after the requests that run on it. */
+/** Unload an artifact once the requests that use it have finished. */
 export interface UnloadOrder extends OrderBase {
   readonly kind: "unload";
   readonly artifact: string;
@@ -32,7 +32,6 @@
   readonly sizeMb: Mebibytes;
 }
 
-/** Change the role of the engine. */
 export interface RoleOrder extends OrderBase {
   readonly kind: "role";
   readonly role: EngineRole;
@@ -40,15 +39,15 @@
 
 export type Order = LoadOrder | UnloadOrder | RoleOrder;
 
-/** The engine's answer to an order. */
+/** An engine's reply to an order. */
 export type OrderReply =
   | { readonly kind: "accepted" }
   | { readonly kind: "stale_epoch"; readonly fence: Epoch }
   | { readonly kind: "refused"; readonly reason: string };
 
-/** One step of the audit trail. */
+/** One entry of the audit trail. */
 export interface AuditEntry {
-  /** Wall-clock time of the box that wrote it, ISO 8601; for people only. */
+  /** Wall-clock time of the box that wrote the entry, ISO 8601; for display only. */
   readonly at: string;
   readonly who: string;
   readonly box: string;
--- a/packages/types/src/outcomes.ts
+++ b/packages/types/src/outcomes.ts
@@ -1,16 +1,16 @@
-/** The closed set of outcomes of a caller's request. */
+/** Outcomes of a caller's request and the reasons for which it is refused. */
 import type { Milliseconds } from "./identifiers.js";
 
 /**
- * - `answered`: the whole answer was passed on.
- * - `not_run`: no target has started it, and none will.
- * - `failed`: a target started it and it did not come to its end.
- * - `outcome_unknown`: it may have run; it must not be repeated blindly.
+ * - `answered`: the complete response was passed on.
+ * - `not_run`: no target has started the request, and none will.
+ * - `failed`: a target started the request and did not complete it.
+ * - `outcome_unknown`: the request may have run; repeating it may run it twice.
  */
 export const outcomes = ["answered", "not_run", "failed", "outcome_unknown"] as const;
 export type Outcome = (typeof outcomes)[number];
 
-/** Why a request was given up on. Each code has a row in docs/operators/refusals.md. */
+/** Reason for a refusal. Each code has a row in docs/operators/refusals.md. */
 export const refusalCodes = [
   "bad_request",
   "body_too_large",
@@ -38,11 +38,11 @@
 ] as const;
 export type RefusalCode = (typeof refusalCodes)[number];
 
-/** What a caller is told when it does not get a whole answer. */
+/** Error that a caller receives in place of a complete response. */
 export interface Refusal {
   readonly outcome: Exclude<Outcome, "answered">;
   readonly code: RefusalCode;
   readonly reason: string;
-  /** When to come back; absent where coming back cannot help. */
+  /** Delay after which a retry may succeed; absent if a retry cannot help. */
   readonly retryAfterMs?: Milliseconds;
 }
--- a/packages/types/src/records.ts
+++ b/packages/types/src/records.ts
@@ -1,55 +1,55 @@
-/** Records of the state stream of the platform's log. Every box folds them in the order of offset. */
+/** Records of the state stream of the platform's log. Every box applies them in offset order. */
 import type { HeldRequest } from "./crash-blame.js";
 import type { Epoch, Incarnation, Milliseconds, Offset, Revision } from "./identifiers.js";
 import type { Order } from "./orders.js";
 import type { Resource, ResourceName } from "./resources.js";
 
-/** One change of one resource, with the revision that it is based on. */
+/** A change of one resource, conditional on its current revision being `base`. */
 export type Change =
   | { readonly action: "put"; readonly resource: Resource; readonly base: Revision }
   | { readonly action: "delete"; readonly name: ResourceName; readonly base: Revision };
 
 interface RecordBase {
-  /** `<incarnation>#<sequence>`; a second record with the same id is dropped by the fold. */
+  /** `<incarnation>#<sequence>`; records with an id that was already applied are ignored. */
   readonly id: string;
 }
 
-/** A write of desired state: all of its changes take effect, or none. */
+/** A write of desired state; its changes are applied atomically. */
 export interface WriteRecord extends RecordBase {
   readonly type: "write";
   readonly who: string;
-  /** Wall-clock time of the box that took the write, ISO 8601; for people only. */
+  /** Wall-clock time of the box that accepted the write, ISO 8601; for display only. */
   readonly at: string;
   readonly changes: readonly Change[];
 }
 
-/** Claims the lease of a pool; accepted when it names the newest claim or renewal. */
+/** Claims the lease of a pool; accepted if `supersedes` is the newest claim or renewal. */
 export interface ClaimRecord extends RecordBase {
   readonly type: "claim";
   readonly pool: string;
   readonly holder: Incarnation;
-  /** Where other boxes reach the claimant: they find each other by it while the platform's list is out. */
+  /** Peer address of the claimant; boxes use it to find each other while the platform's list is unavailable. */
   readonly holderAddress?: string;
-  /** Offset of the newest claim or renewal that the claimant has read; 0 for the first. */
+  /** Offset of the newest claim or renewal that the claimant has read; 0 if there is none. */
   readonly supersedes: Offset;
   readonly leaseMs: Milliseconds;
 }
 
-/** Renews every lease that the holder names, by epoch. */
+/** Renews the leases with the given epochs. */
 export interface RenewRecord extends RecordBase {
   readonly type: "renew";
   readonly holder: Incarnation;
   readonly epochs: readonly Epoch[];
 }
 
-/** Gives leases up at once. */
+/** Releases the leases with the given epochs immediately. */
 export interface ReleaseRecord extends RecordBase {
   readonly type: "release";
   readonly holder: Incarnation;
   readonly epochs: readonly Epoch[];
 }
 
-/** Orders to unfenced engines that may be sent once this record has been read back. */
+/** Orders to unfenced engines; they may be sent once the sender has read this record back. */
 export interface IntentRecord extends RecordBase {
   readonly type: "intent";
   readonly pool: string;
@@ -57,7 +57,7 @@
   readonly orders: readonly Order[];
 }
 
-/** The report in which an engine showed an order as settled. */
+/** Reference to the report in which an engine listed an order as settled. */
 export interface Settlement {
   readonly orderId: string;
   readonly engine: string;
@@ -65,20 +65,20 @@
   readonly sequence: number;
 }
 
-/** Orders that can no longer take effect, or whose effect is in the engine's reports. */
+/** Marks orders as settled: their effect has been reported, or they can no longer take effect. */
 export interface SettledRecord extends RecordBase {
   readonly type: "settled";
   readonly pool: string;
   readonly settlements: readonly Settlement[];
 }
 
-/** A request is held back, or released: the word with the higher revision stands. */
+/** Blocks or releases a request; the record with the highest revision wins. */
 export interface HeldRecord extends RecordBase {
   readonly type: "held";
   readonly word: HeldRequest;
 }
 
-/** A part of a snapshot of the folded state as of `asOf`. */
+/** One part of a snapshot of the state at offset `asOf`. */
 export interface SnapshotPartRecord extends RecordBase {
   readonly type: "snapshot";
   readonly snapshot: string;
@@ -98,7 +98,7 @@
   | HeldRecord
   | SnapshotPartRecord;
 
-/** A record of any stream as the log holds it. */
+/** A record of any stream as stored in the log. */
 export interface LogEntry {
   readonly offset: Offset;
   readonly data: string;
--- a/packages/types/src/resources.ts
+++ b/packages/types/src/resources.ts
@@ -1,7 +1,7 @@
-/** The resources that operators declare. Together they are the desired state. */
+/** Resources that operators declare; together they form the desired state. */
 import type { Mebibytes, Revision } from "./identifiers.js";
 
-/** Kinds of resource, in the order in which they are shown. */
+/** Kinds of resource, in display order. */
 export const resourceKinds = [
   "deployment",
   "account",
@@ -13,45 +13,45 @@
 ] as const;
 export type ResourceKind = (typeof resourceKinds)[number];
 
-/** Settings of the whole deployment: how the two measures weigh against each other. */
+/** Deployment-wide settings: the weights of the placement objective and the limits of the weight store. */
 export interface Deployment {
   readonly kind: "deployment";
   readonly name: string;
-  /** Worth of meeting deadlines, relative to `movesWeight`. */
+  /** Weight of meeting deadlines, relative to `movesWeight`. */
   readonly attainmentWeight: number;
-  /** Cost of one move, relative to `attainmentWeight`. */
+  /** Weight of the cost of a move, relative to `attainmentWeight`. */
   readonly movesWeight: number;
-  /** Loads a second that the weight store allows, shared by all pools. */
+  /** Loads per second that the weight store allows over all pools. */
   readonly weightStoreLoadsPerSecond: number;
-  /** Loads at once at full speed that the weight store allows, shared by all pools. */
+  /** Concurrent loads that the weight store serves at full speed over all pools. */
   readonly weightStoreLoadsAtOnce: number;
 }
 
-/** A client account: who may call, and its share of the system. */
+/** A client account: its credentials and limits. */
 export interface Account {
   readonly kind: "account";
   readonly name: string;
   /** SHA-256 of the bearer token, in hexadecimal. The token itself is never stored. */
   readonly tokenHash: string;
-  /** Weight in fair sharing when targets are saturated. */
+  /** Weight in fair queueing when targets are saturated. */
   readonly share: number;
-  /** Requests a second over all boxes. */
+  /** Limit on requests per second over all boxes. */
   readonly requestsPerSecond: number;
-  /** Highest priority that a request of this account may ask for (0 lowest, 9 highest). */
+  /** Highest priority that requests of this account may use (0 lowest, 9 highest). */
   readonly maxPriority: number;
 }
 
-/** A control group: engines that one lease holder plans together. */
+/** A group of engines whose placement is planned by one lease holder. */
 export interface Pool {
   readonly kind: "pool";
   readonly name: string;
-  /** This pool's part of the weight store's loads a second. */
+  /** Loads per second from the weight store that this pool may use. */
   readonly loadsPerSecond: number;
-  /** This pool's part of the weight store's loads at once. */
+  /** Concurrent loads from the weight store that this pool may use. */
   readonly loadsAtOnce: number;
 }
 
-/** A model that must stay reachable. A change of `version` is rolled without a gap. */
+/** A model that is kept available. A change of `version` is rolled out without downtime. */
 export interface Model {
   readonly kind: "model";
   readonly name: string;
@@ -60,13 +60,13 @@
   readonly sizeMb: Mebibytes;
   /** Client accounts that may call it. */
   readonly accounts: readonly string[];
-  /** Which models come first when not all can be loaded at once (0 lowest, 9 highest). */
+  /** Loading priority when not all models fit (0 lowest, 9 highest). */
   readonly priority: number;
-  /** Ready replicas to keep at the least. */
+  /** Minimum number of ready replicas. */
   readonly minReplicas: number;
 }
 
-/** An adapter, resident beside its base model. */
+/** An adapter, loaded next to its base model. */
 export interface Adapter {
   readonly kind: "adapter";
   readonly name: string;
@@ -76,64 +76,64 @@
   readonly accounts: readonly string[];
 }
 
-/** Roles of an engine: `mixed` serves at once, `batch` keeps more memory for long contexts. */
+/** Roles of an engine: `mixed` serves interactive requests, `batch` reserves memory for long contexts. */
 export const engineRoles = ["mixed", "batch"] as const;
 export type EngineRole = (typeof engineRoles)[number];
 
-/** A model engine. It is a target that takes orders. */
+/** A model engine: a target that carries out load and unload orders. */
 export interface Engine {
   readonly kind: "engine";
   readonly name: string;
   readonly pool: string;
-  /** `host:port` by IP number. */
+  /** `ip:port`. */
   readonly address: string;
   readonly domain: string;
-  /** Weight memory of each accelerator, in the `mixed` role. */
+  /** Memory for weights on each accelerator, in the `mixed` role. */
   readonly acceleratorsMb: readonly Mebibytes[];
-  /** Weight memory that the `batch` role takes away on each accelerator. */
+  /** Memory on each accelerator that the `batch` role withholds from weights. */
   readonly batchReserveMb: Mebibytes;
   readonly role: EngineRole;
-  /** Whether the engine refuses orders of a lapsed epoch by itself. */
+  /** Whether the engine itself rejects orders with an outdated epoch. */
   readonly fenced: boolean;
-  /** Requests that it runs at once in one continuous batch. */
+  /** Maximum number of requests in the continuous batch. */
   readonly concurrency: number;
-  /** Set by an operator to take it out of service. */
+  /** Set by an operator to drain the engine. */
   readonly leaving: boolean;
 }
 
-/** One address of a plain service. */
+/** One target of a plain service. */
 export interface ServiceTarget {
   readonly address: string;
   readonly domain: string;
 }
 
-/** A plain service beside the model engines. */
+/** A service that is not a model engine. */
 export interface PlainService {
   readonly kind: "service";
   readonly name: string;
   readonly targets: readonly ServiceTarget[];
   readonly accounts: readonly string[];
-  /** Calls under these path prefixes may not be repeated, whatever the caller says. */
+  /** Path prefixes whose calls are never retried, even if the caller marks them as repeatable. */
   readonly notRepeatablePaths: readonly string[];
 }
 
 export type Resource = Deployment | Account | Pool | Model | Adapter | Engine | PlainService;
 
-/** Names one resource. */
+/** Identifies a resource. */
 export interface ResourceName {
   readonly kind: ResourceKind;
   readonly name: string;
 }
 
-/** A resource with the revision at which it was last changed. */
+/** A resource with the revision of its last change. */
 export interface StoredResource {
   readonly resource: Resource;
   readonly revision: Revision;
-  /** Who wrote this revision. */
+  /** Author of this revision. */
   readonly who: string;
 }
 
-/** The one string form of a resource's name, used as a map key. */
+/** Formats a resource name as `kind/name`, for use as a map key. */
 export function resourceKey(name: ResourceName): string {
   return `${name.kind}/${name.name}`;
 }
--- a/packages/types/src/routed-targets.ts
+++ b/packages/types/src/routed-targets.ts
@@ -1,96 +1,102 @@
-/** Targets as the platform lists them and as they report of themselves. */
+/** Targets as listed by the platform and as reported by the targets themselves. */
 import type { Milliseconds } from "./identifiers.js";
 import type { LimitNotice } from "./target-limits.js";
 
-/** A model that an engine holds. */
+/** A model that is loaded on an engine. */
 export interface ResidentModel {
   readonly name: string;
   readonly version: number;
   readonly adapters: readonly string[];
 }
 
-/** What an engine says that it holds. */
+/** Models that an engine reports as loaded. */
 export interface Holdings {
-  /** Start of the life that says so, in Unix milliseconds by the target's clock; absent where the platform does not tell. */
+  /** Start time of the reporting incarnation, in Unix milliseconds by the target's clock; absent if unknown. */
   readonly born?: Milliseconds;
-  /** Orders that the engine has taken since its start. */
+  /** Number of orders that the engine has accepted since its start. */
   readonly sequence: number;
   readonly models: readonly ResidentModel[];
 }
 
-/** A target, as the platform lists it. */
+/** A target as listed by the platform. */
 export interface ListedTarget {
   readonly id: string;
-  /** Start of its life, in Unix milliseconds by its own clock: it may start again under its id. Absent where not told. */
+  /**
+   * Start time of the incarnation, in Unix milliseconds by the target's clock; absent if unknown. A
+   * restarted target keeps its id.
+   */
   readonly born?: Milliseconds;
   readonly service: string;
   /** `host:port`. */
   readonly address: string;
   readonly domain: string;
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
   readonly leaving: boolean;
-  /** Models that it holds, as old as the list; absent for a target of a plain service. */
+  /** Loaded models at the time of the listing; absent for targets of plain services. */
   readonly models?: readonly ResidentModel[];
 }
 
-/** What an engine answers when it is asked for its state. */
+/** State that an engine reports when it is polled. */
 export interface EngineState extends Holdings {
-  /** An order is being carried out. */
+  /** Whether an order is in progress. */
   readonly busy: boolean;
+  /** Number of queued requests. */
   readonly waiting: number;
+  /** Number of running requests. */
   readonly running: number;
   readonly cacheTokensUsed: number;
-  /** Models whose weights lie in host memory. */
+  /** Models whose weights are cached in host memory. */
   readonly inMemory: ReadonlySet<string>;
-  /** Models whose weights lie on the target's disk. */
+  /** Models whose weights are cached on the target's disk. */
   readonly onDisk: ReadonlySet<string>;
-  /** Adapters on their way, as `model/adapter`. */
+  /** Adapters that are being loaded, as `model/adapter`. */
   readonly adaptersComing: readonly string[];
-  /** What the answer says of the requests that the engine takes; one without a limit may be silent of it. */
+  /** Request limit that the engine advertises. */
   readonly limit: LimitNotice;
 }
 
-/** Brings weights into an engine, or drops them. */
+/** Loads or unloads the weights of a model or an adapter. */
 export interface WeightOrder {
   readonly action: "load" | "unload";
   readonly model: string;
   readonly adapter?: string;
 }
 
-/** An order as it is sent. */
+/** A weight order with the preconditions under which the engine accepts it. */
 export interface FencedOrder extends WeightOrder {
-  /** The engine takes the order only after this many others. */
+  /** Number of orders that the engine must have accepted before this one. */
   readonly expectedSequence: number;
   readonly holder: string;
-  /** Fencing token of the holder. */
+  /** Fencing token of the lease holder. */
   readonly epoch: number;
 }
 
 /**
- * What an engine says to an order. `unanswered`: it may still be carried out; `gone`: another start
- * has the address.
+ * Result of sending an order to an engine. `unanswered`: the order may still be carried out; `gone`:
+ * another incarnation uses the address.
  */
 export type OrderResult =
   "under_way" | "in_force" | "conflict" | "fenced" | "refused" | "gone" | "unanswered";
 
-/** A part of a prompt that requests may share. */
+/** A part of a prompt that several requests may have in common. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** What a request says of itself beside its method, path and body. */
+/** Metadata of a request, read from its headers. */
 export interface RequestMetadata {
   readonly id: string;
-  /** Time that the caller will wait, from its sending. */
+  /** Time that the caller waits for the response, counted from sending the request. */
   readonly deadlineMs?: Milliseconds;
   readonly model?: string;
   readonly adapter?: string;
-  /** Whether the caller told its tokens; where not, both counts are 0. */
+  /** Whether the caller declared token counts; if not, both counts are 0. */
   readonly tokensDeclared: boolean;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
   readonly parts: readonly PromptPart[];
-  /** Position after which a stream is to go on. */
+  /** Id of the last event that the caller received; the stream resumes after it. */
   readonly resumeAfter?: string;
 }
--- a/packages/types/src/routes.ts
+++ b/packages/types/src/routes.ts
@@ -1,105 +1,106 @@
-/** Routes of opaque requests: what operators declare and a box holds in force. */
+/** Configuration of routes, services and client accounts for opaque requests. */
 import type { Milliseconds } from "./identifiers.js";
 
-/** Whether a request may run again after it may have run before. */
+/** Whether a request may be retried after an attempt that may have run. */
 export type Repeatability = "repeatable" | "not_repeatable";
 
-/** A service with its share of a route's requests. */
+/** A service with its weight in a route's traffic split. */
 export interface WeightedService {
   readonly service: string;
-  /** Relative to the other shares of the route. */
+  /** Relative to the weights of the route's other services. */
   readonly weight: number;
 }
 
-/** Sends requests of one host and path prefix to a service. */
+/** Routes requests of one host and path prefix to one or more services. */
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly weightedServices: readonly WeightedService[];
   readonly repeatability: Repeatability;
-  /** Answers are event streams. */
+  /** Whether responses are event streams. */
   readonly streaming: boolean;
-  /** A stream that was cut may go on at another target after its last whole event. */
+  /** Whether an interrupted stream may be resumed on another target after its last complete event. */
   readonly resumable: boolean;
-  /** Longest time that a request may be held. */
+  /** Maximum time that a request may take. */
   readonly timeoutMs: Milliseconds;
-  /** Time within which an answer (the first event of a stream) is on time. */
+  /** Latency objective for the response (for a stream, its first event). */
   readonly objectiveMs: Milliseconds;
-  /** Longest time that callers wait for the next event of a stream, the first one included; absent
-   * where they wait until their deadline. */
+  /** Time after which callers abandon a stream that sends no event, also before the first one; absent
+   * if they wait until their deadline. */
   readonly eventTimeoutMs?: Milliseconds;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Most targets that one request may be sent to. */
+  /** Maximum number of targets that a request may be sent to. */
   readonly maxAttempts: number;
-  /** Requests need no key. */
+  /** Whether requests without an API key are accepted. */
   readonly anonymous: boolean;
 }
 
-/** What the limit of a client account counts. */
+/** Unit in which the limit of a client account is counted. */
 export type QuotaUnit = "requests" | "tokens";
 
-/** How much a client account may have run, over all boxes together. */
+/** Rate limit of a client account over all boxes. */
 export interface AccountLimit {
   readonly unit: QuotaUnit;
-  /** Units a second. */
+  /** Units per second. */
   readonly perSecond: number;
-  /** Units beside the steady rate that may come at once. */
+  /** Units that may be used at once beyond the steady rate. */
   readonly burst: number;
-  /** What a request counts that says nothing of its tokens. */
+  /** Tokens charged for a request that does not declare its token counts. */
   readonly defaultTokens: number;
 }
 
-/** A client account as operators declare it. */
+/** A client account as declared by operators. */
 export interface ClientAccount {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Goes before the priority of the route; 0 is the most urgent. */
+  /** Overrides the priority of the route; 0 is the most urgent. */
   readonly priority?: number;
-  /** Absent where the account may send as much as it likes. */
+  /** Absent if the account is not limited. */
   readonly limit?: AccountLimit;
 }
 
-/** Weights that engines can hold. */
+/** A model that engines can load. */
 export interface DeclaredModel {
   readonly name: string;
   readonly memoryMb: number;
-  /** Time of a load from host memory. */
+  /** Duration of a load from host memory. */
   readonly loadFromMemoryMs: Milliseconds;
-  /** Time of a load from the target's disk. */
+  /** Duration of a load from the target's disk. */
   readonly loadFromDiskMs: Milliseconds;
-  /** Time of a load from the weight store. */
+  /** Duration of a load from the weight store. */
   readonly loadFromStoreMs: Milliseconds;
+  /** Memory of one adapter of the model. */
   readonly adapterMb: number;
 }
 
-/** What the engines of a service are like. */
+/** Capacity of the engines of a service and the models that they can load. */
 export interface EngineSpec {
-  /** Requests that an engine runs at once. */
+  /** Maximum number of concurrent requests of an engine. */
   readonly slots: number;
-  /** Tokens of running requests and cached prefixes together. */
+  /** Size of the KV cache, shared by running requests and cached prefixes. */
   readonly cacheTokens: number;
   /** Memory for weights and adapters. */
   readonly memoryMb: number;
   readonly adapterSlots: number;
-  /** Loads a second that the weight store permits over all engines. */
+  /** Loads per second that the weight store permits over all engines. */
   readonly storeLoadsPerSecond: number;
   readonly models: ReadonlyMap<string, DeclaredModel>;
 }
 
-/** A group of like targets. */
+/** A group of interchangeable targets. */
 export interface RoutedService {
   readonly name: string;
   readonly healthPath: string;
-  /** Connections that a target takes from all callers together. */
+  /** Maximum number of connections that a target accepts over all callers. */
   readonly maxConnections: number;
   /** Absent for a plain service. */
   readonly engine?: EngineSpec;
 }
 
-/** What a caller may send. */
+/** Limits on the size and timing of callers' requests. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -107,12 +108,12 @@
   readonly idleTimeoutMs: Milliseconds;
 }
 
-/** One whole configuration. A box never goes back to a lower version. */
+/** A complete configuration. A box never applies a lower version than its current one. */
 export interface RoutedConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: ReadonlyMap<string, RoutedService>;
   readonly limits: CallerLimits;
-  /** Absent where callers need no keys at all. */
+  /** Absent if callers need no API keys. */
   readonly accounts?: readonly ClientAccount[];
 }
--- a/packages/types/src/target-limits.ts
+++ b/packages/types/src/target-limits.ts
@@ -1,36 +1,36 @@
-/** Limits that targets name for themselves: what they take from all boxes together. */
+/** Request limits that targets advertise for the traffic of all boxes together. */
 import type { Milliseconds } from "./identifiers.js";
 
-/** What one answer says of its target's limit. */
+/** The limit that a response advertises for its target. */
 export type LimitNotice =
   | { readonly kind: "none" }
-  /** Requests a second that the target takes from all boxes together. */
+  /** Requests per second that the target accepts from all boxes together. */
   | { readonly kind: "limited"; readonly perSecond: number }
-  /** The target names a limit in a form that can't be read. */
+  /** The response has a limit that cannot be parsed. */
   | { readonly kind: "unreadable"; readonly text: string };
 
-/** A target whose limit holds, as operators are told of it. */
+/** A target with a limit in effect, as shown to operators. */
 export interface LimitedTarget {
   readonly target: string;
   readonly perSecond: number;
-  /** Time since it first named a limit. */
+  /** Time since the target first advertised a limit. */
   readonly forMs: Milliseconds;
 }
 
-/** What boxes tell each other of one target. */
+/** Limit of one target, as exchanged between boxes. */
 export interface TargetLimitRecord {
   readonly target: string;
-  /** Start of the life that said so, where it is known. */
+  /** Start time of the target's incarnation, in Unix milliseconds by its clock; absent if unknown. */
   readonly born?: Milliseconds;
-  /** Absent where the target takes any number again. */
+  /** Requests per second; absent if the target no longer has a limit. */
   readonly perSecond?: number;
-  /** Time since the answer that said so, at some box. */
+  /** Time since a box received the response that advertised this limit. */
   readonly ageMs: Milliseconds;
 }
 
-/** What one box tells another: limits that have changed since the other's last word. */
+/** The limits that have changed since the receiver's last acknowledged message. */
 export interface TargetLimitMessage {
-  /** How far the reader has followed the sender once it has taken this. */
+  /** Position in the sender's change sequence that the receiver has reached after applying this message. */
   readonly number: number;
   readonly records: readonly TargetLimitRecord[];
 }
