--- a/packages/ports/src/box-list-port.ts
+++ b/packages/ports/src/box-list-port.ts
@@ -1,13 +1,13 @@
-/** The platform's lagging list of boxes. */
+/** Access to the platform's list of boxes, which is eventually consistent. */
 import type { LogUnavailable } from "@linkfall/errors";
 import { serviceName } from "@linkfall/kernel";
 import type { ListedBox } from "@linkfall/types";
 import type { Either } from "purify-ts";
 
-/** What the list showed at one read. */
+/** Result of one read of the list. */
 export interface BoxList {
   readonly boxes: readonly ListedBox[];
-  /** Names of targets that the platform shows as leaving. */
+  /** Names of targets that the platform lists as leaving. */
   readonly leavingTargets: readonly string[];
 }
 
--- a/packages/ports/src/engine-port.ts
+++ b/packages/ports/src/engine-port.ts
@@ -1,10 +1,10 @@
-/** Orders to engines and their reports. */
+/** Sends orders to engines and reads their reports and cache events. */
 import type { TargetUnreachable } from "@linkfall/errors";
 import { serviceName } from "@linkfall/kernel";
 import type { CacheEvent, EngineReport, Epoch, Order, OrderReply } from "@linkfall/types";
 import type { Either } from "purify-ts";
 
-/** Cache events after a position, as far as the engine still has them. */
+/** Cache events after a position; events that the engine no longer keeps are missing. */
 export interface CacheEventBatch {
   readonly engineIncarnation: string;
   readonly events: readonly CacheEvent[];
@@ -12,9 +12,10 @@
 
 export interface EnginePort {
   report(address: string): Promise<Either<TargetUnreachable, EngineReport>>;
-  /** Refuses every order below `epoch` from now on, and answers with the state after that. */
+  /** Makes the engine reject every order with an epoch below `epoch`; returns its report afterwards. */
   raiseFence(address: string, epoch: Epoch): Promise<Either<TargetUnreachable, EngineReport>>;
   order(address: string, order: Order): Promise<Either<TargetUnreachable, OrderReply>>;
+  /** Reads the cache events with a sequence above `after`. */
   cacheEvents(address: string, after: number): Promise<Either<TargetUnreachable, CacheEventBatch>>;
 }
 
--- a/packages/ports/src/keyed-stream-port.ts
+++ b/packages/ports/src/keyed-stream-port.ts
@@ -1,22 +1,22 @@
-/** Streams of the platform's store that keep the newest record of each key for good. */
+/** Compacted streams of the platform's store, which retain the newest record of each key. */
 import type { LogFailure } from "@linkfall/errors";
 import type { Milliseconds, Offset } from "@linkfall/types";
 import type { Either } from "purify-ts";
 
-/** One record; a dropped key has no value. */
+/** A record of a stream; the record of a deleted key has no value. */
 export interface KeyedRecord {
   readonly key: string;
   readonly value?: string;
   readonly offset: Offset;
 }
 
-/** Records in the order of offset, and the offset that the next record will get. */
+/** Records in offset order; `end` is the offset that the next record will get. */
 export interface KeyedBatch {
   readonly records: readonly KeyedRecord[];
   readonly end: Offset;
 }
 
-/** A conditional append found another end than it named. */
+/** A conditional append failed because the stream has a different end. */
 export interface EndMoved {
   readonly kind: "end_moved";
   readonly end: Offset;
@@ -25,8 +25,8 @@
 export interface KeyedStreamPort {
   /** The newest record of each key. */
   newest(): Promise<Either<LogFailure, KeyedBatch>>;
-  /** Records from `from` on; waits up to `waitMs` for one to exist. */
+  /** Records from offset `from` on; waits up to `waitMs` for the first one. */
   changes(from: Offset, waitMs: Milliseconds): Promise<Either<LogFailure, KeyedBatch>>;
-  /** Appends a record; with `at`, only where the stream ends there. Answers its offset. */
+  /** Appends a record and returns its offset; if `at` is given, only if the stream ends there. */
   put(key: string, value: string, at?: Offset): Promise<Either<LogFailure | EndMoved, Offset>>;
 }
--- a/packages/ports/src/peer-port.ts
+++ b/packages/ports/src/peer-port.ts
@@ -17,7 +17,7 @@
 import type { Either } from "purify-ts";
 import type { CallerRequest, CallerResponse } from "./exchange.js";
 
-/** One heartbeat: what the sender knows, and how far it has read. */
+/** A heartbeat: the members that the sender passes on, and a summary of its state. */
 export interface Heartbeat {
   readonly from: MemberEntry;
   readonly members: readonly MemberEntry[];
@@ -25,17 +25,17 @@
   readonly blame?: BlameExchange;
 }
 
-/** What two boxes tell each other of requests that end targets. */
+/** Blame records and acknowledgements exchanged with each heartbeat; see {@link BlameMessage}. */
 export interface BlameExchange {
-  /** Absent where the reader knows all. */
+  /** Absent if the receiver is up to date. */
   readonly word?: BlameMessage;
-  /** The start of the reader that `followed` is about; empty where it is not known. */
+  /** Incarnation of the receiver that `followed` refers to; empty if unknown. */
   readonly of: Incarnation;
-  /** How far the sender has followed the reader. */
+  /** Position in the receiver's change sequence that the sender has reached. */
   readonly followed: number;
 }
 
-/** The answer to a heartbeat; it carries records that the sender lacks. */
+/** The reply to a heartbeat, with log records that the sender of the heartbeat lacks. */
 export interface HeartbeatReply {
   readonly from: MemberEntry;
   readonly members: readonly MemberEntry[];
@@ -44,46 +44,46 @@
   readonly records: readonly LogEntry[];
 }
 
-/** Folded state as one peer holds it. */
+/** Serialized state of a peer at an offset of the log. */
 export interface PeerState {
   readonly offset: Offset;
-  /** Serialised as in a snapshot. */
+  /** Same format as in a snapshot. */
   readonly data: string;
 }
 
-/** Usage that one box has seen, for the box that needs it. */
+/** Usage observed by one box, sent to the box that aggregates it. */
 export interface UsageReport {
   readonly from: Incarnation;
   readonly demand: readonly DemandSample[];
   readonly accounts: readonly AccountRate[];
 }
 
-/** Rates of the accounts of a report, over all boxes that report them. */
+/** Request rates of the accounts in a report, summed over all boxes that report them. */
 export type UsageTotals = readonly AccountRate[];
 
-/** The newest placement of an engine that a box has had from the box that it asks. */
+/** The newest placement of an engine that the requesting box has received from the other box. */
 export interface HeldPlacement {
   readonly engine: string;
   readonly placementVersion: number;
 }
 
-/** Asks a box for the reports that it has read itself. */
+/** Requests the engine reports that a box has read itself. */
 export interface ReportsRequest {
   readonly from: Incarnation;
   readonly pools: readonly string[];
-  /** The start of the asked box that `held` is about; empty when there is none. */
+  /** Incarnation of the receiving box that `held` refers to; empty if there is none. */
   readonly heldFrom: Incarnation;
   readonly held: readonly HeldPlacement[];
 }
 
-/** An engine's report that another box has read. */
+/** An engine's report that was read by another box. */
 export interface RelayedReport {
   readonly load: ReportLoad;
-  /** Time since the report was asked for, by the clock of the box that read it. */
+  /** Time since the box that read the report requested it, by that box's clock. */
   readonly ageMs: Milliseconds;
-  /** Counts the changes of the placement, in the box that read it. */
+  /** Incremented by the box that read the report with each change of the placement. */
   readonly placementVersion: number;
-  /** Left out when the asking box holds this version. */
+  /** Omitted if the requesting box already has this version. */
   readonly placement?: ReportPlacement;
 }
 
@@ -100,14 +100,14 @@
     address: string,
     request: ReportsRequest,
   ): Promise<Either<PeerUnreachable, ReportsReply>>;
-  /** Passes a caller's request to the box that must decide on it. */
+  /** Forwards a caller's request to the box that is responsible for it. */
   forward(
     address: string,
     request: CallerRequest,
   ): Promise<Either<PeerUnreachable, CallerResponse>>;
 }
 
-/** What a box answers to its peers. */
+/** Handles the messages of peers. */
 export interface PeerHandler {
   heartbeat(message: Heartbeat): HeartbeatReply;
   fetchState(): PeerState;
--- a/packages/ports/src/routed-ports.ts
+++ b/packages/ports/src/routed-ports.ts
@@ -1,4 +1,4 @@
-/** What the product asks of a platform whose requests are opaque to it. */
+/** Interfaces to a platform whose requests are opaque to linkfall. */
 import type { InvalidInput, TargetUnreachable } from "@linkfall/errors";
 import type {
   EngineState,
@@ -12,55 +12,58 @@
 } from "@linkfall/types";
 import type { Either } from "purify-ts";
 
-/** Header names and values by turns, as they stand on the wire. */
+/** Alternating header names and values, as on the wire (like Node's `rawHeaders`). */
 export type RawHeaders = readonly string[];
 
-/** Reads the platform's records of desired state and of targets. */
+/** Parses the platform's records of the configuration and of targets. */
 export interface RecordCodec {
   parseConfiguration(text: string): Either<InvalidInput, RoutedConfiguration>;
   parseTarget(id: string, text: string): Either<InvalidInput, ListedTarget>;
 }
 
-/** The target of one send, as far as the wire needs it. */
+/** Values that linkfall adds to the headers of one attempt. */
 export interface AttemptMetadata {
   readonly targetId: string;
   readonly remainingMs: Milliseconds;
-  /** Rank for the engine's own queue, 0 first. */
+  /** Priority in the engine's own queue; 0 is the most urgent. */
   readonly rank?: number;
-  /** The client account that the request belongs to; absent where no key was needed. */
+  /** Client account of the request; absent on routes that allow anonymous requests. */
   readonly account?: string;
-  /** Position after which a stream goes on; as the caller sent it when absent. */
+  /** Id of the event after which to resume the stream; if absent, the caller's header is passed on. */
   readonly resumeAfter?: string;
 }
 
-/** What the head of a target's answer says about the request. */
+/** Facts about a request, read from the head of the target's response. */
 export interface ResponseMetadata {
   readonly requestId?: string;
-  /** The target says that it did not run the request. */
+  /** Whether the target reported that it did not run the request. */
   readonly notRun: boolean;
-  /** Another start of a target has the address, or it does not hold what was asked for. */
+  /** Whether another incarnation or target uses the address, or it lacks the requested model. */
   readonly misdirected: boolean;
-  /** Time for which the target asks for no requests; absent where it does not ask. */
+  /** Time for which the target asked not to receive requests; absent if it did not ask. */
   readonly retryAfterMs?: Milliseconds;
-  /** What it says of the requests that the target takes. */
+  /** Request limit that the target advertises. */
   readonly limit: LimitNotice;
 }
 
-/** Translates between requests on the wire and their terms. */
+/** Translates between headers on the wire and linkfall's metadata. */
 export interface RequestCodec {
   readMetadata(headers: RawHeaders): RequestMetadata;
-  /** The key of the caller's account. It is kept out of the terms, which are logged. */
+  /** The caller's API key. It is kept out of the metadata, which is logged. */
   readApiKey(headers: RawHeaders): string | undefined;
-  /** Why the terms cannot be read, such as one that comes with two values; such a request reaches no target. */
+  /**
+   * Describes why the headers are invalid, such as a header with two conflicting values; undefined if
+   * they are valid. A request with invalid headers is not sent to any target.
+   */
   describeInvalidHeaders(headers: RawHeaders): string | undefined;
-  /** The caller's end-to-end headers with those that linkfall sets itself. */
+  /** Headers to send to a target: the caller's end-to-end headers and those of the attempt. */
   toTargetHeaders(headers: RawHeaders, terms: AttemptMetadata): string[];
-  /** The target's end-to-end headers. */
+  /** Headers to pass on to the caller: the target's end-to-end headers. */
   toCallerHeaders(headers: RawHeaders): string[];
   readResponse(status: number, headers: RawHeaders): ResponseMetadata;
 }
 
-/** Asks engines for their state and gives them orders. */
+/** Polls the state of engines and sends them orders. */
 export interface RoutedEnginePort {
   state(target: ListedTarget): Promise<Either<TargetUnreachable, EngineState>>;
   order(target: ListedTarget, order: FencedOrder): Promise<OrderResult>;
--- a/packages/ports/src/target-port.ts
+++ b/packages/ports/src/target-port.ts
@@ -1,4 +1,4 @@
-/** Requests to targets: model engines and plain services. */
+/** Sends requests to targets: model engines and plain services. */
 import type { TargetUnreachable } from "@linkfall/errors";
 import { serviceName } from "@linkfall/kernel";
 import type { Either } from "purify-ts";
@@ -11,30 +11,30 @@
   readonly path: string;
   readonly headers: HeaderMap;
   readonly body: Uint8Array;
-  /** Ask for a connection of its own, since one kept alive may die under the request unseen. */
+  /** Use a new connection; an idle kept-alive one may be closed by the target just as the request is sent. */
   readonly freshConnection: boolean;
 }
 
-/** A piece of a body, or the fact that the body was cut before its end. */
+/** A chunk of a body; a Left if the body ended early. */
 export type BodyPart = Either<TargetUnreachable, Uint8Array>;
 
-/** The answer of a target. The body ends without a Left only when it is whole. */
+/** The response of a target. The body is complete if it ends without a Left. */
 export interface TargetResponse {
   readonly status: number;
   readonly headers: HeaderMap;
   readonly body: AsyncIterable<BodyPart>;
 }
 
-/** Whether anybody takes connections at an address; `unknown` where it did not answer in time. */
+/** Whether an address accepts connections; `unknown` if the connection attempt timed out. */
 export type ListenerStatus = "listens" | "refuses" | "unknown";
 
 export interface TargetPort {
-  /** Sends a request; `signal` gives it up and closes its connection. */
+  /** Sends a request; aborting `signal` cancels it and closes its connection. */
   send(
     request: TargetRequest,
     signal: AbortSignal,
   ): Promise<Either<TargetUnreachable, TargetResponse>>;
-  /** Tells a target that ended from one whose connection was lost. */
+  /** Checks whether a target still listens, to distinguish a stopped target from a lost connection. */
   probeListener(address: string): Promise<ListenerStatus>;
 }
 
