--- a/packages/errors/src/failures.ts
+++ b/packages/errors/src/failures.ts
@@ -1,38 +1,38 @@
-/** Failures that are expected and returned as values. Each has a `kind` to match on. */
+/** Expected failures, returned as values and discriminated by `kind`. */
 import type { Offset, Revision, ResourceName } from "@linkfall/types";
 
-/** The log could not be reached or did not answer; an append may have taken effect. */
+/** The log was unreachable or did not respond; an append may have taken effect. */
 export interface LogUnavailable {
   readonly kind: "log_unavailable";
   readonly reason: string;
 }
 
-/** Records from the asked offset on are no longer kept; `first` is the oldest that is. */
+/** The requested offset is no longer retained; `first` is the oldest offset that is. */
 export interface LogTruncated {
   readonly kind: "log_truncated";
   readonly first: Offset;
 }
 
-/** The log takes no more appends for now. */
+/** The log currently rejects appends because it is overloaded. */
 export interface LogBusy {
   readonly kind: "log_busy";
 }
 
 export type LogFailure = LogUnavailable | LogTruncated | LogBusy;
 
-/** One field of an input that is wrong. */
+/** A validation error of one input field. */
 export interface FieldProblem {
   readonly field: string;
   readonly reason: string;
 }
 
-/** Input that is refused as a whole; nothing of it is applied. */
+/** Input that failed validation; no part of it is applied. */
 export interface InvalidInput {
   readonly kind: "invalid_input";
   readonly problems: readonly FieldProblem[];
 }
 
-/** All problems of an input in one line, for people. */
+/** Formats all problems of an input as one human-readable line. */
 export function describeProblems({ problems }: InvalidInput): string {
   return problems.map(({ field, reason }) => `${field}: ${reason}`).join("; ");
 }
@@ -43,27 +43,27 @@
   readonly subject: ResourceName;
   readonly base: Revision;
   readonly current: Revision;
-  /** Who wrote the current revision. */
+  /** Author of the current revision. */
   readonly who: string;
 }
 
-/** A peer could not be asked. */
+/** A peer could not be reached or did not reply. */
 export interface PeerUnreachable {
   readonly kind: "peer_unreachable";
   readonly reason: string;
-  /** Whether the peer can have begun to act on the message. */
+  /** Whether the peer may have processed the message. */
   readonly mayHaveArrived: boolean;
 }
 
-/** A target could not be reached, or went away. */
+/** A target could not be reached, or its connection was lost. */
 export interface TargetUnreachable {
   readonly kind: "target_unreachable";
   readonly reason: string;
-  /** Whether a byte of the request can have reached the target. */
+  /** Whether any byte of the request may have reached the target. */
   readonly mayHaveArrived: boolean;
 }
 
-/** The system did not let this process listen on an address. */
+/** The operating system did not allow this process to listen on an address. */
 export interface AddressUnavailable {
   readonly kind: "address_unavailable";
   readonly address: string;
--- a/packages/errors/src/invariant.ts
+++ b/packages/errors/src/invariant.ts
@@ -1,7 +1,7 @@
-/** A broken invariant is a defect of linkfall itself. It is the only thing that stops the process. */
+/** Thrown when an invariant does not hold, which means a bug in linkfall. It stops the process. */
 export class InvariantBroken extends Error {
   constructor(
-    /** Short stable name of the invariant, listed in docs/PROMISES.md. */
+    /** Stable name of the invariant, listed in docs/PROMISES.md. */
     readonly invariant: string,
     detail: string,
   ) {
@@ -11,9 +11,9 @@
 }
 
 /**
- * Stops the process when `holds` is false.
+ * Throws if `holds` is false, which stops the process.
  *
- * @throws InvariantBroken, which nothing inside linkfall catches.
+ * @throws InvariantBroken, which is never caught inside linkfall.
  */
 export function invariant(
   holds: boolean,
