--- a/packages/kernel/src/clock.feature
+++ b/packages/kernel/src/clock.feature
@@ -1,10 +1,10 @@
-Feature: A limit on an answer is no limit on how soon the box reads it
+Feature: A delayed event loop does not make responses miss their timeout
 
-  Scenario: Answers that came in time count, though the event loop was behind
-    Given a server in another process that answers 20 calls after 50 ms
-    When calls with a limit of 100 ms are made and a turn of the event loop takes 300 ms
-    Then all 20 calls are answered
+  Scenario: Responses that arrive in time are accepted although the event loop was blocked
+    Given a server in another process that responds to 20 requests after 50 ms
+    When requests with a timeout of 100 ms are sent and the event loop is blocked for 300 ms
+    Then all 20 requests get a response
 
-  Scenario: A timer that was cancelled while it was late does nothing
-    When a timer of 10 ms is cancelled in the turn in which it fires 50 ms late
-    Then it has not fired
+  Scenario: A late timer that is cancelled before its action runs does nothing
+    When a timer of 10 ms is cancelled in the event loop iteration in which it expires 50 ms late
+    Then the timer has not fired
--- a/packages/kernel/src/clock.steps.ts
+++ b/packages/kernel/src/clock.steps.ts
@@ -8,24 +8,24 @@
 interface Scene {
   readonly server: ChildProcess;
   readonly port: number;
-  readonly calls: number;
-  answered: number;
+  readonly requests: number;
+  responses: number;
 }
 
 const scenes = new WeakMap<object, Scene>();
 const fired = new WeakMap<object, boolean>();
 
-/** Answers each connection's first bytes after a time. */
-const serverCode = (afterMs: number) => `
+/** Code of a server that responds to the first bytes of each connection after a delay. */
+const serverCode = (delayMs: number) => `
   const server = require("node:net").createServer((socket) => {
     socket.on("error", () => undefined);
-    socket.once("data", () => setTimeout(() => socket.write("answer"), ${afterMs}));
+    socket.once("data", () => setTimeout(() => socket.write("answer"), ${delayMs}));
   });
   server.listen(0, "127.0.0.1", () => console.log(server.address().port));`;
 
 function blockEventLoop(ms: number): void {
-  const until = performance.now() + ms;
-  while (performance.now() < until);
+  const endsAt = performance.now() + ms;
+  while (performance.now() < endsAt);
 }
 
 After({ name: "clock" }, function (this: object) {
@@ -33,52 +33,52 @@
 });
 
 Given(
-  "a server in another process that answers {int} calls after {int} ms",
-  async function (this: object, calls: number, afterMs: number) {
-    const server = spawn(process.execPath, ["-e", serverCode(afterMs)]);
+  "a server in another process that responds to {int} requests after {int} ms",
+  async function (this: object, requests: number, delayMs: number) {
+    const server = spawn(process.execPath, ["-e", serverCode(delayMs)]);
     const [line] = (await once(server.stdout, "data")) as [Buffer];
-    scenes.set(this, { server, port: Number(line.toString()), calls, answered: 0 });
+    scenes.set(this, { server, port: Number(line.toString()), requests, responses: 0 });
   },
 );
 
 When(
-  "calls with a limit of {int} ms are made and a turn of the event loop takes {int} ms",
-  async function (this: object, limitMs: number, turnMs: number) {
+  "requests with a timeout of {int} ms are sent and the event loop is blocked for {int} ms",
+  async function (this: object, timeoutMs: number, blockedMs: number) {
     const scene = scenes.get(this);
     assert.ok(scene);
     const clock = systemClock();
-    const sockets = Array.from({ length: scene.calls }, () => connect(scene.port, "127.0.0.1"));
+    const sockets = Array.from({ length: scene.requests }, () => connect(scene.port, "127.0.0.1"));
     await Promise.all(sockets.map((socket) => once(socket, "connect")));
-    const ends = sockets.map(
+    const results = sockets.map(
       (socket) =>
         new Promise<boolean>((resolve) => {
           socket.once("data", () => resolve(true));
-          clock.after(limitMs, () => resolve(false));
+          clock.after(timeoutMs, () => resolve(false));
           socket.write("call");
         }),
     );
-    setImmediate(() => blockEventLoop(turnMs));
-    scene.answered = (await Promise.all(ends)).filter(Boolean).length;
+    setImmediate(() => blockEventLoop(blockedMs));
+    scene.responses = (await Promise.all(results)).filter(Boolean).length;
     for (const socket of sockets) socket.destroy();
   },
 );
 
-Then("all {int} calls are answered", function (this: object, calls: number) {
-  assert.equal(scenes.get(this)?.answered, calls);
+Then("all {int} requests get a response", function (this: object, requests: number) {
+  assert.equal(scenes.get(this)?.responses, requests);
 });
 
 When(
-  "a timer of {int} ms is cancelled in the turn in which it fires {int} ms late",
+  "a timer of {int} ms is cancelled in the event loop iteration in which it expires {int} ms late",
   async function (this: object, delayMs: number, lateMs: number) {
     const clock = systemClock();
     const cancel = clock.after(delayMs, () => fired.set(this, true));
-    // A plain timer that is due later runs in the same turn, behind it.
+    // A plain timer that is due later runs in the same iteration, after the first one.
     setTimeout(cancel, delayMs + 1);
     blockEventLoop(delayMs + lateMs);
     await new Promise((resolve) => setTimeout(resolve, lateMs));
   },
 );
 
-Then("it has not fired", function (this: object) {
+Then("the timer has not fired", function (this: object) {
   assert.ok(!fired.get(this));
 });
--- a/packages/kernel/src/clock.ts
+++ b/packages/kernel/src/clock.ts
@@ -1,50 +1,54 @@
-/** Time as an injected service, so that a whole run can be replayed from a seed. */
+/** Time as an injected service, which makes test runs reproducible. */
 import type { Milliseconds } from "@linkfall/types";
 
-/** Ends a pending timer; calling it later or twice does nothing. */
+/** Cancels a pending timer; does nothing if the timer has fired or was cancelled. */
 export type CancelTimer = () => void;
 
-/** A monotonic clock with timers. Readings of two boxes are never compared. */
+/** A monotonic clock with timers. Readings of different boxes are not comparable. */
 export interface Clock {
   /** Monotonic reading in milliseconds. */
   now(): Milliseconds;
   /**
-   * As `now`, and beside it the time for which the machine may have been suspended, which the steady clock leaves out. What
-   * this box has a right to ends by it; a step of the wall clock ends it sooner than need be. The time for which another box
-   * may still act, and what callers wait for, go by `now`.
+   * Like `now`, but includes the time for which the machine was suspended, which the monotonic clock omits. Used for the
+   * expiry of what this box holds, such as leases; a forward step of the wall clock makes it expire early. Use `now` for
+   * the expiry of what other boxes hold, and for callers' deadlines.
    */
   elapsed(): Milliseconds;
-  /** Wall-clock time for people to read, ISO 8601. No decision depends on it. */
+  /** Wall-clock time, ISO 8601; for display only. */
   wallTime(): string;
-  /** Calls `action` once, `delay` milliseconds from now. */
+  /** Calls `action` once, after `delay` milliseconds. */
   after(delay: Milliseconds, action: () => void): CancelTimer;
 }
 
-/** A wall clock that ran ahead of the steady one by less shows no suspension: it is read in whole milliseconds, and is corrected. */
+/** Smaller jumps of the wall clock are attributed to its resolution and to clock corrections. */
 const minSuspensionMs: Milliseconds = 20;
 
-/** Adds up by how much the wall clock has jumped ahead of the steady one: the only sign of a suspension that a process gets. */
+/**
+ * Returns a reader of the monotonic time plus the time of suspensions. A process detects a suspension
+ * only by the wall clock jumping ahead of the monotonic clock.
+ */
 export function createElapsedReader(
-  steady: () => Milliseconds,
-  wall: () => Milliseconds,
+  readMonotonic: () => Milliseconds,
+  readWall: () => Milliseconds,
 ): () => Milliseconds {
   let suspendedMs = 0;
-  let previous = { steady: steady(), wall: wall() };
+  let previous = { monotonic: readMonotonic(), wall: readWall() };
   return () => {
-    const current = { steady: steady(), wall: wall() };
-    const aheadMs = current.wall - previous.wall - (current.steady - previous.steady);
+    const current = { monotonic: readMonotonic(), wall: readWall() };
+    const aheadMs = current.wall - previous.wall - (current.monotonic - previous.monotonic);
     previous = current;
     if (aheadMs > minSuspensionMs) suspendedMs += aheadMs;
-    return current.steady + suspendedMs;
+    return current.monotonic + suspendedMs;
   };
 }
 
-/** A timer that fires later than this shows that the event loop is behind. */
+/** A timer that fires later than this indicates a delayed event loop. */
 const maxTimerLagMs: Milliseconds = 20;
 
 /**
- * The clock of the running process. After a long turn the event loop runs timers that are due before it reads its sockets; a
- * timer that fires late lets it read them first. Otherwise a limit ends calls whose answers have come.
+ * Creates the clock of the running process. After a long iteration the event loop runs expired timers before it polls its
+ * sockets. A late timer therefore defers its action until the sockets were polled; otherwise requests would time out
+ * although their responses have arrived.
  */
 export function systemClock(): Clock {
   return {
@@ -53,34 +57,34 @@
     wallTime: () => new Date().toISOString(),
     after(delay, action) {
       const dueAt = performance.now() + delay;
-      let late: NodeJS.Immediate | undefined;
+      let deferred: NodeJS.Immediate | undefined;
       const timer = setTimeout(() => {
         if (performance.now() - dueAt <= maxTimerLagMs) return action();
-        late = setImmediate(action);
+        deferred = setImmediate(action);
       }, delay);
       return () => {
         clearTimeout(timer);
-        clearImmediate(late);
+        clearImmediate(deferred);
       };
     },
   };
 }
 
-/** Resolves after `delay` milliseconds of the given clock. */
+/** Resolves after `delay` milliseconds by the given clock. */
 export function sleep(clock: Clock, delay: Milliseconds): Promise<void> {
   return new Promise((resolve) => {
     clock.after(delay, resolve);
   });
 }
 
-/** Resolves with the promise's value, or with `undefined` once `limit` milliseconds have passed. */
+/** Resolves with the promise's value, or with `undefined` after `timeoutMs`. */
 export function withTimeout<T>(
   clock: Clock,
-  limit: Milliseconds,
+  timeoutMs: Milliseconds,
   promise: Promise<T>,
 ): Promise<T | undefined> {
   return new Promise((resolve, reject) => {
-    const cancel = clock.after(limit, () => resolve(undefined));
+    const cancel = clock.after(timeoutMs, () => resolve(undefined));
     promise.then(
       (value) => {
         cancel();
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/kernel.ts
@@ -1,16 +1,16 @@
-/** Named services that find each other, started in the order of registration and stopped in reverse. */
+/** A registry of named services, started in the order of registration and stopped in reverse order. */
 import { invariant } from "@linkfall/errors";
 
-/** Something with a life cycle. */
+/** A component with a life cycle. */
 export interface Service {
   start(): Promise<void>;
   stop(): Promise<void>;
 }
 
-/** The name of a service together with the type of what stands behind it. */
+/** The name of a service, typed with the service's interface. */
 export interface ServiceName<T> {
   readonly name: string;
-  /** Carries the type only; never set. */
+  /** Never set; carries the type for inference. */
   readonly type?: T;
 }
 
@@ -19,15 +19,15 @@
   return { name };
 }
 
-/** Holds the services of one process. */
+/** The services of one process. */
 export interface Kernel {
   /** Registers a service under its name; `lifecycle` is started and stopped with the kernel. */
   provide<T>(name: ServiceName<T>, service: T, lifecycle?: Partial<Service>): T;
-  /** Finds a service. One that is missing is a defect, not a condition to handle. */
+  /** Returns a registered service; throws if there is none. */
   find<T>(name: ServiceName<T>): T;
   start(): Promise<void>;
   stop(): Promise<void>;
-  /** Names in the order of registration. */
+  /** Names of the services in the order of registration. */
   names(): readonly string[];
 }
 
--- a/packages/kernel/src/random.ts
+++ b/packages/kernel/src/random.ts
@@ -1,4 +1,4 @@
-/** Random numbers as an injected service, on pure-rand's xoroshiro generator. */
+/** Random numbers as an injected service, based on pure-rand's xoroshiro generator. */
 import { randomBytes } from "node:crypto";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
@@ -8,15 +8,15 @@
 
 /** A source of random numbers. */
 export interface Random {
-  /** A number from 0 up to but not including 1. */
+  /** Returns a number in [0, 1). */
   nextFloat(): number;
-  /** A whole number from 0 up to but not including `limit`. */
+  /** Returns an integer in [0, limit). */
   nextInt(limit: number): number;
-  /** A fresh identifier of 12 hexadecimal digits. */
+  /** Returns a new identifier of 12 hexadecimal digits. */
   identifier(): string;
 }
 
-/** Random numbers that are the same for the same seed. */
+/** Creates a deterministic generator. */
 export function seededRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed);
   const nextInt = (limit: number) => uniformInt(generator, 0, limit - 1);
@@ -31,7 +31,7 @@
   };
 }
 
-/** Random numbers of a running process, seeded by the operating system. */
+/** Creates the generator of a running process, seeded by the operating system. */
 export function systemRandom(): Random {
   const random = seededRandom(randomBytes(4).readInt32LE());
   return {
@@ -40,7 +40,7 @@
   };
 }
 
-/** One element of a list that is not empty. */
+/** Returns a random element of a non-empty list. */
 export function pick<T>(random: Random, list: readonly T[]): T {
   return list[random.nextInt(list.length)];
 }
--- a/packages/kernel/src/repeat.ts
+++ b/packages/kernel/src/repeat.ts
@@ -1,31 +1,31 @@
-/** A task that is run again and again, never twice at once. */
+/** Runs a task periodically, without overlapping runs. */
 import type { Milliseconds } from "@linkfall/types";
 import type { CancelTimer, Clock } from "./clock.js";
 import type { Random } from "./random.js";
 import type { Service } from "./kernel.js";
 
-/** Share of the interval by which each wait varies, so that boxes do not act in step. */
+/** Fraction of the interval by which delays vary, which keeps boxes from running in lockstep. */
 const jitterRatio = 0.2;
 
-/** Runs `task` every `interval` milliseconds or so, counted from the end of the last run. */
+/** Runs `task` with a jittered delay of about `intervalMs` between the end of one run and the start of the next. */
 export function repeatEvery(
   clock: Clock,
   random: Random,
-  interval: Milliseconds,
+  intervalMs: Milliseconds,
   task: () => Promise<void> | void,
 ): Service {
   let stopped = false;
   let cancel: CancelTimer = () => undefined;
-  const wait = () => {
+  const schedule = () => {
     const jitter = 1 + jitterRatio * (random.nextFloat() - 0.5);
-    cancel = clock.after(interval * jitter, () => void run());
+    cancel = clock.after(intervalMs * jitter, () => void run());
   };
   const run = async () => {
     await task();
-    if (!stopped) wait();
+    if (!stopped) schedule();
   };
   return {
-    start: async () => wait(),
+    start: async () => schedule(),
     stop: async () => {
       stopped = true;
       cancel();
--- a/packages/kernel/src/service-names.ts
+++ b/packages/kernel/src/service-names.ts
@@ -1,4 +1,4 @@
-/** Names of the services that nearly every other one needs. */
+/** Names of the services that most packages use. */
 import type { Clock } from "./clock.js";
 import { serviceName } from "./kernel.js";
 import type { Random } from "./random.js";
--- a/packages/kernel/src/suspension.feature
+++ b/packages/kernel/src/suspension.feature
@@ -1,19 +1,19 @@
-Feature: Time for which a machine was suspended counts where a right ends by it
+Feature: The elapsed time includes the time for which the machine was suspended
 
-  Scenario: A suspension shows as a jump of the wall clock ahead of the steady one
-    Given a steady clock and a wall clock that agree
-    When 1000 ms go by on both
+  Scenario: A suspension is detected by the wall clock jumping ahead of the monotonic clock
+    Given a monotonic clock and a wall clock that are in sync
+    When both clocks advance by 1000 ms
     And the machine is suspended for 5000 ms
-    And 1000 ms go by on both
-    Then 2000 ms have gone by, and 7000 ms where suspensions count
+    And both clocks advance by 1000 ms
+    Then the monotonic time is 2000 ms and the elapsed time is 7000 ms
 
-  Scenario: A wall clock that is set back gives no right more time
-    Given a steady clock and a wall clock that agree
+  Scenario: Setting the wall clock back does not reduce the elapsed time
+    Given a monotonic clock and a wall clock that are in sync
     When the wall clock is set back by 3000 ms
-    And 1000 ms go by on both
-    Then 1000 ms have gone by, and 1000 ms where suspensions count
+    And both clocks advance by 1000 ms
+    Then the monotonic time is 1000 ms and the elapsed time is 1000 ms
 
-  Scenario: What a wall clock is corrected by little by little counts for nothing
-    Given a steady clock and a wall clock that agree
+  Scenario: Gradual corrections of the wall clock are ignored
+    Given a monotonic clock and a wall clock that are in sync
     When the wall clock gains 5 ms each 1000 ms, 20 times
-    Then 20000 ms have gone by, and 20000 ms where suspensions count
+    Then the monotonic time is 20000 ms and the elapsed time is 20000 ms
--- a/packages/kernel/src/suspension.steps.ts
+++ b/packages/kernel/src/suspension.steps.ts
@@ -3,8 +3,8 @@
 import { createElapsedReader } from "./clock.js";
 
 interface Scene {
-  steady: number;
-  wall: number;
+  monotonicMs: number;
+  wallMs: number;
   readonly startedAt: number;
   readonly elapsed: () => number;
 }
@@ -17,51 +17,51 @@
   return scene;
 }
 
-/** Clocks are read each time that something has happened, as a box reads them some times a second. */
-function pass(world: object, steadyMs: number, wallMs: number): void {
+/** Advances the clocks and reads them, because suspensions are detected between two reads. */
+function advance(world: object, monotonicMs: number, wallMs: number): void {
   const scene = sceneOf(world);
-  scene.steady += steadyMs;
-  scene.wall += wallMs;
+  scene.monotonicMs += monotonicMs;
+  scene.wallMs += wallMs;
   scene.elapsed();
 }
 
-Given("a steady clock and a wall clock that agree", function (this: object) {
-  const steady = () => sceneOf(this).steady;
-  const wall = () => Math.round(sceneOf(this).wall);
+Given("a monotonic clock and a wall clock that are in sync", function (this: object) {
+  const readMonotonic = () => sceneOf(this).monotonicMs;
+  const readWall = () => Math.round(sceneOf(this).wallMs);
   const scene: Scene = {
-    steady: 100,
-    wall: 1_700_000_000_000,
+    monotonicMs: 100,
+    wallMs: 1_700_000_000_000,
     startedAt: 100,
     elapsed: () => elapsed(),
   };
   scenes.set(this, scene);
-  const elapsed = createElapsedReader(steady, wall);
+  const elapsed = createElapsedReader(readMonotonic, readWall);
 });
 
-When("{int} ms go by on both", function (this: object, ms: number) {
-  pass(this, ms, ms);
+When("both clocks advance by {int} ms", function (this: object, ms: number) {
+  advance(this, ms, ms);
 });
 
 When("the machine is suspended for {int} ms", function (this: object, ms: number) {
-  pass(this, 0, ms);
+  advance(this, 0, ms);
 });
 
 When("the wall clock is set back by {int} ms", function (this: object, ms: number) {
-  pass(this, 0, -ms);
+  advance(this, 0, -ms);
 });
 
 When(
   "the wall clock gains {int} ms each {int} ms, {int} times",
-  function (this: object, gain: number, each: number, times: number) {
-    for (let time = 0; time < times; time++) pass(this, each, each + gain);
+  function (this: object, gainMs: number, intervalMs: number, count: number) {
+    for (let index = 0; index < count; index++) advance(this, intervalMs, intervalMs + gainMs);
   },
 );
 
 Then(
-  "{int} ms have gone by, and {int} ms where suspensions count",
-  function (this: object, steadyMs: number, elapsedMs: number) {
-    const { steady, startedAt, elapsed } = sceneOf(this);
-    assert.equal(steady - startedAt, steadyMs);
-    assert.equal(elapsed() - startedAt, elapsedMs);
+  "the monotonic time is {int} ms and the elapsed time is {int} ms",
+  function (this: object, expectedMonotonicMs: number, expectedElapsedMs: number) {
+    const { monotonicMs, startedAt, elapsed } = sceneOf(this);
+    assert.equal(monotonicMs - startedAt, expectedMonotonicMs);
+    assert.equal(elapsed() - startedAt, expectedElapsedMs);
   },
 );
--- a/packages/kernel/src/virtual-clock.ts
+++ b/packages/kernel/src/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** A clock that moves only when it is told to, for tests and measurements. */
+/** A clock that advances only on request, for tests and benchmarks. */
 import type { Milliseconds } from "@linkfall/types";
 import type { Clock } from "./clock.js";
 
@@ -9,23 +9,23 @@
   cancelled: boolean;
 }
 
-/** Time at which virtual wall-clock time starts. */
+/** Initial wall-clock time, in Unix milliseconds. */
 const wallClockStartMs = Date.UTC(2026, 0, 1);
 
-/** A clock under the control of its owner. */
+/** A clock that is advanced explicitly. */
 export interface VirtualClock extends Clock {
-  /** Runs all timers that are due up to `time`, letting promises settle between them. */
+  /** Advances the clock to `time` and runs all timers that are due, settling promises after each. */
   runUntil(time: Milliseconds): Promise<void>;
-  /** Lets the machine sleep: the steady clock and its timers stand still meanwhile. */
-  suspend(time: Milliseconds): void;
+  /** Simulates a suspension: only `elapsed` and the wall clock advance, by `durationMs`. */
+  suspend(durationMs: Milliseconds): void;
 }
 
-/** Lets every promise that can settle now do so. */
+/** Waits until all promises that can settle have settled. */
 function settlePromises(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** A binary heap ordered by due time, then by order of creation. */
+/** Creates a binary min-heap of timers, ordered by due time, then by creation. */
 function timerHeap() {
   const heap: PendingTimer[] = [];
   const before = (a: PendingTimer, b: PendingTimer) =>
@@ -66,7 +66,7 @@
   };
 }
 
-/** Creates a virtual clock that reads 0. */
+/** Creates a virtual clock that starts at 0. */
 export function createVirtualClock(): VirtualClock {
   const timers = timerHeap();
   let now = 0;
@@ -75,7 +75,7 @@
   return {
     now: () => now,
     elapsed: () => now + suspendedMs,
-    suspend: (time) => void (suspendedMs += time),
+    suspend: (durationMs) => void (suspendedMs += durationMs),
     wallTime: () => new Date(wallClockStartMs + now + suspendedMs).toISOString(),
     after(delay, action) {
       const timer = {
