--- a/packages/logger/src/bounded-logger.feature
+++ b/packages/logger/src/bounded-logger.feature
@@ -1,33 +1,33 @@
-Feature: Logs never hold a box up
+Feature: Logging never blocks a box
 
-  Scenario: An output that nobody reads costs lines, not time
-    Given a bounded logger on an output that nobody reads
-    When 20000 requests are logged as ended
-    Then the output holds at most its bound and the rest is counted as left out
+  Scenario: Lines are dropped if the output is not read
+    Given a bounded logger with an output that is not read
+    When 20000 ended requests are logged
+    Then the output buffers no more than its limit and the other lines are counted as dropped
 
-  Scenario: A kind of event beyond its rate is counted, and the next line tells how many were left out
-    Given a bounded logger with 40 lines a second
-    When 100 requests are logged as ended within a second
+  Scenario: Events beyond the rate limit are counted and reported with the next line
+    Given a bounded logger with a limit of 40 lines per second
+    When 100 ended requests are logged within a second
     Then 40 lines are written
-    When a second passes and 1 request is logged as ended
-    Then the last line tells of 60 left out
+    When a second passes and 1 ended request is logged
+    Then the last line reports 60 dropped lines
 
-  Scenario: Warnings have no rate
-    Given a bounded logger with 40 lines a second
+  Scenario: Warnings are not rate limited
+    Given a bounded logger with a limit of 40 lines per second
     When 100 ejections are logged within a second
     Then 100 lines are written
 
-  Scenario: Lines of a short time are written together
-    Given a bounded logger with 40 lines a second
-    When 30 requests are logged as ended within a second
+  Scenario: Lines are written in batches
+    Given a bounded logger with a limit of 40 lines per second
+    When 30 ended requests are logged within a second
     Then the output was written to 0 times
-    When the time to gather lines passes
+    When the maximum flush delay passes
     Then the output was written to 1 time
     And 30 lines are written
 
-  Scenario: A warning does not wait, and takes the lines before it along
-    Given a bounded logger with 40 lines a second
-    When 3 requests are logged as ended
+  Scenario: A warning is written at once, together with the buffered lines
+    Given a bounded logger with a limit of 40 lines per second
+    When 3 ended requests are logged
     And 1 ejections are logged within a second
     Then the output was written to 1 time
     And 4 lines are written
--- a/packages/logger/src/bounded-logger.steps.ts
+++ b/packages/logger/src/bounded-logger.steps.ts
@@ -8,7 +8,7 @@
   readonly clock: VirtualClock;
   readonly logger: BoundedLogger;
   readonly out: Writable;
-  /** Texts as they were written, each of one line or more. */
+  /** Text of each write; one or more lines. */
   readonly writes: string[];
 }
 
@@ -22,7 +22,7 @@
   return scene;
 }
 
-/** All lines that have been written, once those that wait are. */
+/** Flushes the logger and returns all written lines. */
 function flushedLines(world: object): readonly string[] {
   const { logger, writes } = sceneOf(world);
   logger.flush();
@@ -36,7 +36,7 @@
     decodeStrings: false,
     write(text: string, _encoding, done) {
       writes.push(text);
-      // An output that nobody reads never says that it is done.
+      // An output that is not read never completes a write.
       if (outputIsRead) done();
     },
   });
@@ -49,13 +49,16 @@
   scenes.set(world, { clock, logger, out, writes });
 }
 
-Given("a bounded logger on an output that nobody reads", function (this: object) {
+Given("a bounded logger with an output that is not read", function (this: object) {
   createScene(this, 1_000_000, false);
 });
 
-Given("a bounded logger with {int} lines a second", function (this: object, rate: number) {
-  createScene(this, rate, true);
-});
+Given(
+  "a bounded logger with a limit of {int} lines per second",
+  function (this: object, linesPerSecond: number) {
+    createScene(this, linesPerSecond, true);
+  },
+);
 
 function logRequestEnds(world: object, count: number): void {
   for (let index = 0; index < count; index++) {
@@ -64,14 +67,14 @@
 }
 
 When(
-  /^(\d+) requests are logged as ended(?: within a second)?$/,
+  /^(\d+) ended requests are logged(?: within a second)?$/,
   function (this: object, count: string) {
     logRequestEnds(this, Number(count));
   },
 );
 
 When(
-  "a second passes and {int} request is logged as ended",
+  "a second passes and {int} ended request is logged",
   async function (this: object, count: number) {
     await sceneOf(this).clock.runUntil(1_001);
     logRequestEnds(this, count);
@@ -83,11 +86,11 @@
 });
 
 Then(
-  "the output holds at most its bound and the rest is counted as left out",
+  "the output buffers no more than its limit and the other lines are counted as dropped",
   function (this: object) {
     const { out, logger } = sceneOf(this);
-    const longestLine = 1_000;
-    assert.ok(out.writableLength <= bufferBytes + longestLine);
+    const maxLineBytes = 1_000;
+    assert.ok(out.writableLength <= bufferBytes + maxLineBytes);
     assert.ok(logger.droppedLines() > 10_000);
   },
 );
@@ -96,7 +99,7 @@
   assert.equal(flushedLines(this).length, count);
 });
 
-When("the time to gather lines passes", async function (this: object) {
+When("the maximum flush delay passes", async function (this: object) {
   await sceneOf(this).clock.runUntil(maxFlushDelayMs + 1);
 });
 
@@ -104,7 +107,7 @@
   assert.equal(sceneOf(this).writes.length, count);
 });
 
-Then("the last line tells of {int} left out", function (this: object, count: number) {
+Then("the last line reports {int} dropped lines", function (this: object, count: number) {
   const last = JSON.parse(flushedLines(this).at(-1) ?? "{}") as { leftOut?: number };
   assert.equal(last.leftOut, count);
 });
--- a/packages/logger/src/bounded-logger.ts
+++ b/packages/logger/src/bounded-logger.ts
@@ -1,6 +1,6 @@
 /**
- * Writes events to a stream without ever waiting for it: each kind has a rate, the buffer a size. Lines of
- * a short time are written together: a small box pays for each write more than for the lines in it.
+ * Writes log events to a stream without blocking: the rate of each kind of event and the buffer size are
+ * limited, and lines are batched to save system calls.
  */
 import { Writable } from "node:stream";
 import type { CancelTimer, Clock } from "@linkfall/kernel";
@@ -11,23 +11,23 @@
 
 export interface LogLimits {
   readonly level: EventLevel;
-  /** Lines a second of one kind of event. */
+  /** Maximum number of lines per second for each kind of event. */
   readonly linesPerSecond: number;
-  /** Bytes that may wait for the stream to take them. */
+  /** Maximum number of bytes buffered in the stream. */
   readonly bufferBytes: number;
-  /** How long a line may wait for others to be written with it; a warning or an error never waits. */
+  /** Maximum delay of a line for batching; warnings and errors are written immediately. */
   readonly maxFlushDelayMs: Milliseconds;
 }
 
-/** A logger with counts of what it left out. */
+/** A logger that counts the lines that it drops. */
 export interface BoundedLogger extends Logger {
-  /** Lines that were left out since the start. */
+  /** Number of lines dropped since the start. */
   droppedLines(): number;
-  /** Writes what waits; to be called before the process ends. */
+  /** Writes buffered lines; must be called before the process exits. */
   flush(): void;
 }
 
-/** Takes lines, and writes those of a short time together. */
+/** Buffers lines and writes them in batches. */
 interface LineBatcher {
   add(line: string): void;
   flush(): void;
@@ -41,10 +41,10 @@
 
 const levelRank: Record<EventLevel, number> = { error: 0, warn: 1, info: 2, debug: 3 };
 const millisecondsPerSecond = 1000;
-/** Lines of this many bytes together are written without waiting for more: one write of a pipe takes them. */
+/** A batch is written once it reaches this size, which fits into a pipe's buffer. */
 const flushThresholdBytes = 16_384;
 
-/** Passes text on only while the stream beneath takes it. */
+/** Creates a stream that drops text while the buffer of `out` is full. */
 function createNonBlockingStream(
   out: Writable,
   bufferBytes: number,
@@ -60,7 +60,7 @@
   });
 }
 
-/** Gathers lines for `write`, which gets them joined. */
+/** Creates a batcher that passes joined lines to `write`. */
 function createLineBatcher(
   clock: Clock,
   maxDelayMs: Milliseconds,
@@ -89,7 +89,7 @@
   };
 }
 
-/** Creates a logger of one box. Errors and warnings have no rate; the size of the buffer holds for all. */
+/** Creates the logger of a box. Errors and warnings are not rate limited, but may be dropped while the buffer is full. */
 export function createBoundedLogger(
   clock: Clock,
   box: string,
@@ -101,14 +101,14 @@
   out.on("error", () => undefined);
   const drop = (text: string) => void (dropped += text.trimEnd().split("\n").length);
   const stream = createNonBlockingStream(out, limits.bufferBytes, drop);
-  // A line is made once, below; winston passes on those that were gathered.
+  // Lines are formatted in `event` below; winston only writes the batches.
   const sink = winston.createLogger({
     format: winston.format.printf(({ message }) => String(message)),
     transports: [new winston.transports.Stream({ stream })],
   });
   const batcher = createLineBatcher(clock, limits.maxFlushDelayMs, (text) => void sink.info(text));
 
-  /** Lines that were left out before this one, or undefined where this one is left out. */
+  /** Returns the number of lines suppressed before this one, or undefined if this one is suppressed too. */
   const admit = (name: EventName): number | undefined => {
     const now = clock.now();
     const window = windows.get(name) ?? { startedAt: now, lines: 0, suppressed: 0 };
--- a/packages/logger/src/events.feature
+++ b/packages/logger/src/events.feature
@@ -1,10 +1,10 @@
-Feature: Log events are numbered and catalogued
+Feature: Log events have stable numbers and are documented
 
-  Scenario: The catalogue in the docs agrees with the code
-    Then docs/EVENTS.md is what the code describes
+  Scenario: The documented event catalogue matches the code
+    Then docs/EVENTS.md matches the generated event catalogue
 
-  Scenario: Every event of the catalogue is logged somewhere
-    Then each event's name stands in the code of another package
+  Scenario: Every event of the catalogue is used
+    Then each event's name occurs in the code of another package
 
-  Scenario: No number stands for two events
-    Then each event has a number of its own
+  Scenario: Event numbers are unique
+    Then each event has a unique number
--- a/packages/logger/src/events.ts
+++ b/packages/logger/src/events.ts
@@ -1,13 +1,13 @@
-/** The catalogue of log events. docs/EVENTS.md is written from it and a test compares the two. */
+/** The catalogue of log events. docs/EVENTS.md is generated from it, and a test checks that it is up to date. */
 
 export type EventLevel = "error" | "warn" | "info" | "debug";
 
-/** One kind of log event. Numbers are never used again for something else. */
+/** One kind of log event. The numbers of removed events are never reused. */
 export interface EventKind {
   readonly number: number;
   readonly level: EventLevel;
   readonly text: string;
-  /** What an operator does about it. */
+  /** Recommended action for operators. */
   readonly advice: string;
 }
 
@@ -15,197 +15,222 @@
   return { number, level, text, advice };
 }
 
-/** 1xxx box, 2xxx log and desired state, 3xxx members, 4xxx leases and orders, 5xxx requests. */
+/** Numbers: 1xxx box, 2xxx log and desired state, 3xxx membership, 4xxx leases and orders, 5xxx requests. */
 export const events = {
-  boxStarted: event(1001, "info", "Box has started; it does not serve yet."),
-  boxReady: event(1002, "info", "Box has folded the desired state and serves."),
+  boxStarted: event(1001, "info", "The box has started; it is not ready yet."),
+  boxReady: event(1002, "info", "The box has loaded the desired state and serves requests."),
   boxDraining: event(
     1003,
     "info",
-    "Planned stop: box has left the answers and lets requests finish.",
+    "The box is shutting down: it is no longer advertised and drains its requests.",
   ),
-  boxStopped: event(1004, "info", "Box has stopped."),
+  boxStopped: event(1004, "info", "The box has stopped."),
   boxIsolated: event(
     1005,
     "warn",
-    "Box has reached neither the log nor a majority that confirms an outage; it refuses requests.",
+    "The box reaches neither the log nor a majority of boxes that confirm an outage; it rejects requests.",
     "Check this box's network.",
   ),
-  boxRejoined: event(1006, "info", "Box is no longer cut off and serves again."),
+  boxRejoined: event(1006, "info", "The box is no longer isolated and serves requests again."),
   invariantBroken: event(
     1007,
     "error",
-    "A broken invariant stops the process.",
-    "Report it with the last log lines; the box may be started again.",
+    "An invariant was violated; the process stops.",
+    "Report a bug with the last log lines; the box may be restarted.",
   ),
   addressUnavailable: event(
     1008,
     "error",
-    "Box may not listen on one of its addresses; it ends with exit code 69.",
-    "Find the process that listens there, or change the address in the settings.",
+    "The box cannot listen on one of its addresses; it exits with code 69.",
+    "Find the process that uses the address, or change the address in the settings.",
+  ),
+  settingsSignalled: event(
+    1009,
+    "info",
+    "The process received a signal to reload the settings file.",
   ),
-  settingsSignalled: event(1009, "info", "The settings file is said to have changed."),
   settingsChanged: event(
     1010,
     "info",
     "The settings file has changed; new seeds are in use.",
-    "Start the box again where `atNextStart` names keys that have to hold.",
+    "To apply the keys listed in `atNextStart`, restart the box.",
   ),
   settingsUnusable: event(
     1011,
     "warn",
-    "The settings file can't be read or has problems; the box goes on with what it has.",
-    "Mend the file; `linkfall check-settings --forwarding FILE` names every problem.",
+    "The settings file cannot be read or is invalid; the box keeps its current settings.",
+    "Fix the file; `linkfall check-settings --forwarding FILE` lists all problems.",
   ),
   loopHeldUp: event(
     1012,
     "info",
-    "The event loop was held up; what came meanwhile is read only now.",
-    "Where a box tells so again and again, give it more of a processor, or fewer callers.",
+    "The event loop was blocked; input that arrived meanwhile is processed late.",
+    "If a box logs this repeatedly, give it more CPU or fewer callers.",
   ),
   logUnreachable: event(
     2001,
     "warn",
-    "The log does not answer.",
+    "The platform's log does not respond.",
     "See operators/when-the-log-is-down.md.",
   ),
-  logReachable: event(2002, "info", "The log answers again."),
+  logReachable: event(2002, "info", "The platform's log responds again."),
   badRecord: event(
     2003,
     "warn",
-    "A record of the log could not be understood and was passed over.",
-    "Find who appended it; desired state is not affected.",
-  ),
-  restoredFromSnapshot: event(2004, "info", "State was restored from a snapshot in the log."),
-  restoredFromPeer: event(2005, "info", "State was taken from a peer."),
-  snapshotWritten: event(2006, "info", "A snapshot was appended."),
-  changeInForce: event(2007, "info", "A change of desired state is in force on this box."),
-  changeRejected: event(2008, "info", "A change of desired state lost against a newer revision."),
-  configurationInForce: event(2009, "info", "A configuration is in force on this box."),
-  memberJoined: event(3001, "info", "A box has been seen for the first time."),
-  memberSuspected: event(3002, "warn", "A box's heartbeat stands still.", "Check that box."),
-  memberGone: event(3003, "info", "A box was forgotten, or replaced by a later start."),
+    "A record of the log could not be parsed and was skipped.",
+    "Find the process that appended it; the desired state is not affected.",
+  ),
+  restoredFromSnapshot: event(2004, "info", "The state was restored from a snapshot in the log."),
+  restoredFromPeer: event(2005, "info", "The state was restored from a peer."),
+  snapshotWritten: event(2006, "info", "A snapshot was appended to the log."),
+  changeInForce: event(2007, "info", "A change of the desired state took effect on this box."),
+  changeRejected: event(
+    2008,
+    "info",
+    "A change of the desired state was rejected because of a newer revision.",
+  ),
+  configurationInForce: event(2009, "info", "A configuration took effect on this box."),
+  memberJoined: event(3001, "info", "A box was discovered."),
+  memberSuspected: event(
+    3002,
+    "warn",
+    "A box's heartbeat has stopped advancing.",
+    "Check that box.",
+  ),
+  memberGone: event(
+    3003,
+    "info",
+    "A box was removed from the membership, or replaced by a later incarnation.",
+  ),
   connectionChanged: event(
     3008,
     "info",
-    "This box takes itself for connected to most others, or for cut off from them.",
-    "While it lasts on a box: check its network; limits of accounts hold by parts there.",
-  ),
-  leaseTaken: event(4001, "info", "This box holds the lease of a pool."),
-  leaseLost: event(4002, "warn", "This box no longer holds the lease of a pool."),
-  leaseReleased: event(4003, "info", "This box gave up the lease of a pool."),
-  fenceStands: event(4004, "info", "The fence stands on every fenced engine of the pool."),
-  fenceRefused: event(4005, "warn", "An engine refused an order of a lapsed epoch."),
+    "This box regained or lost contact with the majority of boxes.",
+    "While a box is cut off, check its network; it enforces only its part of each account's limit.",
+  ),
+  leaseTaken: event(4001, "info", "This box acquired the lease of a pool."),
+  leaseLost: event(4002, "warn", "This box lost the lease of a pool."),
+  leaseReleased: event(4003, "info", "This box released the lease of a pool."),
+  fenceStands: event(
+    4004,
+    "info",
+    "All fenced engines of the pool have accepted the epoch of the lease.",
+  ),
+  fenceRefused: event(4005, "warn", "An engine rejected an order with an outdated epoch."),
   orderSent: event(4006, "info", "An order was sent to an engine."),
-  orderSettled: event(4007, "debug", "An order is settled."),
+  orderSettled: event(4007, "debug", "An order was settled."),
   orderRefused: event(
     4008,
     "warn",
-    "An engine refused an order.",
-    "Look at the reason; desired memory sizes may be wrong.",
+    "An engine rejected an order.",
+    "Check the reason; the declared memory sizes may be wrong.",
   ),
   unplaceable: event(
     4009,
     "warn",
-    "Not every declared model fits into the pool.",
+    "Not all declared models fit into the pool.",
     "Add accelerators or remove models.",
   ),
-  targetLeaving: event(4010, "info", "A target is leaving; it receives no new work."),
+  targetLeaving: event(4010, "info", "A target is leaving; it receives no new requests."),
   engineRestarted: event(4011, "warn", "An engine has restarted with empty memory."),
-  targetSeen: event(4012, "info", "A target has been listed for the first time."),
-  targetMissing: event(4013, "info", "A target's entry has gone from the list."),
-  targetGone: event(4014, "info", "A target is taken for gone."),
-  orderAnswered: event(4015, "info", "An engine answered an order, or did not answer in time."),
-  moveBegun: event(4016, "info", "An engine is to swap models."),
-  moveEnded: event(4017, "info", "A swap of models has ended."),
+  targetSeen: event(4012, "info", "A target was listed for the first time."),
+  targetMissing: event(4013, "info", "A target is missing from the list."),
+  targetGone: event(4014, "info", "A target is considered gone."),
+  orderAnswered: event(4015, "info", "An engine replied to an order, or the order timed out."),
+  moveBegun: event(4016, "info", "A swap of models on an engine has started."),
+  moveEnded: event(4017, "info", "A swap of models on an engine has ended."),
   targetStartedAgain: event(
     4018,
     "warn",
-    "A target has started again under its id; nothing that was known of its earlier life counts.",
+    "A target restarted with the same id; the state of its previous incarnation was discarded.",
   ),
   badTargetEntry: event(
     4019,
     "warn",
-    "An entry of the list of targets can't be used; the target is left alone until its entry is good.",
-    "Find who writes it.",
+    "An entry of the list of targets is invalid; the target is not used until its entry is valid.",
+    "Find the process that writes the entry.",
   ),
-  targetEjected: event(5001, "warn", "A target that fails is left out for a while."),
-  requestRefused: event(5002, "debug", "A request was refused."),
-  requestHeld: event(5005, "info", "A request waits for weights."),
+  targetEjected: event(5001, "warn", "A failing target was ejected temporarily."),
+  requestRefused: event(5002, "debug", "A request was rejected."),
+  requestHeld: event(5005, "info", "A request is waiting for model weights."),
   targetChosen: event(5006, "info", "A target was chosen for a request."),
-  sendEnded: event(5007, "info", "A send of a request to a target has ended."),
-  requestEnded: event(5008, "info", "A request has its final answer."),
+  sendEnded: event(5007, "info", "An attempt to send a request to a target has ended."),
+  requestEnded: event(5008, "info", "A request has ended."),
   quotaAlone: event(
     5009,
     "warn",
-    "No box that hands out the account's limit answers; this box lets through a small part of it.",
+    "No box that allocates the account's limit responds; this box admits a small part of the limit.",
     "Check the network between boxes; see operators/accounts.md.",
   ),
   quotaShort: event(
     5016,
     "info",
-    "What this box has handed out, in about a second, of an account's limit that runs short.",
+    "The units of a nearly exhausted account limit that this box has allocated, about once a second.",
   ),
   requestRejected: event(
     5010,
     "info",
-    "A request was rejected before it was forwarded: for its terms, its route, its key or its account's limit.",
+    "A request was rejected before it was forwarded because of its headers, route, API key or account limit.",
   ),
   connectionsWaited: event(
     5011,
     "warn",
-    "Connections of callers waited in the listen queue: the box took one a turn, and its turns were long.",
-    "Look at linkfall_accept_turn_ms and at what the box does beside its callers.",
+    "Callers' connections waited in the listen queue: the box accepts one per event loop iteration, and the iterations were long.",
+    "Check linkfall_accept_turn_ms and the other load of the box.",
+  ),
+  callerLeft: event(
+    5012,
+    "info",
+    "A caller disconnected before it had received the complete response.",
   ),
-  callerLeft: event(5012, "info", "A caller left while its request was being sent or answered."),
   sendLost: event(
     5013,
     "info",
-    "The answer of a target was lost; whether the target still takes connections tells a lost connection from a target that ended.",
+    "The response of a target was lost; if the target still accepts connections, only the connection failed.",
   ),
   requestHeldBack: event(
     5014,
     "warn",
-    "A request is held back at all boxes: target after target ended while it ran there.",
-    "Look at what it does to the engine; release it by its fingerprint once that is mended (operators/held-requests.md).",
+    "A request is held back on all boxes: several targets crashed while they ran it.",
+    "Find out why it crashes the engine; release it by its fingerprint once that is fixed (operators/held-requests.md).",
   ),
-  requestReleased: event(5015, "info", "A request that was held back may run again."),
+  requestReleased: event(5015, "info", "A request that was held back was released."),
   heldNotKept: event(
     5017,
     "warn",
-    "That a request is held back, or released, could not be kept for boxes that start anew; the boxes that run know it.",
-    "Look at the store or the log; it is tried again as long as the box runs, a record of the log for a minute.",
+    "The holding back or release of a request could not be stored; running boxes apply it, but restarted boxes do not load it.",
+    "Check the store or the log; the write is retried as long as the box runs (for a minute if it goes to the log).",
   ),
   heldUnread: event(
     5018,
     "warn",
-    "What is held back could not be read at the start; it is tried again, and other boxes tell of it.",
+    "The list of held-back requests could not be read at startup; the read is retried, and other boxes send their entries.",
   ),
   targetLimited: event(
     5019,
     "warn",
-    "A target has named the requests a second that it takes from all boxes together.",
-    "Look at the target; see operators/limited-targets.md.",
+    "A target advertised a limit on requests per second from all boxes together.",
+    "Check the target; see operators/limited-targets.md.",
   ),
-  targetLimitEnded: event(5020, "info", "A target takes any number of requests again."),
+  targetLimitEnded: event(5020, "info", "A target no longer limits its requests."),
   targetLimitUnreadable: event(
     5021,
     "warn",
-    "A target names a limit that can't be read; what was known before still holds.",
-    "Look at the target's software.",
+    "A target advertised a limit that cannot be parsed; the previous limit stays in effect.",
+    "Check the target's software.",
   ),
   outcomeUnknown: event(
     5004,
     "warn",
-    "The outcome of a not repeatable request is unknown.",
-    "The caller was told so; look at the target's own records.",
+    "The outcome of a non-repeatable request is unknown.",
+    "The caller has received this outcome; check the target's own records.",
   ),
 } as const satisfies Record<string, EventKind>;
 
 /** Name of an event in the catalogue. */
 export type EventName = keyof typeof events;
 
-/** The catalogue as the Markdown page docs/EVENTS.md. */
+/** Formats the catalogue as the Markdown page docs/EVENTS.md. */
 export function describeEvents(): string {
   const lines = [
     "# Log events",
--- a/packages/logger/src/logger.ts
+++ b/packages/logger/src/logger.ts
@@ -1,19 +1,18 @@
-/** Writes numbered events. */
 import { serviceName } from "@linkfall/kernel";
 import winston from "winston";
 import { type EventLevel, type EventName, events } from "./events.js";
 
-/** Facts that go with an event; never a token, a prompt or an answer. */
+/** Fields of an event. They must not contain tokens, prompts or responses. */
 export type EventDetail = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Takes numbered events. */
+/** Logs events of the catalogue. */
 export interface Logger {
   event(name: EventName, detail?: EventDetail): void;
 }
 
 export const loggerName = serviceName<Logger>("logger");
 
-/** A logger that writes JSON lines to standard error. */
+/** Creates a logger that writes JSON lines to standard error. */
 export function createLogger(box: string, level: EventLevel): Logger {
   const sink = winston.createLogger({
     level,
@@ -30,7 +29,7 @@
   };
 }
 
-/** A logger that hands events to a function, for tests. */
+/** Creates a logger that passes events to `record`, for tests. */
 export function recordingLogger(record: (name: EventName, detail: EventDetail) => void): Logger {
   return { event: (name, detail = {}) => record(name, detail) };
 }
