--- a/packages/metrics/src/index.ts
+++ b/packages/metrics/src/index.ts
@@ -1,15 +1,15 @@
-/** Counters, gauges and histograms, shown in the usual text exposition format. */
+/** Counters, gauges and histograms, exported in the Prometheus text exposition format. */
 import { serviceName } from "@linkfall/kernel";
 import type { Histogram } from "hdr-histogram-js";
-// Not through the package's index, which makes number formatters for log files as it is loaded.
+// The package's index is not imported because it creates number formatters when it is loaded.
 import { constructorFromBucketSize } from "hdr-histogram-js/dist/JsHistogramFactory.js";
 
 /** Label values of one series, such as `{outcome: "answered"}`. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** Quantiles that are shown of each histogram. */
+/** Quantiles that are exported for each histogram. */
 const exposedQuantiles = [0.5, 0.95, 0.99];
-/** Histograms hold whole numbers up to this (an hour in milliseconds) with two digits. */
+/** Largest value of a histogram: an hour in milliseconds. */
 const maxTrackableValue = 3_600_000;
 
 interface Family {
@@ -18,17 +18,17 @@
   lines(): readonly string[];
 }
 
-/** Holds the metrics of one process. */
+/** The metrics of one process. */
 export interface Metrics {
-  /** Adds to a counter. */
+  /** Adds `by` to a counter. */
   count(name: string, help: string, labels?: Labels, by?: number): void;
-  /** Registers a gauge that is read when metrics are shown. */
+  /** Registers a gauge that is read on each export. */
   gauge(name: string, help: string, read: () => number): void;
-  /** Records a value in a histogram; whole numbers of the unit that the name ends with. */
+  /** Records a value in a histogram, rounded to an integer, in the unit given by the suffix of the name. */
   observe(name: string, help: string, value: number): void;
-  /** Current value of a counter, for tests and status pages. */
+  /** Returns the current value of a counter, for tests and status pages. */
   counterValue(name: string, labels?: Labels): number;
-  /** All metrics as text. */
+  /** Formats all metrics as text. */
   expose(): string;
 }
 
@@ -48,7 +48,7 @@
   return [...quantiles, `${name}_sum ${sum || 0}`, `${name}_count ${histogram.totalCount}`];
 }
 
-/** Counters of 32 bits: no process lives long enough to fill one. */
+/** 32-bit counters are large enough for the lifetime of a process. */
 const Histogram32 = constructorFromBucketSize(32);
 const minTrackableValue = 1;
 const significantDigits = 2;
@@ -59,7 +59,7 @@
   return histogram;
 }
 
-/** Creates an empty set of metrics. */
+/** Creates an empty metrics registry. */
 export function createMetrics(): Metrics {
   const families = new Map<string, Family>();
   const counters = new Map<string, Map<string, number>>();
