--- a/packages/config/src/describe-settings.ts
+++ b/packages/config/src/describe-settings.ts
@@ -1,4 +1,4 @@
-/** The reference of all settings, written from the schemas so that it cannot fall behind. */
+/** Generates the settings reference from the schemas. */
 import { z } from "zod";
 import { type SettingDefinition, settingSections } from "./keys.js";
 
@@ -29,7 +29,7 @@
   return `| ${name} | ${setting.unit} | ${defaultText} | ${formatBounds(constraints)} | ${setting.description} |`;
 }
 
-/** All settings as Markdown tables, a section each. */
+/** Formats all settings as Markdown, with one table per section. */
 export function describeSettings(): string {
   const lines = ["# Settings", "", "Written by `linkfall check-settings --describe`.", ""];
   for (const [section, keys] of Object.entries(settingSections)) {
--- a/packages/config/src/keys.ts
+++ b/packages/config/src/keys.ts
@@ -1,7 +1,7 @@
-/** Every key of the settings file: section, unit, default, bounds and meaning. */
+/** All keys of the settings file by section, with unit, default, bounds and description. */
 import { z } from "zod";
 
-/** One key. Its schema carries the default and the bounds. */
+/** Definition of one key. The schema includes the default and the bounds. */
 export interface SettingDefinition<T extends z.ZodType = z.ZodType> {
   readonly schema: T;
   readonly unit: string;
@@ -24,7 +24,7 @@
   .string()
   .regex(
     /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/,
-    "an IP number and a port: 10.0.0.1:7070",
+    "an IP address and a port: 10.0.0.1:7070",
   );
 const url = z.url();
 const name = z
@@ -46,203 +46,211 @@
   box: {
     name: key(name, "name", "Name of this box, unique in the deployment."),
     domain: key(name, "name", "Failure domain of this box."),
-    caller_address: key(address, "ip:port", "Where callers connect."),
+    caller_address: key(address, "ip:port", "Listen address for callers."),
     operator_address: key(
       address,
       "ip:port",
-      "Where the operators' tool connects; also health and metrics.",
+      "Listen address for the operators' tool, health checks and metrics.",
     ),
-    peer_address: key(address, "ip:port", "Where other boxes connect."),
+    peer_address: key(address, "ip:port", "Listen address for other boxes."),
   },
   platform: {
-    log_url: key(url, "URL", "The platform's log service."),
-    list_url: key(url, "URL", "The platform's list of boxes."),
+    log_url: key(url, "URL", "URL of the platform's log."),
+    list_url: key(url, "URL", "URL of the platform's list of boxes."),
     log_timeout_ms: key(
       integerBetween(50, 60_000, 2_000),
       "ms",
-      "Longest wait for one answer of the log.",
+      "Timeout of a request to the log.",
+    ),
+    log_poll_ms: key(integerBetween(20, 60_000, 250), "ms", "Interval between reads of the log."),
+    list_poll_ms: key(
+      integerBetween(50, 60_000, 1_000),
+      "ms",
+      "Interval between reads of the list.",
     ),
-    log_poll_ms: key(integerBetween(20, 60_000, 250), "ms", "Time between reads of the log."),
-    list_poll_ms: key(integerBetween(50, 60_000, 1_000), "ms", "Time between reads of the list."),
     snapshot_every_records: key(
       integerBetween(10, 1_000_000, 2_000),
       "records",
-      "A snapshot is appended once this many records have come since the last.",
+      "Number of records after which a new snapshot is appended.",
     ),
     snapshot_every_ms: key(
       integerBetween(100, 86_400_000, 600_000),
       "ms",
-      "A snapshot is appended at least this often; keep it well under the log's retention.",
+      "Maximum time between snapshots; must be well below the log's retention.",
     ),
     snapshot_part_bytes: key(
       integerBetween(256, 1_000_000, 32_768),
       "bytes",
-      "Largest part of a snapshot in one record.",
+      "Maximum size of a part of a snapshot; each part is one record.",
     ),
     append_rate: key(
       integerBetween(1, 1_000, 10),
       "appends/s",
-      "This box's own limit on appends, so that all boxes together stay under the log's.",
+      "Limit on appends of this box; the limits of all boxes together must stay below the log's limit.",
     ),
   },
   operators: {
-    tokens: key(list, "list", "Who may write: `name:sha256-of-token`, separated by commas."),
+    tokens: key(
+      list,
+      "list",
+      "Operators who may write, as a comma-separated list of `name:sha256-of-token`.",
+    ),
   },
   membership: {
-    heartbeat_ms: key(integerBetween(20, 60_000, 500), "ms", "Time between rounds of heartbeats."),
-    fanout: key(integerBetween(1, 64, 3), "boxes", "Peers that one round goes to."),
+    heartbeat_ms: key(integerBetween(20, 60_000, 500), "ms", "Interval between heartbeat rounds."),
+    fanout: key(
+      integerBetween(1, 64, 3),
+      "boxes",
+      "Number of peers that receive a heartbeat in each round.",
+    ),
     suspect_ms: key(
       integerBetween(100, 600_000, 2_500),
       "ms",
-      "A box whose heartbeat stands still this long is left out of answers.",
+      "Time after which a box whose heartbeat does not advance is no longer listed to callers.",
     ),
     forget_ms: key(
       integerBetween(1_000, 3_600_000, 30_000),
       "ms",
-      "A box silent this long is forgotten.",
+      "Time after which a silent box is removed from the membership.",
     ),
     entries_per_message: key(
       integerBetween(4, 1_000, 32),
       "entries",
-      "Most members passed on in one heartbeat.",
+      "Maximum number of members in one heartbeat.",
     ),
     usage_ms: key(
       integerBetween(100, 60_000, 2_000),
       "ms",
-      "Time between reports of demand and of accounts' rates to the boxes that add them up.",
+      "Interval between reports of demand and account rates to the boxes that aggregate them.",
     ),
     stale_serving_ms: key(
       integerBetween(1_000, 7_200_000, 60_000),
       "ms",
-      "How long a box cut off from the log, while other boxes may still reach it, goes on serving.",
+      "How long a box keeps serving while it cannot reach the log but other boxes may.",
     ),
   },
   lease: {
-    lease_ms: key(integerBetween(500, 600_000, 10_000), "ms", "Length of a lease on a pool."),
-    renew_ms: key(integerBetween(100, 300_000, 3_000), "ms", "Time between renewals."),
+    lease_ms: key(integerBetween(500, 600_000, 10_000), "ms", "Duration of a lease on a pool."),
+    renew_ms: key(integerBetween(100, 300_000, 3_000), "ms", "Interval between lease renewals."),
     margin_ms: key(
       integerBetween(50, 60_000, 1_500),
       "ms",
-      "Wait beyond the lease before a rival claims it.",
+      "Time that other boxes wait after a lease has expired before they claim it.",
     ),
     boxes_per_pool: key(
       integerBetween(1, 64, 8),
       "boxes",
-      "Boxes that serve one pool, chosen by rendezvous hashing.",
+      "Number of boxes that serve a pool, selected by rendezvous hashing.",
     ),
   },
   callers: {
     entries_lifetime_ms: key(
       integerBetween(100, 600_000, 10_000),
       "ms",
-      "How long callers may keep an answer of /v1/entries.",
+      "How long callers may cache a response of /v1/entries.",
     ),
     ticket_lifetime_ms: key(
       integerBetween(1_000, 3_600_000, 30_000),
       "ms",
-      "How long new requests may be sent under a ticket.",
+      "How long a ticket may be used for new requests.",
     ),
     once_retention_ms: key(
       integerBetween(1_000, 3_600_000, 300_000),
       "ms",
-      "How long after its ticket's end a not repeatable request is remembered.",
+      "How long a non-repeatable request is remembered after its ticket has expired.",
     ),
     once_entries: key(
       integerBetween(1, 10_000_000, 20_000),
       "requests",
-      "Most not repeatable requests remembered; beyond it new ones are refused.",
+      "Maximum number of non-repeatable requests remembered; when it is reached, new ones are rejected.",
     ),
     once_answer_bytes: key(
       integerBetween(0, 1_000_000_000, 4_000_000),
       "bytes",
-      "Memory for answers kept for repeats.",
+      "Memory for responses that are stored to be returned for repeated requests.",
     ),
     max_body_bytes: key(
       integerBetween(1_024, 100_000_000, 1_000_000),
       "bytes",
-      "Largest body of a request.",
+      "Maximum size of a request body.",
     ),
     max_header_bytes: key(
       integerBetween(1_024, 65_536, 8_192),
       "bytes",
-      "Largest head of a request.",
+      "Maximum size of a request head.",
     ),
     body_timeout_ms: key(
       integerBetween(100, 600_000, 10_000),
       "ms",
-      "Longest time for a request to arrive whole.",
+      "Timeout for receiving a complete request.",
     ),
     default_deadline_ms: key(
       integerBetween(100, 3_600_000, 30_000),
       "ms",
-      "Deadline of a request that names none.",
+      "Deadline of a request that does not specify one.",
     ),
     max_deadline_ms: key(
       integerBetween(100, 7_200_000, 600_000),
       "ms",
-      "Longest deadline that a request may name.",
+      "Maximum deadline that a request may specify.",
     ),
     max_in_flight: key(
       integerBetween(1, 100_000, 512),
       "requests",
-      "Requests in flight in this box; beyond it new ones are refused.",
+      "Maximum number of requests in flight in this box; when it is reached, new ones are rejected.",
     ),
   },
   targets: {
     report_poll_ms: key(
       integerBetween(20, 60_000, 500),
       "ms",
-      "Time between reads of a target's report.",
+      "Interval between reads of a target's report.",
     ),
     report_readers: key(
       integerBetween(0, 64, 0),
       "boxes",
-      "Boxes of a pool that read one engine's report and pass it on; 0: every box reads every engine (docs/design/reports.md).",
+      "Number of boxes of a pool that read an engine's report and pass it on; 0: each box reads all engines (docs/design/reports.md).",
     ),
     report_stale_ms: key(
       integerBetween(100, 600_000, 2_500),
       "ms",
-      "A report that was asked for longer ago is no ground to send work on: the target may be leaving.",
+      "Maximum age of a report; a target with an older report receives no new requests.",
     ),
     call_timeout_ms: key(
       integerBetween(50, 60_000, 2_000),
       "ms",
-      "Longest wait for a report or for the answer to an order.",
+      "Timeout for reading a report and for the reply to an order.",
     ),
     order_repeat_ms: key(
       integerBetween(50, 60_000, 1_500),
       "ms",
-      "An order without an effect is sent again after this time.",
+      "Time after which an order without a visible effect is sent again.",
     ),
     silent_lost_ms: key(
       integerBetween(500, 600_000, 8_000),
       "ms",
-      "Replicas on a target silent this long no longer count; they are loaded elsewhere.",
-    ),
-    load_timeout_ms: key(
-      integerBetween(1_000, 3_600_000, 60_000),
-      "ms",
-      "Longest time that a load may take.",
+      "Time after which the replicas on a silent target are considered lost and are loaded elsewhere.",
     ),
+    load_timeout_ms: key(integerBetween(1_000, 3_600_000, 60_000), "ms", "Timeout of a load."),
     stall_ms: key(
       integerBetween(100, 600_000, 10_000),
       "ms",
-      "A stream silent this long is taken for lost.",
+      "Time after which a stream without data is considered lost.",
     ),
     eject_ms: key(
       integerBetween(100, 600_000, 5_000),
       "ms",
-      "How long a target that fails is left out.",
+      "How long a failing target is ejected.",
     ),
     eject_share: key(
       numberBetween(0, 1, 0.34),
       "share",
-      "Most targets of one choice that may be left out for failing.",
+      "Maximum share of the candidate targets of a request that may be ejected.",
     ),
     retry_share: key(
       numberBetween(0, 1, 0.1),
       "share",
-      "Retries allowed for each request of an account, beyond a burst of 10.",
+      "Retry budget of an account: retries per request, beyond a burst of 10.",
     ),
   },
   routing: {
@@ -251,54 +259,54 @@
         .enum(["random", "round_robin", "least_load", "two_choices", "affinity"])
         .default("affinity"),
       "name",
-      "How a replica is chosen; docs/design/routing.md weighs them.",
+      "Policy for selecting a replica; docs/design/routing.md compares them.",
     ),
     affinity_slack: key(
       numberBetween(0, 10, 0.25),
       "requests/place",
-      "A prefix stays with its replica while that has at most so many more requests for each place than the least busy one.",
+      "Requests per slot by which the replica that has a prompt prefix cached may exceed the least loaded replica before requests go elsewhere.",
     ),
     prefix_bytes: key(
       integerBetween(16, 100_000, 512),
       "bytes",
-      "Leading bytes of a prompt that decide which requests land together.",
+      "Number of leading bytes of a prompt that are used for prefix affinity.",
     ),
   },
   placement: {
     plan_ms: key(
       integerBetween(50, 600_000, 1_000),
       "ms",
-      "Time between plans of a pool's holder.",
+      "Interval between planning rounds of a pool's lease holder.",
     ),
     cooldown_ms: key(
       integerBetween(0, 3_600_000, 5_000),
       "ms",
-      "Wait after spare replicas of a model were added, before more are.",
+      "Minimum time between additions of spare replicas of a model.",
     ),
     moves_per_minute: key(
       integerBetween(1, 10_000, 20),
       "moves/min",
-      "Most moves of spare replicas a minute in one pool.",
+      "Maximum number of moves of spare replicas per minute in a pool.",
     ),
   },
   tls: {
     cert_file: key(
       file,
       "file",
-      "Certificate of this box, PEM. Without it callers and peers speak plain TCP.",
+      "Certificate of this box, PEM. Without it, connections of callers and peers are not encrypted.",
     ),
     key_file: key(file, "file", "Private key of the certificate, PEM."),
     ca_file: key(
       file,
       "file",
-      "Authority that other boxes' certificates are checked against, PEM.",
+      "CA certificate for verifying the certificates of other boxes, PEM.",
     ),
   },
   log: {
     level: key(
       z.enum(["error", "warn", "info", "debug"]).default("info"),
       "level",
-      "Least severe log events that are written.",
+      "Minimum level of log events that are written.",
     ),
   },
 } as const;
--- a/packages/config/src/read-settings.ts
+++ b/packages/config/src/read-settings.ts
@@ -1,4 +1,4 @@
-/** From the text of an INI file to checked settings. */
+/** Parses and validates the text of an INI file. */
 import type { FieldProblem, InvalidInput } from "@linkfall/errors";
 import { parse } from "ini";
 import { type Either, Left, Right } from "purify-ts";
@@ -13,7 +13,7 @@
   return { field: path.join("."), reason: issue.message };
 }
 
-/** Rules that span several keys. */
+/** Checks constraints that involve several keys. */
 function findCrossKeyProblems(settings: Settings): readonly FieldProblem[] {
   const problems: FieldProblem[] = [];
   if (settings.lease.renew_ms * 2 > settings.lease.lease_ms) {
@@ -28,7 +28,7 @@
   return problems;
 }
 
-/** Reads the text of a settings file. All problems are named at once. */
+/** Parses the text of a settings file. On failure all problems are returned. */
 export function readSettings(text: string): Either<InvalidInput, Settings> {
   const checked = settingsSchema.safeParse({ ...parse(text) });
   if (!checked.success) {
--- a/packages/config/src/settings-schema.ts
+++ b/packages/config/src/settings-schema.ts
@@ -1,4 +1,4 @@
-/** The schema of a whole settings file, made from its keys. */
+/** The schema of a settings file, derived from the key definitions. */
 import { serviceName } from "@linkfall/kernel";
 import { z } from "zod";
 import { type SettingDefinition, settingSections } from "./keys.js";
@@ -14,7 +14,7 @@
   return z.strictObject(shape);
 }
 
-/** Checks a whole file; sections with defaults only may be left out, unknown keys are refused. */
+/** Validates a settings file. Sections in which all keys have defaults are optional; unknown keys are rejected. */
 export const settingsSchema = z.strictObject({
   box: sectionSchema(settingSections.box),
   platform: sectionSchema(settingSections.platform),
@@ -29,7 +29,7 @@
   log: sectionSchema(settingSections.log).prefault({}),
 });
 
-/** The checked settings of one box. */
+/** Validated settings of a box. */
 export type Settings = z.infer<typeof settingsSchema>;
 
 export const settingsName = serviceName<Settings>("settings");
--- a/packages/config/src/settings.feature
+++ b/packages/config/src/settings.feature
@@ -1,16 +1,16 @@
-Feature: Settings are checked before a box starts
+Feature: Settings are validated before a box starts
 
-  Scenario: A file with the needed keys gets the defaults
-    When settings are read that name only what is required
-    Then they are valid and the length of a lease is 10000 ms
+  Scenario: Defaults are applied to a file with only the required keys
+    When settings with only the required keys are read
+    Then they are valid and the lease duration is 10000 ms
 
-  Scenario: All that is wrong is named at once
-    When settings are read with an unknown key, a port without an IP number and a lease that is too short
-    Then the problems name "box.caller_address", "lease.lease_ms" and "lease.colour"
+  Scenario: All invalid keys are reported
+    When settings with an unknown key, an address without an IP and a lease duration below the minimum are read
+    Then the reported problems are "box.caller_address", "lease.lease_ms" and "lease.colour"
 
-  Scenario: Rules over several keys are checked
-    When settings are read whose renewals are further apart than half a lease
-    Then the problems name "lease.renew_ms"
+  Scenario: Constraints between keys are checked
+    When settings with a renewal interval of more than half the lease duration are read
+    Then the only reported problem is "lease.renew_ms"
 
-  Scenario: The reference page agrees with the code
-    Then docs/SETTINGS.md is what the code describes
+  Scenario: The reference page matches the code
+    Then docs/SETTINGS.md matches the generated settings reference
--- a/packages/config/src/settings.steps.ts
+++ b/packages/config/src/settings.steps.ts
@@ -23,19 +23,16 @@
 const readResult = (world: object) =>
   scenarioState(world).get<Either<InvalidInput, Settings>>("read");
 
-When("settings are read that name only what is required", function (this: object) {
+When("settings with only the required keys are read", function (this: object) {
   scenarioState(this).set("read", readSettings(requiredSettings));
 });
 
-Then(
-  "they are valid and the length of a lease is {int} ms",
-  function (this: object, length: number) {
-    assert.equal(readResult(this).unsafeCoerce().lease.lease_ms, length);
-  },
-);
+Then("they are valid and the lease duration is {int} ms", function (this: object, leaseMs: number) {
+  assert.equal(readResult(this).unsafeCoerce().lease.lease_ms, leaseMs);
+});
 
 When(
-  "settings are read with an unknown key, a port without an IP number and a lease that is too short",
+  "settings with an unknown key, an address without an IP and a lease duration below the minimum are read",
   function (this: object) {
     const text = `${requiredSettings.replace("127.0.0.1:1\n", "localhost:1\n")}[lease]\nlease_ms = 1\ncolour = red\n`;
     scenarioState(this).set("read", readSettings(text));
@@ -43,7 +40,7 @@
 );
 
 When(
-  "settings are read whose renewals are further apart than half a lease",
+  "settings with a renewal interval of more than half the lease duration are read",
   function (this: object) {
     scenarioState(this).set(
       "read",
@@ -58,21 +55,21 @@
 };
 
 Then(
-  "the problems name {string}, {string} and {string}",
+  "the reported problems are {string}, {string} and {string}",
   function (this: object, one: string, two: string, three: string) {
     assert.deepEqual(problemFields(this), [one, three, two].sort());
   },
 );
 
-Then("the problems name {string}", function (this: object, field: string) {
+Then("the only reported problem is {string}", function (this: object, field: string) {
   assert.deepEqual(problemFields(this), [field]);
 });
 
-/** Words only: Prettier lays the tables of the page out anew. */
+/** Splits a page into words, since Prettier reformats the tables of the committed page. */
 function words(text: string): readonly string[] {
   return text.split(/[\s|\\-]+/).filter((word) => word !== "");
 }
 
-Then("docs\\/SETTINGS.md is what the code describes", () => {
+Then("docs\\/SETTINGS.md matches the generated settings reference", () => {
   assert.deepEqual(words(readFileSync("docs/SETTINGS.md", "utf8")), words(describeSettings()));
 });
