--- a/packages/settings-watch/src/changed-keys.ts
+++ b/packages/settings-watch/src/changed-keys.ts
@@ -1,9 +1,7 @@
-/** What differs between two readings of settings. */
-
-/** Sections of settings by name, each with values by key. */
+/** Settings by section and key. */
 export type SettingsSections = Readonly<Record<string, object | undefined>>;
 
-/** Values, written out, by `section.key`. */
+/** Returns the serialized values by `section.key`. */
 function flatten(settings: SettingsSections): ReadonlyMap<string, string> {
   const values = Object.entries(settings).flatMap(([section, keys]) =>
     Object.entries(keys ?? {}).map(
@@ -13,7 +11,7 @@
   return new Map(values);
 }
 
-/** Names the keys whose values differ, as `section.key`, in the order of the earlier reading. */
+/** Returns the keys whose values differ, as `section.key`, in the order of `before`. */
 export function changedKeys(before: SettingsSections, after: SettingsSections): readonly string[] {
   const previous = flatten(before);
   const current = flatten(after);
--- a/packages/settings-watch/src/read-settings-file.ts
+++ b/packages/settings-watch/src/read-settings-file.ts
@@ -1,8 +1,8 @@
-/** Reads a settings file while the process runs with what it held before. */
+/** Reads a settings file while the process is running. */
 import { readFileSync, statSync } from "node:fs";
 import { type Either, Left, Right } from "purify-ts";
 
-/** The file's text, or why there is none. A pipe is not read: nobody may be writing into it. */
+/** Returns the file's text, or the reason why it cannot be read. Pipes are rejected because reading one may block. */
 export function readSettingsFile(path: string): Either<string, string> {
   try {
     if (!statSync(path).isFile()) return Left("not a regular file");
--- a/packages/settings-watch/src/settings-watch.steps.ts
+++ b/packages/settings-watch/src/settings-watch.steps.ts
@@ -31,47 +31,53 @@
   await scene.clock.runUntil(scene.clock.now() + ms);
 }
 
-Given("a watched settings file that holds {string}", async function (this: object, text: string) {
-  const clock = createVirtualClock();
-  const taken: string[] = [];
-  const failures: string[] = [];
-  const watch = createSettingsWatch({
-    clock,
-    random: seededRandom(1),
-    intervalMs,
-    text,
-    readText: () => sceneOf(this).file,
-    onChange: (changed) => void taken.push(changed),
-    onReadFailure: (reason) => void failures.push(reason),
-  });
-  scenes.set(this, { clock, watch, changes: taken, failures, file: Right(text) });
-  await watch.start();
-});
+Given(
+  "a watched settings file with the text {string}",
+  async function (this: object, text: string) {
+    const clock = createVirtualClock();
+    const taken: string[] = [];
+    const failures: string[] = [];
+    const watch = createSettingsWatch({
+      clock,
+      random: seededRandom(1),
+      intervalMs,
+      text,
+      readText: () => sceneOf(this).file,
+      onChange: (changed) => void taken.push(changed),
+      onReadFailure: (reason) => void failures.push(reason),
+    });
+    scenes.set(this, { clock, watch, changes: taken, failures, file: Right(text) });
+    await watch.start();
+  },
+);
 
 When(
-  "the file holds {string} and {int} ms pass",
+  "the file contains {string} and {int} ms pass",
   function (this: object, text: string, ms: number) {
     return setFileAndWait(this, Right(text), ms);
   },
 );
 
-When("the file can't be read and {int} ms pass", function (this: object, ms: number) {
+When("the file cannot be read and {int} ms pass", function (this: object, ms: number) {
   return setFileAndWait(this, Left("no such file"), ms);
 });
 
-When("the file holds {string} and somebody says so", async function (this: object, text: string) {
-  await setFileAndWait(this, Right(text), 0);
-  sceneOf(this).watch.checkNow();
-});
+When(
+  "the file contains {string} and a check is requested",
+  async function (this: object, text: string) {
+    await setFileAndWait(this, Right(text), 0);
+    sceneOf(this).watch.checkNow();
+  },
+);
 
 When("the watch is stopped", function (this: object) {
   return sceneOf(this).watch.stop();
 });
 
-Then("the texts taken are {string}", function (this: object, texts: string) {
+Then("the reported changes are {string}", function (this: object, texts: string) {
   assert.equal(sceneOf(this).changes.join(" "), texts);
 });
 
-Then("{int} row(s) of failed reads is/are told of", function (this: object, rows: number) {
-  assert.equal(sceneOf(this).failures.length, rows);
+Then("{int} read failure(s) is/are reported", function (this: object, count: number) {
+  assert.equal(sceneOf(this).failures.length, count);
 });
--- a/packages/settings-watch/src/settings-watch.ts
+++ b/packages/settings-watch/src/settings-watch.ts
@@ -1,7 +1,6 @@
 /**
- * Watches a settings file. A change is found by reading the file at intervals, so that nobody has to signal the process: a
- * signal ends a process that has not come to listen for it. A process of the runtime listens after 50 to 60 ms; of 20 that
- * were signalled 40 ms after their start 20 ended.
+ * Polls a settings file for changes. Polling works at any time, while a signal terminates a process
+ * that has not installed its signal handler yet.
  */
 import { type Clock, type Random, repeatEvery, type Service } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
@@ -11,22 +10,22 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly intervalMs: Milliseconds;
-  /** The text that the process runs with. */
+  /** The text that the current settings were read from. */
   readonly text: string;
-  /** Reads the file; Left holds why it can't be read. It must not wait. */
+  /** Reads the file without blocking; a Left holds the reason why it cannot be read. */
   readText(): Either<string, string>;
-  /** Takes a text that differs from the one before it. */
+  /** Called with a text that differs from the previous one. */
   onChange(text: string): void;
-  /** Called once for each row of failed reads, with the reason of the first. */
+  /** Called once for a sequence of failed reads, with the reason of the first. */
   onReadFailure(reason: string): void;
 }
 
 export interface SettingsWatch extends Service {
-  /** Looks at once, as when somebody says that the file has changed. */
+  /** Reads the file immediately. */
   checkNow(): void;
 }
 
-/** Creates a watch that looks from its start to its stop. */
+/** Creates a watch that polls the file while it is started. */
 export function createSettingsWatch(input: SettingsWatchInput): SettingsWatch {
   let lastText = input.text;
   let readable = true;
--- a/packages/settings-watch/src/watch-settings-file.ts
+++ b/packages/settings-watch/src/watch-settings-file.ts
@@ -1,4 +1,4 @@
-/** Follows a settings file: what can be used is taken, what can't be is logged. */
+/** Watches a settings file: valid changes are applied, invalid ones are logged. */
 import { describeProblems, type InvalidInput } from "@linkfall/errors";
 import type { Clock, Random } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
@@ -12,16 +12,16 @@
   readonly random: Random;
   readonly logger: Logger;
   readonly path: string;
-  /** The text that the process runs with. */
+  /** The text that the current settings were read from. */
   readonly text: string;
   readonly intervalMs: Milliseconds;
-  /** Checks a text. */
+  /** Parses and validates the text of the file. */
   parse(text: string): Either<InvalidInput, Settings>;
-  /** Takes settings that were read while the process runs. */
+  /** Called with the settings of each valid change. */
   onChange(settings: Settings): void;
 }
 
-/** Creates a watch of the file; the process keeps what it has while the file has problems. */
+/** Creates a watch of the file. Invalid and unreadable versions of the file are logged and skipped. */
 export function watchSettingsFile<Settings>(
   input: WatchSettingsFileInput<Settings>,
 ): SettingsWatch {
