--- a/packages/http-client/src/index.ts
+++ b/packages/http-client/src/index.ts
@@ -1,10 +1,10 @@
-/** Sends one HTTP request with Node's client and says, on a failure, whether it can have arrived. */
+/** HTTP client on top of Node's that reports whether a failed request may have reached the server. */
 import { Agent, type ClientRequest, type IncomingMessage, request as httpRequest } from "node:http";
 import type { TargetUnreachable } from "@linkfall/errors";
 import type { BodyPart, HeaderMap, TargetRequest, TargetResponse } from "@linkfall/ports";
 import { type Either, Left, Right } from "purify-ts";
 
-/** Idle connections are closed sooner than common servers close them. */
+/** Shorter than the keep-alive timeout of common servers, so that idle connections are closed by the client. */
 const idleConnectionTimeoutMs = 4_000;
 
 export interface HttpClient {
@@ -20,7 +20,7 @@
   return { kind: "target_unreachable", reason, mayHaveArrived };
 }
 
-/** Headers as one text each; a repeated one is joined as HTTP allows. */
+/** Joins repeated headers with commas, as HTTP allows. */
 export function flattenHeaders(headers: IncomingMessage["headers"]): HeaderMap {
   const pairs = Object.entries(headers).flatMap(([name, value]) => {
     if (value === undefined) return [];
@@ -29,7 +29,7 @@
   return Object.fromEntries(pairs);
 }
 
-/** The body of a message; a message that ends early ends with a Left. */
+/** Yields the chunks of a body. If the body ends early, the last part is a Left. */
 export async function* readBodyParts(message: IncomingMessage): AsyncGenerator<BodyPart> {
   try {
     for await (const chunk of message) yield Right(chunk as Buffer);
@@ -39,7 +39,7 @@
   }
 }
 
-/** Whether a byte of the request can have left on its connection. */
+/** Returns a function that checks whether any byte of the request may have been sent. */
 function trackConnection(request: ClientRequest): () => boolean {
   let connected = false;
   request.on("socket", (socket) => {
@@ -49,13 +49,13 @@
   return () => connected;
 }
 
-/** Creates a client that keeps connections alive between requests. */
+/** Creates a client that reuses connections. */
 export function createHttpClient(): HttpClient {
   const keepAliveAgent = new Agent({ keepAlive: true, timeout: idleConnectionTimeoutMs });
   return {
     send: (request, signal) =>
       new Promise((resolve) => {
-        if (signal.aborted) return resolve(Left(unreachable("given up before it was sent", false)));
+        if (signal.aborted) return resolve(Left(unreachable("aborted before it was sent", false)));
         const portSeparator = request.address.lastIndexOf(":");
         const outgoing = httpRequest({
           host: request.address.slice(0, portSeparator).replace(/^\[|\]$/g, ""),
@@ -71,8 +71,8 @@
           resolve(Left(unreachable(problem.message, mayHaveArrived())));
         });
         outgoing.once("response", (message) => {
-          // Later errors belong to the body. Whoever reads it sees them; a body that is no longer
-          // read has nobody to tell.
+          // Later errors concern the body and reach its reader; if the body is no longer read, they
+          // are ignored.
           outgoing.on("error", () => undefined);
           message.on("error", () => undefined);
           const headers = flattenHeaders(message.headers);
@@ -86,10 +86,10 @@
   };
 }
 
-/** Largest JSON answer that is read into memory. */
+/** Maximum size of a response that is read into memory. */
 const maxTextBytes = 64_000_000;
 
-/** Reads a body as text; Left where it was cut or is too long. */
+/** Reads a body as text; returns a Left if it was cut or is too large. */
 export async function readText(
   body: AsyncIterable<BodyPart>,
 ): Promise<Either<TargetUnreachable, string>> {
@@ -99,17 +99,17 @@
     if (part.isLeft()) return Left(part.extract() as TargetUnreachable);
     const chunk = part.extract() as Uint8Array;
     size += chunk.length;
-    if (size > maxTextBytes) return Left(unreachable("the answer is too long", true));
+    if (size > maxTextBytes) return Left(unreachable("the response is too large", true));
     chunks.push(chunk);
   }
   return Right(Buffer.concat(chunks).toString("utf8"));
 }
 
-/** Parses JSON; Left where it is none. */
+/** Parses JSON; returns a Left if it is invalid. */
 export function parseJson(text: string): Either<TargetUnreachable, unknown> {
   try {
     return Right(JSON.parse(text));
   } catch {
-    return Left(unreachable("the answer is not JSON", true));
+    return Left(unreachable("the response is not valid JSON", true));
   }
 }
