--- a/packages/http-front/src/http-front.feature
+++ b/packages/http-front/src/http-front.feature
@@ -1,12 +1,12 @@
-Feature: Whatever a caller sends, the answer is clear and the box goes on
+Feature: Invalid requests get an error response and do not affect other callers
 
   Background:
-    Given a front that takes bodies of 100 bytes, heads of 1000 bytes, within 5 s
+    Given an HTTP front with limits of 100 bytes for bodies, 1000 bytes for heads and 5 s for receiving
 
   Scenario Outline: Input beyond the limits gets a typed refusal
     When a caller sends <input>
-    Then the answer is <status> with outcome "not_run" and code "<code>"
-    And the front still answers others
+    Then the response is <status> with outcome "not_run" and code "<code>"
+    And the front still responds to other callers
 
     Examples:
       | input                      | status | code           |
@@ -15,11 +15,11 @@
       | "no HTTP"                  | 400    | bad_request    |
       | "half a body for 5 s"      | 400    | bad_request    |
 
-  Scenario: A cut answer never looks like an end
-    When the answer to a caller is cut after its first part
-    Then the caller's connection breaks before the end marker of the answer
+  Scenario: A response that was cut does not look complete
+    When the response to a caller is cut after its first part
+    Then the caller's connection is closed without the final chunk of the response
 
-  Scenario: A request whose caller left before it was read is not handled
-    When a caller sends a request and leaves before the front can read it
-    Then the front has handled nothing
-    And the front still answers others
+  Scenario: A request is not handled if its caller disconnects before it was read
+    When a caller sends a request and disconnects before the front reads it
+    Then the front has handled no request
+    And the front still responds to other callers
--- a/packages/http-front/src/http-front.steps.ts
+++ b/packages/http-front/src/http-front.steps.ts
@@ -24,7 +24,7 @@
 }
 
 Given(
-  "a front that takes bodies of 100 bytes, heads of 1000 bytes, within 5 s",
+  "an HTTP front with limits of 100 bytes for bodies, 1000 bytes for heads and 5 s for receiving",
   async function (this: object) {
     const clock = createVirtualClock();
     const handled: string[] = [];
@@ -58,7 +58,7 @@
   }
 });
 
-/** Sends raw bytes and reads until the other side closes, or the answer is whole. */
+/** Sends raw bytes and reads until the server closes the connection or the response is complete. */
 function exchange(address: string, text: string, sent: (socket: Socket) => void = () => undefined) {
   const [host, port] = address.split(":");
   return new Promise<string>((resolve, reject) => {
@@ -66,13 +66,13 @@
       socket.write(text);
       sent(socket);
     });
-    let answer = "";
+    let response = "";
     socket.on("data", (chunk) => {
-      answer += chunk.toString("utf8");
-      if (answer.endsWith("fine")) socket.end();
+      response += chunk.toString("utf8");
+      if (response.endsWith("fine")) socket.end();
     });
-    socket.on("close", () => resolve(answer));
-    socket.on("error", (problem) => (answer === "" ? reject(problem) : resolve(answer)));
+    socket.on("close", () => resolve(response));
+    socket.on("error", (problem) => (response === "" ? reject(problem) : resolve(response)));
   });
 }
 
@@ -86,50 +86,53 @@
 
 When("a caller sends {string}", async function (this: object, input: string) {
   const { address, clock } = frontOf(this);
-  const answered = exchange(address, inputs[input]);
+  const exchanged = exchange(address, inputs[input]);
   if (input.startsWith("half")) {
     let done = false;
-    void answered.then(() => (done = true));
-    // The request's bytes cross a real socket, so time is moved on until they have been taken.
+    void exchanged.then(() => (done = true));
+    // The bytes cross a real socket, so the virtual time is advanced until they have been received.
     while (!done) {
       await clock.runUntil(clock.now() + bodyTimeoutMs);
       await new Promise((resolve) => setImmediate(resolve));
     }
   }
-  scenarioState(this).set("answer", await answered);
+  scenarioState(this).set("response", await exchanged);
 });
 
 Then(
-  "the answer is {int} with outcome {string} and code {string}",
+  "the response is {int} with outcome {string} and code {string}",
   function (this: object, status: number, outcome: string, code: string) {
-    const answer = scenarioState(this).get<string>("answer");
-    assert.match(answer, new RegExp(`^HTTP/1.1 ${status} `));
-    const { error } = JSON.parse(answer.slice(answer.indexOf("\r\n\r\n")));
+    const response = scenarioState(this).get<string>("response");
+    assert.match(response, new RegExp(`^HTTP/1.1 ${status} `));
+    const { error } = JSON.parse(response.slice(response.indexOf("\r\n\r\n")));
     assert.deepEqual([error.outcome, error.code], [outcome, code]);
   },
 );
 
-Then("the front still answers others", async function (this: object) {
-  const answer = await exchange(
+Then("the front still responds to other callers", async function (this: object) {
+  const response = await exchange(
     frontOf(this).address,
     "GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n",
   );
-  assert.match(answer, /^HTTP\/1.1 200 .*fine$/s);
+  assert.match(response, /^HTTP\/1.1 200 .*fine$/s);
 });
 
-When("the answer to a caller is cut after its first part", async function (this: object) {
+When("the response to a caller is cut after its first part", async function (this: object) {
   const text = "GET /cut HTTP/1.1\r\nhost: x\r\n\r\n";
-  scenarioState(this).set("answer", await exchange(frontOf(this).address, text));
+  scenarioState(this).set("response", await exchange(frontOf(this).address, text));
 });
 
-Then("the caller's connection breaks before the end marker of the answer", function (this: object) {
-  const answer = scenarioState(this).get<string>("answer");
-  assert.match(answer, /first part/);
-  assert.doesNotMatch(answer, /\r\n0\r\n\r\n$/);
-});
+Then(
+  "the caller's connection is closed without the final chunk of the response",
+  function (this: object) {
+    const response = scenarioState(this).get<string>("response");
+    assert.match(response, /first part/);
+    assert.doesNotMatch(response, /\r\n0\r\n\r\n$/);
+  },
+);
 
 When(
-  "a caller sends a request and leaves before the front can read it",
+  "a caller sends a request and disconnects before the front reads it",
   async function (this: object) {
     const [host, port] = frontOf(this).address.split(":");
     await new Promise<void>((resolve) => {
@@ -143,6 +146,6 @@
   },
 );
 
-Then("the front has handled nothing", function (this: object) {
+Then("the front has handled no request", function (this: object) {
   assert.deepEqual(frontOf(this).handled, []);
 });
--- a/packages/http-front/src/http-front.ts
+++ b/packages/http-front/src/http-front.ts
@@ -1,4 +1,4 @@
-/** A listening address where callers or operators connect. */
+/** HTTP server for callers or operators. */
 import { createServer as createPlain, type IncomingMessage, type ServerResponse } from "node:http";
 import { createServer as createTls } from "node:https";
 import type { AddressInfo, Socket } from "node:net";
@@ -19,27 +19,27 @@
 
 export interface HttpFrontInput {
   readonly clock: Clock;
-  /** `host:port`; port 0 takes a free one. */
+  /** `host:port`; port 0 selects a free port. */
   readonly address: string;
   readonly limits: RequestLimits;
   readonly tls?: FrontTls;
   handle(request: CallerRequest): Promise<CallerResponse>;
-  /** Takes an error that no value stands for: a defect. */
+  /** Called with unexpected errors, which are bugs. */
   onDefect(problem: unknown): void;
 }
 
 export interface HttpFront {
-  /** Starts to listen; resolves with the address. */
+  /** Starts listening; resolves with the address. */
   listen(): Promise<Either<AddressUnavailable, string>>;
-  /** Stops to listen and closes all connections. */
+  /** Stops listening and closes all connections once their responses are sent or a timeout has passed. */
   close(): Promise<void>;
 }
 
-/** How long answers that are done may take to leave at a stop. */
+/** Time for open connections to finish when the server closes. */
 const closeTimeoutMs = 5_000;
 const headerOverflowCode = "HPE_HEADER_OVERFLOW";
 
-/** Answers what the parser could not take: the same JSON shape as every other refusal. */
+/** Responds to input that Node's HTTP parser rejected, in the same JSON format as other refusals. */
 function respondToMalformed(problem: NodeJS.ErrnoException, socket: Socket): void {
   if (!socket.writable || socket.bytesWritten > 0) {
     socket.destroy();
@@ -48,7 +48,7 @@
   const tooLarge = problem.code === headerOverflowCode;
   const refusal = notRun(
     "bad_request",
-    tooLarge ? "the head is too large" : "no valid HTTP request",
+    tooLarge ? "the request head is too large" : "the request is not valid HTTP",
   );
   const body = Buffer.from(refusalResponse(refusal).body as Uint8Array);
   const status = tooLarge ? "431 Request Header Fields Too Large" : "400 Bad Request";
@@ -58,7 +58,7 @@
   );
 }
 
-/** Creates a front that does not listen yet. */
+/** Creates a front, which does not listen until `listen` is called. */
 export function createHttpFront(input: HttpFrontInput): HttpFront {
   const serve = async (message: IncomingMessage, sink: ServerResponse) => {
     const callerGone = new AbortController();
@@ -70,7 +70,7 @@
     const response = await body.caseOf({
       Left: async (refusal) => {
         const refused = refusalResponse(refusal);
-        // The rest of the request is not read, so the connection cannot be used again.
+        // The rest of the request is not read, so the connection cannot be reused.
         return { ...refused, headers: { ...refused.headers, connection: "close" } };
       },
       Right: (bytes) =>
--- a/packages/http-front/src/read-request.ts
+++ b/packages/http-front/src/read-request.ts
@@ -1,4 +1,4 @@
-/** From Node's incoming message to a request, within the limits on size and time. */
+/** Reads requests within limits on size and time. */
 import type { IncomingMessage } from "node:http";
 import { flattenHeaders } from "@linkfall/http-client";
 import type { Clock } from "@linkfall/kernel";
@@ -13,7 +13,7 @@
   readonly bodyTimeoutMs: Milliseconds;
 }
 
-/** Reads the body; Left when it is too large, too slow or cut. */
+/** Reads the body; returns a Left if it is too large, too slow or cut. */
 export function readBody(
   clock: Clock,
   message: IncomingMessage,
@@ -42,5 +42,5 @@
   });
 }
 
-/** Headers of a message as one text each. */
+/** Returns the headers of a message, with repeated ones joined. */
 export const requestHeaders = (message: IncomingMessage) => flattenHeaders(message.headers);
--- a/packages/http-front/src/write-response.ts
+++ b/packages/http-front/src/write-response.ts
@@ -1,9 +1,9 @@
-/** Writes an answer. One that was cut is ended by breaking the connection, never by a clean end. */
+/** Writes responses. For a body that was cut, the connection is closed without the final chunk. */
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
 import type { CallerResponse } from "@linkfall/ports";
 
-/** Resolves when the answer has been handed to the connection, or the caller has gone. */
+/** Resolves when the response has been written to the connection or the caller has disconnected. */
 export async function writeResponse(
   sink: ServerResponse,
   response: CallerResponse,
@@ -28,7 +28,7 @@
   sink.end();
 }
 
-/** Lets what was written leave, then closes the connection without an end marker. */
+/** Flushes the written data, then closes the connection without the final chunk. */
 async function abortResponse(sink: ServerResponse): Promise<void> {
   await new Promise<void>((resolve) => {
     sink.write("", () => resolve());
@@ -41,6 +41,6 @@
   try {
     await once(sink, "drain", { signal: callerGone });
   } catch {
-    // The caller has gone; the loop above sees it.
+    // The caller has disconnected; the loop above checks the signal.
   }
 }
