--- a/packages/event-stream/src/event-stream.feature
+++ b/packages/event-stream/src/event-stream.feature
@@ -1,10 +1,10 @@
-Feature: An event stream is cut into whole events wherever its bytes are cut
+Feature: An event stream is split into events regardless of chunk boundaries
 
-  Scenario: Any cut of the bytes gives the same events
+  Scenario: Chunk boundaries do not affect the events
     Given a stream of 5 events with ids and a comment line
-    Then for any cut of its bytes the events are the same and the bytes are all there
+    Then any division into chunks gives the same events without losing bytes
 
-  Scenario: An event that is not whole is held back
+  Scenario: An incomplete event is buffered
     Given a stream of 2 events with ids and a comment line
     When its last 3 bytes are missing
-    Then 1 event is whole and the rest is held
+    Then 1 event is returned and the remaining bytes are buffered
--- a/packages/event-stream/src/event-stream.steps.ts
+++ b/packages/event-stream/src/event-stream.steps.ts
@@ -17,27 +17,27 @@
 );
 
 Then(
-  "for any cut of its bytes the events are the same and the bytes are all there",
+  "any division into chunks gives the same events without losing bytes",
   function (this: object) {
     const bytes = scenarioState(this).get<Buffer>("bytes");
     const events = scenarioState(this).get<string[]>("events");
-    const cuts = fc.array(fc.nat(bytes.length), { maxLength: 20 });
+    const boundaries = fc.array(fc.nat(bytes.length), { maxLength: 20 });
     fc.assert(
-      fc.property(cuts, (places) => {
+      fc.property(boundaries, (offsets) => {
         const splitter = createEventSplitter();
-        const ends = [...places.sort((left, right) => left - right), bytes.length];
+        const ends = [...offsets.sort((left, right) => left - right), bytes.length];
         let from = 0;
-        const seen = ends.flatMap((end) => {
-          const part = bytes.subarray(from, end);
+        const received = ends.flatMap((end) => {
+          const chunk = bytes.subarray(from, end);
           from = end;
-          return splitter.push(part);
+          return splitter.push(chunk);
         });
         assert.deepEqual(
-          seen.map((event) => event.bytes.toString()),
+          received.map((event) => event.bytes.toString()),
           events,
         );
         assert.deepEqual(
-          seen.map((event) => event.id),
+          received.map((event) => event.id),
           events.map((_, index) => String(index + 1)),
         );
         assert.equal(splitter.rest().length, 0);
@@ -52,11 +52,14 @@
   scenarioState(this).set("bytes", bytes.subarray(0, bytes.length - missing));
 });
 
-Then("{int} event is whole and the rest is held", function (this: object, whole: number) {
-  const splitter = createEventSplitter();
-  const bytes = scenarioState(this).get<Buffer>("bytes");
-  const events = splitter.push(bytes);
-  assert.equal(events.length, whole);
-  const passed = events.reduce((sum, event) => sum + event.bytes.length, 0);
-  assert.equal(splitter.rest().length, bytes.length - passed);
-});
+Then(
+  "{int} event is returned and the remaining bytes are buffered",
+  function (this: object, count: number) {
+    const splitter = createEventSplitter();
+    const bytes = scenarioState(this).get<Buffer>("bytes");
+    const events = splitter.push(bytes);
+    assert.equal(events.length, count);
+    const returnedBytes = events.reduce((sum, event) => sum + event.bytes.length, 0);
+    assert.equal(splitter.rest().length, bytes.length - returnedBytes);
+  },
+);
--- a/packages/event-stream/src/index.ts
+++ b/packages/event-stream/src/index.ts
@@ -1,16 +1,16 @@
-/** Cuts an event stream into whole events, byte for byte. */
+/** Splits a server-sent event stream into events without changing its bytes. */
 
-/** One whole event with the blank line that ends it. */
+/** A complete event, including the blank line that terminates it. */
 export interface StreamEvent {
   readonly bytes: Buffer;
-  /** Its `id` field, where it has one. */
+  /** Value of the `id` field, if there is one. */
   readonly id?: string;
 }
 
 export interface EventSplitter {
-  /** Takes bytes; returns the events that are whole now. */
+  /** Adds a chunk and returns the events that it completes. */
   push(bytes: Buffer): readonly StreamEvent[];
-  /** Bytes of an event that is not whole yet. */
+  /** Returns the bytes of the incomplete event. */
   rest(): Buffer;
 }
 
@@ -18,7 +18,7 @@
 const carriageReturn = 0x0d;
 const idField = /(?:^|\n)id:\s?([^\r\n]*)/;
 
-/** Index after the blank line that ends the first event at or after `from`, or -1. */
+/** Returns the index after the blank line that terminates the first event at or after `from`, or -1. */
 function findEventEnd(bytes: Buffer, from: number): number {
   let index = bytes.indexOf(lineFeed, from);
   while (index >= 0) {
@@ -34,7 +34,7 @@
   return { bytes, id };
 }
 
-/** Creates a splitter for one stream. */
+/** Creates the splitter of one stream. */
 export function createEventSplitter(): EventSplitter {
   let buffered: Buffer = Buffer.alloc(0);
   return {
