--- a/packages/ask-stream/src/index.ts
+++ b/packages/ask-stream/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * The stream of small messages to one other box. Many may be under way; each has a number by which its
- * answer is known. When one gets no answer in time, the connection is given up, and the next message
- * dials again: after a cut a fresh connection is there at once, an old one only when TCP tries again.
+ * Request-response messages to one other box, multiplexed over one stream and correlated by number. If
+ * a request times out, the connection is closed and the next request opens a new one, which avoids
+ * waiting for TCP retransmissions after a network failure.
  */
 import type { ClientDuplexStream } from "@grpc/grpc-js";
 import type { PeerUnreachable } from "@linkfall/errors";
@@ -9,62 +9,60 @@
 import type { Milliseconds } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
 
-/** A message or its answer, as it stands on the stream. */
+/** A request or a response on the stream. */
 export interface NumberedMessage<Body> {
   readonly number: number;
   readonly body: Body | undefined;
 }
 
-export interface RequestStream<Ask, Answer> {
-  request(body: Ask): Promise<Either<PeerUnreachable, Answer>>;
+export interface RequestStream<Request, Response> {
+  request(body: Request): Promise<Either<PeerUnreachable, Response>>;
   close(): void;
 }
 
-/** A stream on a connection that nothing else uses. */
-export interface DialledStream<Ask, Answer> {
-  readonly stream: ClientDuplexStream<NumberedMessage<Ask>, NumberedMessage<Answer>>;
-  /** Closes the connection beneath. */
+/** A stream on a dedicated connection. */
+export interface DialledStream<Request, Response> {
+  readonly stream: ClientDuplexStream<NumberedMessage<Request>, NumberedMessage<Response>>;
+  /** Closes the underlying connection. */
   close(): void;
 }
 
-interface Connection<Ask, Answer> extends DialledStream<Ask, Answer> {
-  readonly pending: Map<number, (result: Either<PeerUnreachable, Answer>) => void>;
+interface Connection<Request, Response> extends DialledStream<Request, Response> {
+  readonly pending: Map<number, (result: Either<PeerUnreachable, Response>) => void>;
 }
 
 /**
- * Creates the stream to one box; it is opened by the first message.
+ * Creates the stream to one box. The connection is opened by the first request.
  *
- * @param timeoutMs longest wait for one answer
- * @param dial opens a stream on a connection of its own
+ * @param timeoutMs timeout of one request
+ * @param dial opens a stream on a new connection
  */
-export function createRequestStream<Ask, Answer>(
+export function createRequestStream<Request, Response>(
   clock: Clock,
   timeoutMs: Milliseconds,
-  dial: () => DialledStream<Ask, Answer>,
-): RequestStream<Ask, Answer> {
-  let open: Connection<Ask, Answer> | undefined;
+  dial: () => DialledStream<Request, Response>,
+): RequestStream<Request, Response> {
+  let open: Connection<Request, Response> | undefined;
   let lastNumber = 0;
 
-  /** Ends a connection; what is under way on it gets no answer. */
-  const failConnection = (connection: Connection<Ask, Answer>, reason: string) => {
+  /** Closes a connection and fails its pending requests. */
+  const failConnection = (connection: Connection<Request, Response>, reason: string) => {
     if (open === connection) open = undefined;
     const failure = { kind: "peer_unreachable", reason, mayHaveArrived: true } as const;
-    for (const answer of connection.pending.values()) answer(Left(failure));
+    for (const settle of connection.pending.values()) settle(Left(failure));
     connection.pending.clear();
     connection.stream.cancel();
     connection.close();
   };
 
-  const connect = (): Connection<Ask, Answer> => {
-    const connection: Connection<Ask, Answer> = { ...dial(), pending: new Map() };
-    connection.stream.on("data", ({ number, body }: NumberedMessage<Answer>) => {
+  const connect = (): Connection<Request, Response> => {
+    const connection: Connection<Request, Response> = { ...dial(), pending: new Map() };
+    connection.stream.on("data", ({ number, body }: NumberedMessage<Response>) => {
       if (body !== undefined) connection.pending.get(number)?.(Right(body));
       connection.pending.delete(number);
     });
     connection.stream.on("error", (problem) => failConnection(connection, problem.message));
-    connection.stream.on("end", () =>
-      failConnection(connection, "the other box has ended the stream"),
-    );
+    connection.stream.on("end", () => failConnection(connection, "the other box ended the stream"));
     return connection;
   };
 
@@ -74,7 +72,7 @@
         const connection = (open ??= connect());
         const number = ++lastNumber;
         const cancel = clock.after(timeoutMs, () =>
-          failConnection(connection, "no answer in time"),
+          failConnection(connection, "the request timed out"),
         );
         connection.pending.set(number, (result) => {
           cancel();
