--- a/packages/json-call/src/index.ts
+++ b/packages/json-call/src/index.ts
@@ -1,4 +1,4 @@
-/** Calls a JSON interface over HTTP, with a time limit and a check of the answer's shape. */
+/** Calls JSON APIs over HTTP with a timeout and schema validation of the response. */
 import type { TargetUnreachable } from "@linkfall/errors";
 import { type HttpClient, parseJson, readText } from "@linkfall/http-client";
 import type { Clock } from "@linkfall/kernel";
@@ -6,7 +6,6 @@
 import { type Either, Left, Right } from "purify-ts";
 import type { z } from "zod";
 
-/** One call. */
 export interface JsonCall {
   readonly address: string;
   readonly method: "GET" | "POST" | "DELETE";
@@ -16,9 +15,10 @@
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** An answer whose body has been read and parsed. */
+/** A response with a parsed body. */
 export interface JsonResponse {
   readonly status: number;
+  /** The parsed body, not validated. */
   readonly value: unknown;
 }
 
@@ -26,7 +26,7 @@
   call(call: JsonCall): Promise<Either<TargetUnreachable, JsonResponse>>;
 }
 
-/** Creates a caller that gives up after `limit` milliseconds. */
+/** Creates a caller whose calls time out after `timeoutMs`. */
 export function createJsonCaller(
   clock: Clock,
   client: HttpClient,
@@ -62,14 +62,14 @@
   };
 }
 
-/** Checks the shape of an answer that should have status 200. */
+/** Validates the body of a response; returns a Left if the status is not 200 or the schema does not match. */
 export function parseOkResponse<T>(
-  answer: JsonResponse,
+  response: JsonResponse,
   schema: z.ZodType<T>,
 ): Either<TargetUnreachable, T> {
-  const problem = (reason: string): Either<TargetUnreachable, T> =>
+  const fail = (reason: string): Either<TargetUnreachable, T> =>
     Left({ kind: "target_unreachable", reason, mayHaveArrived: true });
-  if (answer.status !== 200) return problem(`status ${answer.status}`);
-  const checked = schema.safeParse(answer.value);
-  return checked.success ? Right(checked.data) : problem("an answer of another shape");
+  if (response.status !== 200) return fail(`status ${response.status}`);
+  const checked = schema.safeParse(response.value);
+  return checked.success ? Right(checked.data) : fail("the response does not match the schema");
 }
