--- a/packages/platform-http/src/box-list-http.ts
+++ b/packages/platform-http/src/box-list-http.ts
@@ -1,4 +1,4 @@
-/** The platform's box list over HTTP: `GET /boxes` answers `{boxes, leaving_targets}`. */
+/** The platform's list of boxes over HTTP: `GET /boxes` returns `{boxes, leaving_targets}`. */
 import { parseOkResponse, type JsonCaller } from "@linkfall/json-call";
 import type { BoxListPort } from "@linkfall/ports";
 import { z } from "zod";
@@ -14,13 +14,13 @@
   leaving_targets: z.array(z.string()).default([]),
 });
 
-/** Creates the port for the list at `address`. */
+/** Creates an adapter for the list at `address`. */
 export function createBoxListHttp(caller: JsonCaller, address: string): BoxListPort {
   return {
     async read() {
-      const answer = await caller.call({ address, method: "GET", path: "/boxes" });
-      return answer
-        .chain((value) => parseOkResponse(value, listSchema))
+      const result = await caller.call({ address, method: "GET", path: "/boxes" });
+      return result
+        .chain((response) => parseOkResponse(response, listSchema))
         .map((list) => ({ boxes: list.boxes, leavingTargets: list.leaving_targets }))
         .mapLeft((failure) => ({ kind: "log_unavailable", reason: failure.reason }));
     },
--- a/packages/platform-http/src/log-http.ts
+++ b/packages/platform-http/src/log-http.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's log over HTTP: `POST /streams/<stream>/records` appends `{data}` and answers
- * `{offset}`; `GET` with `from` and `limit` answers `{entries, newest}`. 410 names the oldest record
- * that is kept, 429 refuses an append for load.
+ * The platform's log over HTTP. `POST /streams/<stream>/records` appends `{data}` and returns
+ * `{offset}`; `GET` with `from` and `limit` returns `{entries, newest}`. Status 410 returns the oldest
+ * retained offset as `{first}`; 429 rejects an append because of overload.
  */
 import type { LogFailure, TargetUnreachable } from "@linkfall/errors";
 import { parseOkResponse, type JsonResponse, type JsonCaller } from "@linkfall/json-call";
@@ -21,33 +21,33 @@
   return { kind: "log_unavailable", reason: failure.reason };
 }
 
-function toLogResult<T>(answer: JsonResponse, schema: z.ZodType<T>): Either<LogFailure, T> {
-  return match(answer.status)
+function toLogResult<T>(response: JsonResponse, schema: z.ZodType<T>): Either<LogFailure, T> {
+  return match(response.status)
     .with(429, (): Either<LogFailure, T> => Left({ kind: "log_busy" }))
     .with(410, (): Either<LogFailure, T> => {
-      const first = truncatedSchema.safeParse(answer.value);
-      if (first.success) return Left({ kind: "log_truncated", first: first.data.first });
+      const truncated = truncatedSchema.safeParse(response.value);
+      if (truncated.success) return Left({ kind: "log_truncated", first: truncated.data.first });
       return Left({ kind: "log_unavailable", reason: "410 without the oldest offset" });
     })
-    .otherwise(() => parseOkResponse(answer, schema).mapLeft(unavailable));
+    .otherwise(() => parseOkResponse(response, schema).mapLeft(unavailable));
 }
 
-/** Creates the port for the log at `address`. */
+/** Creates an adapter for the log at `address`. */
 export function createLogHttp(caller: JsonCaller, address: string): LogPort {
   const recordsPath = (stream: StreamName) => `/streams/${stream}/records`;
   return {
     async append(stream, data) {
       const call = { address, method: "POST", path: recordsPath(stream), body: { data } } as const;
-      const answer = await caller.call(call);
-      return answer
+      const result = await caller.call(call);
+      return result
         .mapLeft(unavailable)
-        .chain((value) => toLogResult(value, appendedSchema))
+        .chain((response) => toLogResult(response, appendedSchema))
         .map(({ offset }) => offset);
     },
     async read(stream, from, limit) {
       const path = `${recordsPath(stream)}?from=${from}&limit=${limit}`;
-      const answer = await caller.call({ address, method: "GET", path });
-      return answer.mapLeft(unavailable).chain((value) => toLogResult(value, batchSchema));
+      const result = await caller.call({ address, method: "GET", path });
+      return result.mapLeft(unavailable).chain((response) => toLogResult(response, batchSchema));
     },
   };
 }
