--- a/packages/engine-http/src/index.ts
+++ b/packages/engine-http/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Engines over HTTP: `GET /report`, `POST /fence {epoch}` (answers with a report), `POST /orders`
- * and `GET /cache-events?after=`.
+ * Model engines over HTTP: `GET /report`, `POST /fence {epoch}` (returns a report), `POST /orders` and
+ * `GET /cache-events?after=`.
  */
 import { parseOkResponse, type JsonCaller } from "@linkfall/json-call";
 import type { EnginePort } from "@linkfall/ports";
@@ -44,27 +44,27 @@
   ),
 });
 
-/** Creates the port for all engines. */
+/** Creates an adapter for all engines. */
 export function createEngineHttp(caller: JsonCaller): EnginePort {
   return {
     async report(address) {
-      const answer = await caller.call({ address, method: "GET", path: "/report" });
-      return answer.chain((value) => parseOkResponse(value, reportSchema));
+      const result = await caller.call({ address, method: "GET", path: "/report" });
+      return result.chain((response) => parseOkResponse(response, reportSchema));
     },
     async raiseFence(address, epoch) {
       const call = { address, method: "POST", path: "/fence", body: { epoch } } as const;
-      const answer = await caller.call(call);
-      return answer.chain((value) => parseOkResponse(value, reportSchema));
+      const result = await caller.call(call);
+      return result.chain((response) => parseOkResponse(response, reportSchema));
     },
     async order(address, order) {
       const call = { address, method: "POST", path: "/orders", body: order } as const;
-      const answer = await caller.call(call);
-      return answer.chain((value) => parseOkResponse(value, replySchema));
+      const result = await caller.call(call);
+      return result.chain((response) => parseOkResponse(response, replySchema));
     },
     async cacheEvents(address, after) {
       const path = `/cache-events?after=${after}`;
-      const answer = await caller.call({ address, method: "GET", path });
-      return answer.chain((value) => parseOkResponse(value, cacheSchema));
+      const result = await caller.call({ address, method: "GET", path });
+      return result.chain((response) => parseOkResponse(response, cacheSchema));
     },
   };
 }
