--- a/packages/test-support/src/tests/keyed-store.ts
+++ b/packages/test-support/src/tests/keyed-store.ts
@@ -1,25 +1,25 @@
-/** A keyed stream in memory, reached by several boxes of which each can be cut off. */
+/** An in-memory keyed stream shared by several boxes, with failures that can be injected per box. */
 import type { Clock } from "@linkfall/kernel";
 import type { KeyedBatch, KeyedRecord, KeyedStreamPort } from "@linkfall/ports";
 import { Left, Right } from "purify-ts";
 
-/** How the store treats one box. */
+/** How the store handles the calls of one box; `loses_answers` applies writes but fails their calls. */
 export type StoreAccess = "serves" | "refuses" | "loses_answers";
 
 export interface KeyedStore {
-  /** The stream as one box reaches it. */
+  /** Returns the port through which a box uses the stream. */
   portFor(box: string): KeyedStreamPort;
   setAccess(box: string, access: StoreAccess): void;
-  /** Writes past all boxes, as operators and targets do. */
+  /** Appends a record directly, as operators and targets do. */
   write(key: string, value: string | undefined): void;
-  /** Drops the history: reads from before now are told so. */
+  /** Drops the history; reads from earlier offsets fail with `log_truncated`. */
   compact(): void;
   records(): readonly KeyedRecord[];
-  /** Calls that have read so far. */
+  /** Number of read calls. */
   reads(): number;
 }
 
-/** How often a read that waits looks again. */
+/** Interval at which a waiting read polls for new records. */
 const pollIntervalMs = 20;
 
 export function createKeyedStore(clock: Clock): KeyedStore {
--- a/packages/test-support/src/tests/resources.ts
+++ b/packages/test-support/src/tests/resources.ts
@@ -1,4 +1,4 @@
-/** Small resources for tests; `changes` replaces fields. */
+/** Resources and reports for tests; `changes` overrides the default fields. */
 import type { Account, Adapter, Engine, EngineReport, Model, Pool } from "@linkfall/types";
 
 const hashLength = 64;
