--- a/packages/manifest/src/index.ts
+++ b/packages/manifest/src/index.ts
@@ -1,11 +1,11 @@
-/** Reads resource files: YAML or JSON, one resource or a list for each document. */
+/** Parses resource files in YAML or JSON. Each document contains a resource or a list of resources. */
 import type { FieldProblem, InvalidInput } from "@linkfall/errors";
 import { checkResource } from "@linkfall/state-fold";
 import { type Resource, resourceKey } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
 import { parseAllDocuments } from "yaml";
 
-/** An input value with the label that problems are reported under. */
+/** An input value with the label used in error messages. */
 interface LabelledValue {
   readonly label: string;
   readonly value: unknown;
@@ -39,7 +39,7 @@
   return problems;
 }
 
-/** Reads the text of a resource file. All problems are named at once, and nothing is taken. */
+/** Parses the text of a resource file. If any resource is invalid, all problems and no resources are returned. */
 export function readManifest(text: string): Either<InvalidInput, readonly Resource[]> {
   const documents = parseAllDocuments(text);
   const list = Array.isArray(documents) ? documents : [];
