--- a/packages/config/src/keys.ts
+++ b/packages/config/src/keys.ts
@@ -13,7 +13,7 @@
   unit: string,
   description: string,
 ): SettingDefinition<T> {
-  return { schema, unit, description: description };
+  return { schema, unit, description };
 }
 
 const integerBetween = (min: number, max: number, defaultValue: number) =>
