--- a/packages/kernel/src/random.ts
+++ b/packages/kernel/src/random.ts
@@ -22,7 +22,7 @@
   const nextInt = (limit: number) => uniformInt(generator, 0, limit - 1);
   return {
     nextFloat: () => nextInt(floatSteps) / floatSteps,
-    nextInt: nextInt,
+    nextInt,
     identifier() {
       let digits = "";
       for (let index = 0; index < identifierDigits; index++) digits += nextInt(16).toString(16);
--- a/packages/kernel/src/virtual-clock.ts
+++ b/packages/kernel/src/virtual-clock.ts
@@ -31,9 +31,9 @@
   const before = (a: PendingTimer, b: PendingTimer) =>
     a.dueAtMs < b.dueAtMs || (a.dueAtMs === b.dueAtMs && a.sequence < b.sequence);
   const swap = (i: number, j: number) => {
-    const swapped = heap[i];
+    const previous = heap[i];
     heap[i] = heap[j];
-    heap[j] = swapped;
+    heap[j] = previous;
   };
   return {
     peek: () => heap[0] as PendingTimer | undefined,
@@ -71,7 +71,7 @@
   const timers = timerHeap();
   let now = 0;
   let suspendedMs = 0;
-  let created = 0;
+  let nextSequence = 0;
   return {
     now: () => now,
     elapsed: () => now + suspendedMs,
@@ -80,7 +80,7 @@
     after(delay, action) {
       const timer = {
         dueAtMs: now + Math.max(0, delay),
-        sequence: created++,
+        sequence: nextSequence++,
         action,
         cancelled: false,
       };
