--- a/packages/logger/src/bounded-logger.steps.ts
+++ b/packages/logger/src/bounded-logger.steps.ts
@@ -44,7 +44,7 @@
     level: "info",
     linesPerSecond,
     bufferBytes,
-    maxFlushDelayMs: maxFlushDelayMs,
+    maxFlushDelayMs,
   });
   scenes.set(world, { clock, logger, out, writes });
 }
@@ -67,14 +67,14 @@
 }
 
 When(
-  /^(\d+) ended requests are logged(?: within a second)?$/,
+  /^(\d+) requests are logged as ended(?: within a second)?$/,
   function (this: object, count: string) {
     logRequestEnds(this, Number(count));
   },
 );
 
 When(
-  "a second passes and {int} ended request is logged",
+  "a second passes and {int} request is logged as ended",
   async function (this: object, count: number) {
     await sceneOf(this).clock.runUntil(1_001);
     logRequestEnds(this, count);
--- a/packages/logger/src/bounded-logger.ts
+++ b/packages/logger/src/bounded-logger.ts
@@ -123,9 +123,9 @@
       return undefined;
     }
     window.lines += 1;
-    const leftOut = window.suppressed;
+    const suppressed = window.suppressed;
     window.suppressed = 0;
-    return leftOut;
+    return suppressed;
   };
 
   return {
@@ -135,8 +135,8 @@
       const kind = events[name];
       if (levelRank[kind.level] > levelRank[limits.level]) return;
       const unlimited = levelRank[kind.level] <= levelRank.warn;
-      const leftOut = unlimited ? 0 : admit(name);
-      if (leftOut === undefined) return;
+      const suppressed = unlimited ? 0 : admit(name);
+      if (suppressed === undefined) return;
       const line = {
         level: kind.level,
         message: kind.text,
@@ -146,7 +146,7 @@
         event: kind.number,
         name,
         ...detail,
-        leftOut: leftOut > 0 ? leftOut : undefined,
+        leftOut: suppressed > 0 ? suppressed : undefined,
       };
       batcher.add(JSON.stringify(line));
       if (unlimited) batcher.flush();
