--- a/packages/settings-watch/src/settings-watch.ts
+++ b/packages/settings-watch/src/settings-watch.ts
@@ -45,6 +45,6 @@
 
   return {
     ...repeatEvery(input.clock, input.random, input.intervalMs, checkNow),
-    checkNow: checkNow,
+    checkNow,
   };
 }
--- a/packages/settings-watch/src/watch-settings-file.ts
+++ b/packages/settings-watch/src/watch-settings-file.ts
@@ -25,7 +25,7 @@
 export function watchSettingsFile<Settings>(
   input: WatchSettingsFileInput<Settings>,
 ): SettingsWatch {
-  const { clock, random, logger, path, text, intervalMs, parse: check, onChange: take } = input;
+  const { clock, random, logger, path, text, intervalMs, parse, onChange } = input;
   const logUnusable = (reason: string) => logger.event("settingsUnusable", { reason });
   return createSettingsWatch({
     clock,
@@ -34,9 +34,9 @@
     text,
     readText: () => readSettingsFile(path),
     onChange: (changed) =>
-      check(changed).caseOf({
+      parse(changed).caseOf({
         Left: (invalid) => logUnusable(describeProblems(invalid)),
-        Right: take,
+        Right: onChange,
       }),
     onReadFailure: logUnusable,
   });
