--- a/packages/http-front/src/http-front.ts
+++ b/packages/http-front/src/http-front.ts
@@ -60,10 +60,10 @@
 
 /** Creates a front, which does not listen until `listen` is called. */
 export function createHttpFront(input: HttpFrontInput): HttpFront {
-  const serve = async (message: IncomingMessage, sink: ServerResponse) => {
+  const serve = async (message: IncomingMessage, serverResponse: ServerResponse) => {
     const callerGone = new AbortController();
-    onCallerLeft(sink, () => callerGone.abort());
-    sink.on("error", () => callerGone.abort());
+    onCallerLeft(serverResponse, () => callerGone.abort());
+    serverResponse.on("error", () => callerGone.abort());
     const body = await readBody(input.clock, message, input.limits);
     await lookInNextTurn(input.clock.now, () => callerGone.signal.aborted);
     if (callerGone.signal.aborted) return;
@@ -82,12 +82,12 @@
           signal: callerGone.signal,
         }),
     });
-    await writeResponse(sink, response, callerGone.signal);
+    await writeResponse(serverResponse, response, callerGone.signal);
   };
 
   const options = { maxHeaderSize: input.limits.maxHeaderBytes, ...input.tls };
-  const listener = (message: IncomingMessage, sink: ServerResponse) =>
-    void serve(message, sink).catch(input.onDefect);
+  const listener = (message: IncomingMessage, serverResponse: ServerResponse) =>
+    void serve(message, serverResponse).catch(input.onDefect);
   const server = input.tls ? createTls(options, listener) : createPlain(options, listener);
   server.on("clientError", respondToMalformed);
 
--- a/packages/http-front/src/write-response.ts
+++ b/packages/http-front/src/write-response.ts
@@ -5,41 +5,44 @@
 
 /** Resolves when the response has been written to the connection or the caller has disconnected. */
 export async function writeResponse(
-  sink: ServerResponse,
+  serverResponse: ServerResponse,
   response: CallerResponse,
   callerGone: AbortSignal,
 ): Promise<void> {
   if (response.body instanceof Uint8Array) {
     const length = { "content-length": String(response.body.length) };
-    sink.writeHead(response.status, { ...response.headers, ...length });
-    sink.end(response.body);
+    serverResponse.writeHead(response.status, { ...response.headers, ...length });
+    serverResponse.end(response.body);
     return;
   }
-  sink.writeHead(response.status, response.headers);
+  serverResponse.writeHead(response.status, response.headers);
   for await (const part of response.body) {
     if (callerGone.aborted) return;
     if (part.isLeft()) {
-      await abortResponse(sink);
+      await abortResponse(serverResponse);
       return;
     }
-    const writable = sink.write(part.extract());
-    if (!writable) await waitForDrain(sink, callerGone);
+    const writable = serverResponse.write(part.extract());
+    if (!writable) await waitForDrain(serverResponse, callerGone);
   }
-  sink.end();
+  serverResponse.end();
 }
 
 /** Flushes the written data, then closes the connection without the final chunk. */
-async function abortResponse(sink: ServerResponse): Promise<void> {
+async function abortResponse(serverResponse: ServerResponse): Promise<void> {
   await new Promise<void>((resolve) => {
-    sink.write("", () => resolve());
-    sink.once("close", () => resolve());
+    serverResponse.write("", () => resolve());
+    serverResponse.once("close", () => resolve());
   });
-  sink.destroy();
+  serverResponse.destroy();
 }
 
-async function waitForDrain(sink: ServerResponse, callerGone: AbortSignal): Promise<void> {
+async function waitForDrain(
+  serverResponse: ServerResponse,
+  callerGone: AbortSignal,
+): Promise<void> {
   try {
-    await once(sink, "drain", { signal: callerGone });
+    await once(serverResponse, "drain", { signal: callerGone });
   } catch {
     // The caller has disconnected; the loop above checks the signal.
   }
