--- a/packages/test-support/src/tests/keyed-store.ts
+++ b/packages/test-support/src/tests/keyed-store.ts
@@ -71,7 +71,7 @@
 
   return {
     portFor,
-    setAccess: (box, treated) => void access.set(box, treated),
+    setAccess: (box, newAccess) => void access.set(box, newAccess),
     write: (key, value) => void append(key, value),
     compact: () => {
       firstOffset = records.length;
--- a/packages/test-support/src/tests/scenario-state.ts
+++ b/packages/test-support/src/tests/scenario-state.ts
@@ -1,7 +1,8 @@
-/** Named values that the steps of one scenario share. */
+/** Values that the steps of one scenario hand to each other, by name. */
+
 export interface ScenarioState {
   set(name: string, value: unknown): void;
-  /** @throws if no step has set the value. */
+  /** @throws when no step has set the value. */
   get<T>(name: string): T;
 }
 
@@ -14,7 +15,7 @@
   return {
     set: (name, value) => void values.set(name, value),
     get<T>(name: string) {
-      if (!values.has(name)) throw new Error(`no step has set "${name}"`);
+      if (!values.has(name)) throw new Error(`no step has noted "${name}"`);
       return values.get(name) as T;
     },
   };
