--- a/packages/manifest/src/index.ts
+++ b/packages/manifest/src/index.ts
@@ -53,6 +53,6 @@
     result.caseOf<readonly FieldProblem[]>({ Left: (list) => list, Right: () => [] }),
   );
   const resources = checked.flatMap((result) => result.map((resource) => [resource]).orDefault([]));
-  const all = [...problems, ...findDuplicates(resources)];
-  return all.length > 0 ? invalid(all) : Right(resources);
+  const allProblems = [...problems, ...findDuplicates(resources)];
+  return allProblems.length > 0 ? invalid(allProblems) : Right(resources);
 }
