--- a/packages/box-peers/src/messages.ts
+++ b/packages/box-peers/src/messages.ts
@@ -4,7 +4,7 @@
 import type { LeaseWord } from "@linkfall/order-lease";
 import type {
   BlameMessage,
-  Holdings,
+  EngineInventory,
   Incarnation,
   ListedTarget,
   Milliseconds,
@@ -63,7 +63,7 @@
 /** What one engine holds, as the holder of the order lease has read it. */
 export interface EngineHoldings {
   readonly id: string;
-  readonly holdings: Holdings;
+  readonly holdings: EngineInventory;
 }
 
 /** A box as another one has heard of it. */
--- a/packages/crash-blame/src/held-store.ts
+++ b/packages/crash-blame/src/held-store.ts
@@ -48,7 +48,7 @@
 
   const read = async () => {
     while (!stopped) {
-      const answered = await stream.newest();
+      const answered = await stream.readNewest();
       answered.ifRight(({ records }) => {
         for (const { key, value } of records) if (value !== undefined) takeRecord(key, value);
         ready = true;
--- a/packages/desired-feed/src/follow-stream.ts
+++ b/packages/desired-feed/src/follow-stream.ts
@@ -79,7 +79,9 @@
       }
       const from = end;
       const before = restarts;
-      const read = await (from === undefined ? port.newest() : port.changes(from, times.waitMs));
+      const read = await (from === undefined
+        ? port.readNewest()
+        : port.readChanges(from, times.waitMs));
       if (stopped) return;
       await read.caseOf<Promise<void> | void>({
         Left: fail,
--- a/packages/entry-box/src/registry.ts
+++ b/packages/entry-box/src/registry.ts
@@ -31,7 +31,7 @@
   let registered = false;
   while (!stopped()) {
     if (!registered) registered = (await stream.put(self.box, self.peerAddress)).isRight();
-    const read = await stream.newest();
+    const read = await stream.readNewest();
     read.ifRight(({ records }) => {
       for (const { key, value } of records) {
         if (value === undefined) continue;
--- a/packages/fleet/src/belief.ts
+++ b/packages/fleet/src/belief.ts
@@ -3,7 +3,7 @@
 import type {
   EngineSpec,
   EngineState,
-  Holdings,
+  EngineInventory,
   ListedTarget,
   Milliseconds,
 } from "@linkfall/types";
@@ -40,7 +40,7 @@
   /** From when on its absence counts: while the store is disturbed nobody can renew an entry. */
   missingSince?: Milliseconds;
   /** Newest word of what it holds, by the number of orders that it has taken. */
-  holdings: Holdings;
+  holdings: EngineInventory;
   /** When that word was last confirmed. */
   holdingsAt: Milliseconds;
   state?: EngineState;
@@ -100,7 +100,11 @@
 }
 
 /** Takes newer holdings of the life that is believed in; returns whether anything changed. */
-export function takeHoldings(belief: TargetBelief, holdings: Holdings, now: Milliseconds): boolean {
+export function takeHoldings(
+  belief: TargetBelief,
+  holdings: EngineInventory,
+  now: Milliseconds,
+): boolean {
   const known = belief.holdings;
   if (holdings.sequence < known.sequence) return false;
   belief.holdingsAt = now;
@@ -121,7 +125,7 @@
   return takeHoldings(belief, { sequence: belief.holdings.sequence, models }, now);
 }
 
-function dropGone(belief: TargetBelief, before: Holdings, after: Holdings): void {
+function dropGone(belief: TargetBelief, before: EngineInventory, after: EngineInventory): void {
   const names = new Set(after.models.map((model) => model.name));
   for (const model of before.models) {
     if (!names.has(model.name)) belief.prefixes.drop(model.name);
--- a/packages/fleet/src/fleet-state.ts
+++ b/packages/fleet/src/fleet-state.ts
@@ -1,7 +1,7 @@
 /** What the steps of the fleet share. */
 import type { Clock } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
-import type { EngineSpec, Holdings, Milliseconds } from "@linkfall/types";
+import type { EngineSpec, EngineInventory, Milliseconds } from "@linkfall/types";
 import type { TargetBelief } from "./belief.js";
 import type { EjectionRule } from "./health.js";
 
@@ -24,7 +24,7 @@
   readonly rules: FleetRules;
   readonly beliefs: Map<string, TargetBelief>;
   /** Holdings that were told of before their target, or its life, was listed here. */
-  readonly early: Map<string, Holdings>;
+  readonly early: Map<string, EngineInventory>;
   readonly listeners: (() => void)[];
   /** Called with the id of a target that is gone or has started again. */
   readonly lifeListeners: ((id: string) => void)[];
--- a/packages/fleet/src/fleet.steps.ts
+++ b/packages/fleet/src/fleet.steps.ts
@@ -2,7 +2,7 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import { clockName, createKernel, createVirtualClock, type VirtualClock } from "@linkfall/kernel";
 import { loggerName, recordingLogger } from "@linkfall/logger";
-import type { EngineState, Holdings, ListedTarget, Milliseconds } from "@linkfall/types";
+import type { EngineState, EngineInventory, ListedTarget, Milliseconds } from "@linkfall/types";
 import fc from "fast-check";
 import { createFleet, type Fleet, holds } from "./index.js";
 
@@ -25,11 +25,11 @@
   return { id, born, service, address: `10.0.0.1:${id.length}`, domain: "d", slots: 4, leaving };
 }
 
-function holding(born: Milliseconds | undefined, sequence: number, model: string): Holdings {
+function holding(born: Milliseconds | undefined, sequence: number, model: string): EngineInventory {
   return { born, sequence, models: [{ name: model, version: 1, adapters: [] }] };
 }
 
-function stateOf(holdings: Holdings): EngineState {
+function stateOf(holdings: EngineInventory): EngineState {
   const idle = { busy: false, waiting: 0, running: 0, cacheTokensUsed: 0 };
   const weights = { inMemory: new Set<string>(), onDisk: new Set<string>(), adaptersComing: [] };
   return { ...holdings, ...idle, ...weights, limit: { kind: "none" } };
@@ -209,9 +209,11 @@
 });
 
 /** Plays a history, later births counting as later lives; returns what is believed in the end and what is true. */
-async function playHistory(words: readonly Word[]): Promise<readonly [Holdings, Holdings]> {
+async function playHistory(
+  words: readonly Word[],
+): Promise<readonly [EngineInventory, EngineInventory]> {
   const { fleet, clock } = newFleet();
-  const lives: Holdings[][] = [[holding(1_000, 0, "m0")]];
+  const lives: EngineInventory[][] = [[holding(1_000, 0, "m0")]];
   const last = () => lives[lives.length - 1][lives[lives.length - 1].length - 1];
   fleet.takeList([listed("t", false, 1_000)]);
   const say = ({ kind, livesAgo, ordersAgo }: Word) => {
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -4,7 +4,7 @@
 import type {
   EngineSpec,
   EngineState,
-  Holdings,
+  EngineInventory,
   ListedTarget,
   Milliseconds,
 } from "@linkfall/types";
@@ -31,7 +31,7 @@
   leaveAlone(id: string): void;
   takeState(id: string, state: EngineState, ageMs: Milliseconds): void;
   /** Takes what the holder of the order lease tells, also of a target that is not listed here yet. */
-  takeHoldings(id: string, holdings: Holdings): void;
+  takeHoldings(id: string, holdings: EngineInventory): void;
   /** Requests of the other boxes, by target. */
   takeOthers(loads: ReadonlyMap<string, TargetLoad>): void;
   withhold(models: ReadonlyMap<string, readonly string[]>): void;
@@ -84,7 +84,7 @@
   if (takeHoldings(belief, read, now)) noteChange(state);
 }
 
-function takeTold(state: FleetState, id: string, holdings: Holdings): void {
+function takeTold(state: FleetState, id: string, holdings: EngineInventory): void {
   const known = state.beliefs.get(id);
   if (!known) return keepEarly(state, id, holdings);
   const belief = lifeOfTold(state, known, holdings);
--- a/packages/fleet/src/lives.ts
+++ b/packages/fleet/src/lives.ts
@@ -4,7 +4,7 @@
  * new belief; the second, since whoever holds on to the old belief (a send under way, an order that is not answered) then
  * changes nothing of the new one.
  */
-import type { Holdings, ListedTarget, Milliseconds } from "@linkfall/types";
+import type { EngineInventory, ListedTarget, Milliseconds } from "@linkfall/types";
 import { createBelief, takeHoldings, type TargetBelief } from "./belief.js";
 import { type FleetState, noteChange } from "./fleet-state.js";
 
@@ -23,7 +23,7 @@
 }
 
 /** Keeps what was told of a target until the list brings it, or its life. */
-export function keepEarly({ early }: FleetState, id: string, holdings: Holdings): void {
+export function keepEarly({ early }: FleetState, id: string, holdings: EngineInventory): void {
   early.delete(id);
   early.set(id, holdings);
   if (early.size > mostEarly) early.delete(early.keys().next().value ?? "");
@@ -81,7 +81,7 @@
 export function lifeOfOwnWord(
   state: FleetState,
   belief: TargetBelief,
-  { born }: Holdings,
+  { born }: EngineInventory,
 ): TargetBelief {
   if (isSameLife(born, belief.born)) return belief;
   return beginLife(state, sinceRestart(belief.listed), born, "own_word");
@@ -94,7 +94,7 @@
 export function lifeOfTold(
   state: FleetState,
   belief: TargetBelief,
-  holdings: Holdings,
+  holdings: EngineInventory,
 ): TargetBelief | undefined {
   const { born } = holdings;
   if (isSameLife(born, belief.born)) return belief;
--- a/packages/order-lease/src/order-lease.steps.ts
+++ b/packages/order-lease/src/order-lease.steps.ts
@@ -227,9 +227,9 @@
     const port = scene.store.portFor(name);
     const box: LeaseBox = addBox(scene, name, 1, {
       ...port,
-      async newest() {
+      async readNewest() {
         box.lease.hear(word);
-        return port.newest();
+        return port.readNewest();
       },
     });
     // It hears of the claim then and not before.
--- a/packages/order-lease/src/order-lease.ts
+++ b/packages/order-lease/src/order-lease.ts
@@ -101,7 +101,7 @@
     reading = true;
     const sentAt = clock.elapsed();
     const read =
-      state.end === undefined ? await stream.newest() : await stream.changes(state.end, 0);
+      state.end === undefined ? await stream.readNewest() : await stream.readChanges(state.end, 0);
     reading = false;
     read.ifLeft(forget).ifRight((batch) => {
       takeBatch(batch);
@@ -126,7 +126,7 @@
 
   const claim = async () => {
     const before = state.claim.offset;
-    const read = await stream.newest();
+    const read = await stream.readNewest();
     if (read.isLeft()) return;
     read.ifRight(takeBatch);
     // Somebody else was faster, as the read or another box has told meanwhile.
--- a/packages/ports/src/keyed-stream-port.ts
+++ b/packages/ports/src/keyed-stream-port.ts
@@ -24,9 +24,9 @@
 
 export interface KeyedStreamPort {
   /** The newest record of each key. */
-  newest(): Promise<Either<LogFailure, KeyedBatch>>;
+  readNewest(): Promise<Either<LogFailure, KeyedBatch>>;
   /** Records from offset `from` on; waits up to `waitMs` for the first one. */
-  changes(from: Offset, waitMs: Milliseconds): Promise<Either<LogFailure, KeyedBatch>>;
+  readChanges(from: Offset, waitMs: Milliseconds): Promise<Either<LogFailure, KeyedBatch>>;
   /** Appends a record and returns its offset; if `at` is given, only if the stream ends there. */
   put(key: string, value: string, at?: Offset): Promise<Either<LogFailure | EndMoved, Offset>>;
 }
--- a/packages/ports/src/routed-ports.ts
+++ b/packages/ports/src/routed-ports.ts
@@ -3,7 +3,7 @@
 import type {
   EngineState,
   FencedOrder,
-  LimitNotice,
+  AdvertisedLimit,
   ListedTarget,
   Milliseconds,
   OrderResult,
@@ -43,7 +43,7 @@
   /** Time for which the target asked not to receive requests; absent if it did not ask. */
   readonly retryAfterMs?: Milliseconds;
   /** Request limit that the target advertises. */
-  readonly limit: LimitNotice;
+  readonly limit: AdvertisedLimit;
 }
 
 /** Translates between headers on the wire and linkfall's metadata. */
@@ -65,6 +65,6 @@
 
 /** Polls the state of engines and sends them orders. */
 export interface RoutedEnginePort {
-  state(target: ListedTarget): Promise<Either<TargetUnreachable, EngineState>>;
+  readState(target: ListedTarget): Promise<Either<TargetUnreachable, EngineState>>;
   order(target: ListedTarget, order: FencedOrder): Promise<OrderResult>;
 }
--- a/packages/target-limits/src/limit-book.steps.ts
+++ b/packages/target-limits/src/limit-book.steps.ts
@@ -2,7 +2,7 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
 import { scenarioState } from "@linkfall/test-support";
-import type { LimitNotice } from "@linkfall/types";
+import type { AdvertisedLimit } from "@linkfall/types";
 import { createLimitBook, type LimitBook } from "./index.js";
 
 interface Scene {
@@ -18,7 +18,7 @@
   world: object,
   sentAt: number,
   at: number,
-  notice: LimitNotice,
+  notice: AdvertisedLimit,
   served = true,
 ): Promise<void> {
   const { clock, book } = sceneOf(world);
@@ -26,7 +26,7 @@
   book.hear({ target, notice, sentMsAgo: at - sentAt, served });
 }
 
-const limited = (perSecond: number): LimitNotice => ({ kind: "limited", perSecond });
+const limited = (perSecond: number): AdvertisedLimit => ({ kind: "limited", perSecond });
 
 Given(
   "a target that named a limit of {float} a second at {int} ms",
--- a/packages/target-limits/src/limit-book.ts
+++ b/packages/target-limits/src/limit-book.ts
@@ -4,7 +4,7 @@
 import type {
   Incarnation,
   LimitedTarget,
-  LimitNotice,
+  AdvertisedLimit,
   Milliseconds,
   TargetLimitRecord,
   TargetLimitMessage,
@@ -25,7 +25,7 @@
 /** What one answer of a target shows. */
 export interface HeardAnswer {
   readonly target: string;
-  readonly notice: LimitNotice;
+  readonly notice: AdvertisedLimit;
   /** Time since the request was sent that it answers. */
   readonly sentMsAgo: Milliseconds;
   /** Whether the target has made the answer as it should; failures may lack what it says of itself. */
--- a/packages/test-support/src/tests/keyed-store.ts
+++ b/packages/test-support/src/tests/keyed-store.ts
@@ -44,12 +44,12 @@
   };
 
   const portFor = (box: string): KeyedStreamPort => ({
-    async newest() {
+    async readNewest() {
       reads += 1;
       await wait(1);
       return accessOf(box) === "serves" ? Right(readNewest()) : unavailable();
     },
-    async changes(from, waitMs) {
+    async readChanges(from, waitMs) {
       reads += 1;
       const until = clock.now() + waitMs;
       await wait(1);
--- a/packages/types/src/routed-targets.ts
+++ b/packages/types/src/routed-targets.ts
@@ -1,21 +1,21 @@
 /** Targets as listed by the platform and as reported by the targets themselves. */
 import type { Milliseconds } from "./identifiers.js";
-import type { LimitNotice } from "./target-limits.js";
+import type { AdvertisedLimit } from "./target-limits.js";
 
 /** A model that is loaded on an engine. */
-export interface ResidentModel {
+export interface LoadedModel {
   readonly name: string;
   readonly version: number;
   readonly adapters: readonly string[];
 }
 
 /** Models that an engine reports as loaded. */
-export interface Holdings {
+export interface EngineInventory {
   /** Start time of the reporting incarnation, in Unix milliseconds by the target's clock; absent if unknown. */
   readonly born?: Milliseconds;
   /** Number of orders that the engine has accepted since its start. */
   readonly sequence: number;
-  readonly models: readonly ResidentModel[];
+  readonly models: readonly LoadedModel[];
 }
 
 /** A target as listed by the platform. */
@@ -34,11 +34,11 @@
   readonly slots: number;
   readonly leaving: boolean;
   /** Loaded models at the time of the listing; absent for targets of plain services. */
-  readonly models?: readonly ResidentModel[];
+  readonly models?: readonly LoadedModel[];
 }
 
 /** State that an engine reports when it is polled. */
-export interface EngineState extends Holdings {
+export interface EngineState extends EngineInventory {
   /** Whether an order is in progress. */
   readonly busy: boolean;
   /** Number of queued requests. */
@@ -53,7 +53,7 @@
   /** Adapters that are being loaded, as `model/adapter`. */
   readonly adaptersComing: readonly string[];
   /** Request limit that the engine advertises. */
-  readonly limit: LimitNotice;
+  readonly limit: AdvertisedLimit;
 }
 
 /** Loads or unloads the weights of a model or an adapter. */
--- a/packages/types/src/target-limits.ts
+++ b/packages/types/src/target-limits.ts
@@ -2,7 +2,7 @@
 import type { Milliseconds } from "./identifiers.js";
 
 /** The limit that a response advertises for its target. */
-export type LimitNotice =
+export type AdvertisedLimit =
   | { readonly kind: "none" }
   /** Requests per second that the target accepts from all boxes together. */
   | { readonly kind: "limited"; readonly perSecond: number }
--- a/packages/weight-orders/src/ask-engines.ts
+++ b/packages/weight-orders/src/ask-engines.ts
@@ -12,7 +12,7 @@
   state.asking.add(id);
   const sentAt = clock.now();
   state.asked.set(id, sentAt);
-  const answer = await context.engines.state(belief.listed);
+  const answer = await context.engines.readState(belief.listed);
   state.asking.delete(id);
   // An answer of a life that is over says nothing of the one that is known by now.
   if (fleet.find(id) !== belief) return;
--- a/packages/weight-orders/src/give-order.ts
+++ b/packages/weight-orders/src/give-order.ts
@@ -7,7 +7,7 @@
   FencedOrder,
   Milliseconds,
   OrderResult,
-  ResidentModel,
+  LoadedModel,
   WeightOrder,
 } from "@linkfall/types";
 import { adaptersTaken, usedMb } from "@linkfall/weight-plan";
@@ -26,7 +26,7 @@
 export interface PlannedOrder {
   readonly wanted: WeightOrder;
   readonly expectedSequence: number;
-  readonly residents: readonly ResidentModel[];
+  readonly residents: readonly LoadedModel[];
 }
 
 /** The order against what the engine says that it holds. */
@@ -137,7 +137,7 @@
 }
 
 /** What an engine holds of a model after an order about one of its adapters. */
-function withAdapter(held: ResidentModel, { action, model, adapter }: FencedOrder): ResidentModel {
+function withAdapter(held: LoadedModel, { action, model, adapter }: FencedOrder): LoadedModel {
   if (held.name !== model || adapter === undefined) return held;
   const others = held.adapters.filter((name) => name !== adapter);
   return { ...held, adapters: action === "load" ? [...others, adapter] : others };
--- a/packages/weight-orders/src/giver-context.ts
+++ b/packages/weight-orders/src/giver-context.ts
@@ -10,7 +10,7 @@
   EngineSpec,
   EngineState,
   Epoch,
-  LimitNotice,
+  AdvertisedLimit,
   Milliseconds,
   RoutedConfiguration,
 } from "@linkfall/types";
@@ -43,7 +43,7 @@
   /** Requests a second that a target takes; undefined where it takes any number. */
   takesPerSecond(target: string): number | undefined;
   /** Called when an engine has named a limit in its report. */
-  noteLimit(target: string, limit: LimitNotice): void;
+  noteLimit(target: string, limit: AdvertisedLimit): void;
   /** Called when other boxes should hear of a change at once. */
   announce(): void;
 }
--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -149,7 +149,7 @@
     });
   const find = (id: string) => scene.engines.find((engine) => engine.id === id);
   return {
-    async state({ id }) {
+    async readState({ id }) {
       await after(scene.answerMs);
       const engine = find(id);
       if (!engine) {
--- a/packages/weight-plan/src/engine-view.ts
+++ b/packages/weight-plan/src/engine-view.ts
@@ -1,5 +1,5 @@
 /** What the planner knows: engines with what they hold, and what is asked of each model. */
-import type { DeclaredModel, Mebibytes, Milliseconds, ResidentModel } from "@linkfall/types";
+import type { DeclaredModel, Mebibytes, Milliseconds, LoadedModel } from "@linkfall/types";
 
 /** One engine as the planner sees it. */
 export interface EngineView {
@@ -7,7 +7,7 @@
   readonly domain: string;
   readonly memoryMb: Mebibytes;
   readonly adapterSlots: number;
-  readonly residents: readonly ResidentModel[];
+  readonly residents: readonly LoadedModel[];
   /** Adapters on their way, as `model/adapter`. */
   readonly adaptersComing: readonly string[];
   readonly inMemory: ReadonlySet<string>;
