--- a/packages/http-front/src/http-front.steps.ts
+++ b/packages/http-front/src/http-front.steps.ts
@@ -28,14 +28,14 @@
   async function (this: object) {
     const clock = createVirtualClock();
     const handled: string[] = [];
-    const whole: CallerResponse = { status: 200, headers: {}, body: Buffer.from("fine") };
+    const okResponse: CallerResponse = { status: 200, headers: {}, body: Buffer.from("fine") };
     const front = createHttpFront({
       clock,
       address: "127.0.0.1:0",
       limits: { maxBodyBytes: 100, maxHeaderBytes: 1_000, bodyTimeoutMs },
       async handle({ path }) {
         handled.push(path);
-        return path === "/cut" ? { ...whole, body: cutBody() } : whole;
+        return path === "/cut" ? { ...okResponse, body: cutBody() } : okResponse;
       },
       onDefect(problem) {
         throw problem;
--- a/packages/settings-watch/src/settings-watch.steps.ts
+++ b/packages/settings-watch/src/settings-watch.steps.ts
@@ -35,7 +35,7 @@
   "a watched settings file with the text {string}",
   async function (this: object, text: string) {
     const clock = createVirtualClock();
-    const taken: string[] = [];
+    const changes: string[] = [];
     const failures: string[] = [];
     const watch = createSettingsWatch({
       clock,
@@ -43,10 +43,10 @@
       intervalMs,
       text,
       readText: () => sceneOf(this).file,
-      onChange: (changed) => void taken.push(changed),
+      onChange: (changed) => void changes.push(changed),
       onReadFailure: (reason) => void failures.push(reason),
     });
-    scenes.set(this, { clock, watch, changes: taken, failures, file: Right(text) });
+    scenes.set(this, { clock, watch, changes, failures, file: Right(text) });
     await watch.start();
   },
 );
--- a/packages/test-support/src/tests/keyed-store.ts
+++ b/packages/test-support/src/tests/keyed-store.ts
@@ -37,7 +37,7 @@
     new Promise<void>((resolve) => {
       clock.after(delay, resolve);
     });
-  const readNewest = (): KeyedBatch => {
+  const newestRecords = (): KeyedBatch => {
     const newest = new Map(records.map((record) => [record.key, record]));
     const kept = [...newest.values()].filter((record) => record.value !== undefined);
     return { records: kept, end: records.length };
@@ -47,7 +47,7 @@
     async readNewest() {
       reads += 1;
       await wait(1);
-      return accessOf(box) === "serves" ? Right(readNewest()) : unavailable();
+      return accessOf(box) === "serves" ? Right(newestRecords()) : unavailable();
     },
     async readChanges(from, waitMs) {
       reads += 1;
