--- a/packages/account-quota/src/account-quota.steps.ts
+++ b/packages/account-quota/src/account-quota.steps.ts
@@ -5,7 +5,7 @@
 import type { AccountLimit, ClientAccount, RequestMetadata } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
 import {
-  type AllottedUnits,
+  type GrantSummary,
   type AccountQuota,
   createAccountQuota,
   createQuotaAllocator,
@@ -136,7 +136,7 @@
   readonly quota: AccountQuota;
   readonly decisions: QuotaDecision[];
   /** What the box has told of limits that run short. */
-  readonly told: AllottedUnits[];
+  readonly told: GrantSummary[];
   readonly tookMs: number[];
 }
 
@@ -145,9 +145,13 @@
 const tolerance = { windowSeconds: 8, overage: 0.1, slack: 0 };
 
 function setUpBox(world: object, peers: Omit<QuotaPeers, "self">, clock: VirtualClock): void {
-  const told: AllottedUnits[] = [];
-  const onShort = (allotted: AllottedUnits) => void told.push(allotted);
-  const quota = createAccountQuota(clock, { self: "self", onShort, ...peers }, tolerance);
+  const told: GrantSummary[] = [];
+  const onShort = (allotted: GrantSummary) => void told.push(allotted);
+  const quota = createAccountQuota(
+    clock,
+    { self: "self", onExhausted: onShort, ...peers },
+    tolerance,
+  );
   scenarioState(world).set("box", {
     clock,
     quota,
@@ -183,7 +187,7 @@
     const silent = async (): Promise<never> => new Promise(() => undefined);
     setUpBox(
       this,
-      { ...alike, allocators: () => ["x", "y", "z"], ask: silent, ownPart: () => 0.1 },
+      { ...alike, allocators: () => ["x", "y", "z"], sendRequest: silent, ownShare: () => 0.1 },
       clock,
     );
   },
@@ -192,13 +196,13 @@
 Given("a box that allocates for itself", function (this: object) {
   const failure = { kind: "peer_unreachable", reason: "none", mayHaveArrived: false } as const;
   const ask = async () => Left(failure);
-  setUpBox(this, { ...alike, allocators: () => ["self"], ask }, createVirtualClock());
+  setUpBox(this, { ...alike, allocators: () => ["self"], sendRequest: ask }, createVirtualClock());
 });
 
 Given("a box that is cut off from most others", function (this: object) {
   const ask = async () => Right({ granted: 0, waitMs: 0, declined: true });
   const peers = { ...alike, allocators: () => ["x", "self"], ask, connected: () => false };
-  setUpBox(this, { ...peers, ownPart: () => 0.1 }, createVirtualClock());
+  setUpBox(this, { ...peers, ownShare: () => 0.1 }, createVirtualClock());
 });
 
 Then("it declines to allocate for others", async function (this: object) {
@@ -247,7 +251,7 @@
 );
 
 When("{int} units are given back", function (this: object, units: number) {
-  boxOf(this).quota.giveBack({ account: accountOf(1000), units, version: 1 });
+  boxOf(this).quota.refund({ account: accountOf(1000), units, version: 1 });
 });
 
 Then("a request of {int} units is let through", async function (this: object, units: number) {
--- a/packages/caller-service/src/completion-endpoint.ts
+++ b/packages/caller-service/src/completion-endpoint.ts
@@ -1,6 +1,6 @@
 /** `POST /v1/completions` in the usual OpenAI-compatible shape. */
 import {
-  type CompletionEnd,
+  type CompletionResult,
   type CompletionJob,
   completionsName,
   type CompletionToken,
@@ -71,7 +71,7 @@
  * What follows the last token: the end marker, or an error event and a cut. A caller must not take a
  * fragment for an answer.
  */
-function lastParts(end: CompletionEnd): readonly BodyPart[] {
+function lastParts(end: CompletionResult): readonly BodyPart[] {
   if (end.kind === "answered") return [Right(Buffer.from("data: [DONE]\n\n"))];
   const cut: TargetUnreachable = {
     kind: "target_unreachable",
@@ -123,13 +123,13 @@
   const streamed = async (job: CompletionJob, name: string): Promise<CallerResponse> => {
     const stop = new AbortController();
     const onGone = () => stop.abort();
-    job.gone.addEventListener("abort", onGone, { once: true });
+    job.callerGone.addEventListener("abort", onGone, { once: true });
     const chunks = createChunkQueue(() => stop.abort());
-    const running = completions.run({ ...job, gone: stop.signal }, (token) =>
+    const running = completions.run({ ...job, callerGone: stop.signal }, (token) =>
       chunks.push(Right(Buffer.from(chunkOf(job.id, name, token)))),
     );
     const ended = running.then((end) => {
-      job.gone.removeEventListener("abort", onGone);
+      job.callerGone.removeEventListener("abort", onGone);
       for (const part of lastParts(end)) void chunks.push(part);
       chunks.end();
       return end;
@@ -167,7 +167,7 @@
         priority: terms.priority,
         deadlineAt: clock.now() + terms.deadlineMs,
         repeatable: terms.repeatable ?? true,
-        gone,
+        callerGone: gone,
       };
       return body.stream ? streamed(job, body.model) : gathered(job, body.model);
     },
--- a/packages/caller-service/src/entries.ts
+++ b/packages/caller-service/src/entries.ts
@@ -2,7 +2,7 @@
 import { settingsName } from "@linkfall/config";
 import { type Kernel, randomName, serviceName } from "@linkfall/kernel";
 import { membershipName } from "@linkfall/membership";
-import type { TicketOffice } from "@linkfall/once";
+import type { TicketIssuer } from "@linkfall/once";
 import type { CallerResponse } from "@linkfall/ports";
 import { jsonResponse } from "@linkfall/refusals";
 import { topNodes } from "@linkfall/rendezvous";
@@ -12,7 +12,7 @@
 /** Most addresses in one answer. */
 const mostEntries = 8;
 
-export const ticketOfficeName = serviceName<TicketOffice>("ticket-office");
+export const ticketOfficeName = serviceName<TicketIssuer>("ticket-office");
 
 export type AnswerEntries = (account: Account, query: URLSearchParams) => CallerResponse;
 
--- a/packages/caller-service/src/owner-route.ts
+++ b/packages/caller-service/src/owner-route.ts
@@ -41,8 +41,8 @@
   const settings = kernel.find(settingsName).callers;
   const memory = createOnceMemory(clock, kernel.find(ticketOfficeName), {
     retentionMs: settings.once_retention_ms,
-    entries: settings.once_entries,
-    answerBytes: settings.once_answer_bytes,
+    maxEntries: settings.once_entries,
+    maxAnswerBytes: settings.once_answer_bytes,
   });
 
   const ownerGone = (reason: string) =>
--- a/packages/caller-service/src/run-request.ts
+++ b/packages/caller-service/src/run-request.ts
@@ -44,7 +44,7 @@
   };
 
   const admitAndRun = async (account: Account, prepared: PreparedRequest, gone: AbortSignal) => {
-    usage.note(account.name, prepared.model, prepared.tokens);
+    usage.recordRequest(account.name, prepared.model, prepared.tokens);
     const overRate = limits.admit(account);
     return overRate ? refusalResponse(overRate) : runCounted(account, prepared, gone);
   };
--- a/packages/caller-service/src/service-endpoint.ts
+++ b/packages/caller-service/src/service-endpoint.ts
@@ -73,7 +73,7 @@
         body: request.body,
         deadlineAt: clock.now() + terms.deadlineMs,
         repeatable: repeatable && !call.declaredNotRepeatable,
-        gone,
+        callerGone: gone,
       });
     },
   };
--- a/packages/completion/src/engine-stream.steps.ts
+++ b/packages/completion/src/engine-stream.steps.ts
@@ -7,7 +7,7 @@
 import { scenarioState } from "@linkfall/test-support";
 import fc from "fast-check";
 import { Left, Right } from "purify-ts";
-import { attemptHeader, readEngineStream, type StreamEnd } from "./engine-stream.js";
+import { attemptHeader, readEngineStream, type StreamResult } from "./engine-stream.js";
 import type { CompletionToken } from "./job.js";
 
 const stallMs = 2_000;
@@ -20,7 +20,7 @@
 
 interface ReadResult {
   readonly tokens: readonly CompletionToken[];
-  readonly end: StreamEnd;
+  readonly end: StreamResult;
 }
 
 async function read(
--- a/packages/entry-box/src/accounts.steps.ts
+++ b/packages/entry-box/src/accounts.steps.ts
@@ -3,8 +3,8 @@
 import type { BoxProfile, BoxStatus } from "@linkfall/box-peers";
 import { scenarioState } from "@linkfall/test-support";
 import { createBoundedLabel } from "./bounded-label.js";
-import { hearsMost } from "./connected.js";
-import { partsOf } from "./limit-parts.js";
+import { reachesMajority } from "./connected.js";
+import { limitSharesOf } from "./limit-parts.js";
 import { rankAllocators } from "./allocators.js";
 
 function profileOf(capacity: number, index: number, leaving = false): BoxProfile {
@@ -66,7 +66,7 @@
 
 Then("boxes of capacity {string} have the parts {string}", (capacities: string, parts: string) => {
   const boxes = numbers(capacities).map((capacity, index) => profileOf(capacity, index));
-  assert.deepEqual([...partsOf(boxes).values()], numbers(parts));
+  assert.deepEqual([...limitSharesOf(boxes).values()], numbers(parts));
 });
 
 Then(
@@ -74,7 +74,7 @@
   (most: number, heard: number, answer: string) => {
     const statuses = Array.from({ length: heard }, () => ({}) as BoxStatus);
     const peers = { statuses: () => statuses, most: () => most };
-    assert.equal(hearsMost(peers) ? "yes" : "no", answer);
+    assert.equal(reachesMajority(peers) ? "yes" : "no", answer);
   },
 );
 
--- a/packages/entry-box/src/box-ranking.steps.ts
+++ b/packages/entry-box/src/box-ranking.steps.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
 import { scenarioState } from "@linkfall/test-support";
-import { chooseReaders, type PlacedBox } from "./box-ranking.js";
+import { chooseReaders, type BoxInDomain } from "./box-ranking.js";
 
-const placed = (names: string, domain: string, capacity: number): readonly PlacedBox[] =>
+const placed = (names: string, domain: string, capacity: number): readonly BoxInDomain[] =>
   names.split(" ").map((box) => ({ box, domain, capacity }));
 
-const boxesOf = (world: object) => scenarioState(world).get<readonly PlacedBox[]>("boxes");
+const boxesOf = (world: object) => scenarioState(world).get<readonly BoxInDomain[]>("boxes");
 
 Given(
   "boxes {string} of domain {string} with capacity {int}, and {string} of domain {string} with capacity {int}",
--- a/packages/entry-box/src/entries.steps.ts
+++ b/packages/entry-box/src/entries.steps.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { type DataTable, Given, Then } from "@cucumber/cucumber";
 import { scenarioState } from "@linkfall/test-support";
-import { chooseEntries, type EntryOfBox } from "./entries.js";
+import { chooseEntries, type EntryCandidate } from "./entries.js";
 
-const boxesOf = (world: object) => scenarioState(world).get<readonly EntryOfBox[]>("boxes");
-const keep = (world: object, boxes: readonly EntryOfBox[]) =>
+const boxesOf = (world: object) => scenarioState(world).get<readonly EntryCandidate[]>("boxes");
+const keep = (world: object, boxes: readonly EntryCandidate[]) =>
   scenarioState(world).set("boxes", boxes);
 const split = (names: string) => names.split(" ");
 
--- a/packages/http-front/src/http-front.ts
+++ b/packages/http-front/src/http-front.ts
@@ -2,7 +2,7 @@
 import { createServer as createPlain, type IncomingMessage, type ServerResponse } from "node:http";
 import { createServer as createTls } from "node:https";
 import type { AddressInfo, Socket } from "node:net";
-import { lookInNextTurn, onCallerLeft } from "@linkfall/caller-presence";
+import { awaitPendingDisconnectsAfterRead, onCallerDisconnect } from "@linkfall/caller-presence";
 import type { AddressUnavailable } from "@linkfall/errors";
 import type { Clock } from "@linkfall/kernel";
 import type { CallerRequest, CallerResponse } from "@linkfall/ports";
@@ -62,10 +62,10 @@
 export function createHttpFront(input: HttpFrontInput): HttpFront {
   const serve = async (message: IncomingMessage, serverResponse: ServerResponse) => {
     const callerGone = new AbortController();
-    onCallerLeft(serverResponse, () => callerGone.abort());
+    onCallerDisconnect(serverResponse, () => callerGone.abort());
     serverResponse.on("error", () => callerGone.abort());
     const body = await readBody(input.clock, message, input.limits);
-    await lookInNextTurn(input.clock.now, () => callerGone.signal.aborted);
+    await awaitPendingDisconnectsAfterRead(input.clock.now, () => callerGone.signal.aborted);
     if (callerGone.signal.aborted) return;
     const response = await body.caseOf({
       Left: async (refusal) => {
--- a/packages/lease-holder/src/lease-clock.steps.ts
+++ b/packages/lease-holder/src/lease-clock.steps.ts
@@ -22,11 +22,11 @@
       fc.property(delay, delay, delay, delay, (sentAt, inLog, read, wait) => {
         const holder = createLeaseClock();
         const rival = createLeaseClock();
-        holder.sent(lease.epoch, sentAt);
+        holder.recordSent(lease.epoch, sentAt);
         const readAt = sentAt + inLog + read;
-        rival.read(lease, readAt);
+        rival.recordRead(lease, readAt);
         const now = readAt + wait;
-        assert.ok(!(holder.heldNow(lease, now) && rival.lapsed(lease, 0, now)));
+        assert.ok(!(holder.isHeld(lease, now) && rival.hasExpired(lease, 0, now)));
       }),
       { seed: 3, numRuns: 1_000 },
     );
@@ -35,7 +35,7 @@
 
 Given("a lease of 1000 ms that a rival has read at 500 ms", function (this: object) {
   const rival = createLeaseClock();
-  rival.read(lease, 500);
+  rival.recordRead(lease, 500);
   scenarioState(this).set("rival", rival);
 });
 
@@ -43,7 +43,7 @@
   "it has not lapsed for the rival at 1500 ms and has at 1701 ms with a margin of 200 ms",
   function (this: object) {
     const rival = scenarioState(this).get<LeaseClock>("rival");
-    assert.equal(rival.lapsed(lease, 200, 1_500), false);
-    assert.equal(rival.lapsed(lease, 200, 1_701), true);
+    assert.equal(rival.hasExpired(lease, 200, 1_500), false);
+    assert.equal(rival.hasExpired(lease, 200, 1_701), true);
   },
 );
--- a/packages/ledger/src/ledger.steps.ts
+++ b/packages/ledger/src/ledger.steps.ts
@@ -3,7 +3,7 @@
 import { InvariantBroken } from "@linkfall/errors";
 import { engine, scenarioState, report } from "@linkfall/test-support";
 import type { EngineRole, LoadOrder, Order } from "@linkfall/types";
-import { assertRoomFor, ledgersOf } from "./index.js";
+import { assertMemoryAvailable, computeLedgers } from "./index.js";
 
 const declared = engine("e1");
 const head = { id: "o1", engine: "e1", engineIncarnation: "e1-1", epoch: 1, cause: "reachability" };
@@ -38,7 +38,7 @@
 );
 
 Then("{int} MB are free", function (this: object, free: number) {
-  const [ledger] = ledgersOf(
+  const [ledger] = computeLedgers(
     declared,
     scenarioState(this).get("report"),
     scenarioState(this).get("open"),
@@ -50,7 +50,7 @@
   "giving an order to load {int} MB stops with the invariant {string}",
   function (this: object, sizeMb: number, name: string) {
     assert.throws(
-      () => assertRoomFor(load(sizeMb), declared, scenarioState(this).get("report"), []),
+      () => assertMemoryAvailable(load(sizeMb), declared, scenarioState(this).get("report"), []),
       (problem) => problem instanceof InvariantBroken && problem.invariant === name,
     );
   },
--- a/packages/membership/src/round-peers.ts
+++ b/packages/membership/src/round-peers.ts
@@ -7,7 +7,7 @@
  * @param known addresses from whatever source, with repeats
  * @param own this box's address, which is left out
  */
-export function peersOfRound(
+export function selectRoundPeers(
   random: Random,
   known: readonly string[],
   own: string,
--- a/packages/once/src/once.steps.ts
+++ b/packages/once/src/once.steps.ts
@@ -6,7 +6,7 @@
 import { scenarioState } from "@linkfall/test-support";
 import { Right } from "purify-ts";
 import { createOnceMemory, type OnceMemory } from "./once-memory.js";
-import { createTicketOffice, type OnceId, parseOnceId } from "./tickets.js";
+import { createTicketIssuer, type OnceId, parseOnceId } from "./tickets.js";
 
 const lifetimeMs = 1_000;
 const retentionMs = 5_000;
@@ -25,7 +25,7 @@
   "the owner of a ticket of account {string} with room for 2 requests",
   function (this: object, account: string) {
     const clock = createVirtualClock();
-    const office = createTicketOffice(clock, "b@aa", "secret", lifetimeMs);
+    const office = createTicketIssuer(clock, "b@aa", "secret", lifetimeMs);
     const memory = createOnceMemory(clock, office, limits);
     scenarioState(this).set("owner", { clock, memory, ticket: office.issue(account).id, runs: 0 });
   },
--- a/packages/operator-service/src/operator-service.ts
+++ b/packages/operator-service/src/operator-service.ts
@@ -161,10 +161,10 @@
       .with(["GET", "/v1/status"], async () => answer(200, statusAnswer()))
       .with(["GET", "/v1/boxes"], async () => answer(200, { boxes: boxLines() }))
       .with(["GET", "/v1/leases"], async () =>
-        answer(200, { leases: [...store.state().leases.values()], held: leases.heldPools() }),
+        answer(200, { leases: [...store.state().leases.values()], held: leases.heldLeases() }),
       )
       .with(["GET", "/v1/audit"], async () => answer(200, await auditAnswer()))
-      .with(["GET", heldRequestsPath], async () => answer(200, { held: blame.held() }))
+      .with(["GET", heldRequestsPath], async () => answer(200, { held: blame.heldRequests() }))
       .with(["DELETE", heldRequestsPath], async () => {
         const released = blame.release(query.get("request") ?? "");
         return answer(released ? 200 : 404, { released });
--- a/packages/operator-service/src/writes.ts
+++ b/packages/operator-service/src/writes.ts
@@ -4,7 +4,7 @@
 import { logWriterName } from "@linkfall/log-writer";
 import { loggerName } from "@linkfall/logger";
 import { membershipName } from "@linkfall/membership";
-import { changeSchema, judgeWrite } from "@linkfall/state-fold";
+import { changeSchema, checkWrite } from "@linkfall/state-fold";
 import { stateStoreName } from "@linkfall/state-store";
 import type { Change, Milliseconds, Revision } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
@@ -55,12 +55,12 @@
   const awaitInForce = async (revision: Revision): Promise<WriteAnswer> => {
     const end = clock.now() + inForceLimitMs;
     for (;;) {
-      const { boxes, reached } = membership.readTo(revision);
+      const { boxes, reached } = membership.readProgress(revision);
       if (reached === boxes || clock.now() >= end) {
         return { kind: "accepted", revision, boxes, inForceOn: reached };
       }
       // Their next heartbeats would tell, too, but later than an operator wants to wait.
-      membership.askBehind(revision);
+      membership.pollLaggingPeers(revision);
       await sleep(clock, inForceStepMs);
     }
   };
@@ -99,6 +99,6 @@
     }
     const changes = parsed.unsafeCoerce();
     // What is wrong already does not burden the log; the fold judges again.
-    return judgeWrite(store.state(), changes) ?? appendWrite(who, changes);
+    return checkWrite(store.state(), changes) ?? appendWrite(who, changes);
   };
 }
--- a/packages/prefix-index/src/prefix-index.steps.ts
+++ b/packages/prefix-index/src/prefix-index.steps.ts
@@ -19,19 +19,19 @@
   "an index of {int} tokens that has seen {string}",
   function (this: object, tokens: number, text: string) {
     const index = createPrefixIndex(tokens);
-    index.note(query(text));
+    index.record(query(text));
     scenarioState(this).set("index", index);
   },
 );
 
 When("{string} is seen", function (this: object, text: string) {
-  indexOf(this).note(query(text));
+  indexOf(this).record(query(text));
 });
 
 When("the model {string} is dropped", function (this: object, model: string) {
-  indexOf(this).drop(model);
+  indexOf(this).dropModel(model);
 });
 
 Then("{string} is kept for {int} tokens", function (this: object, text: string, tokens: number) {
-  assert.equal(indexOf(this).kept(query(text)), tokens);
+  assert.equal(indexOf(this).cachedTokens(query(text)), tokens);
 });
--- a/packages/raw-exchange/src/raw-exchange.steps.ts
+++ b/packages/raw-exchange/src/raw-exchange.steps.ts
@@ -76,7 +76,7 @@
     openExchange(systemClock(), request, {
       onHead: () => undefined,
       onBytes: (chunk) => void (bytes += chunk.length),
-      onWhole: () => resolve({ bytes }),
+      onComplete: () => resolve({ bytes }),
       onFailure: (failure) => resolve({ failure }),
     });
   });
@@ -126,7 +126,7 @@
         path: "/",
         headers: ["Host", "example"],
         body: Buffer.alloc(megabytes * megabyte),
-        connectMs: 5_000,
+        connectTimeoutMs: 5_000,
       },
       silent,
     );
--- a/packages/refusals/src/refusals.steps.ts
+++ b/packages/refusals/src/refusals.steps.ts
@@ -3,11 +3,11 @@
 import { Then, When } from "@cucumber/cucumber";
 import type { CallerResponse } from "@linkfall/ports";
 import { scenarioState } from "@linkfall/test-support";
-import { notRun, refusalResponse, statusOfCode } from "./index.js";
+import { notRun, refusalResponse, statusByCode } from "./index.js";
 
 Then("docs\\/operators\\/refusals.md names every code with its status", () => {
   const page = readFileSync("docs/operators/refusals.md", "utf8");
-  for (const [code, status] of Object.entries(statusOfCode)) {
+  for (const [code, status] of Object.entries(statusByCode)) {
     assert.match(page, new RegExp(`\\| \`${code}\` +\\| ${status} +\\|`), code);
   }
 });
--- a/packages/report-relay/src/report-relay.steps.ts
+++ b/packages/report-relay/src/report-relay.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Then, When } from "@cucumber/cucumber";
 import type { RelayedReport } from "@linkfall/ports";
-import type { WatchedReport } from "@linkfall/target-watch";
+import type { EngineReportRecord } from "@linkfall/target-watch";
 import { scenarioState } from "@linkfall/test-support";
 import type { EngineReport, Milliseconds } from "@linkfall/types";
 import fc from "fast-check";
@@ -28,11 +28,11 @@
   settledOrders: [],
 });
 
-const watched = (report: EngineReport, requestedAt: Milliseconds): WatchedReport => ({
+const watched = (report: EngineReport, requestedAt: Milliseconds): EngineReportRecord => ({
   report,
   requestedAt,
   receivedAt: requestedAt,
-  way: "read",
+  source: "read",
 });
 
 /** One box asks another; with `lost` the answer does not come. */
@@ -40,13 +40,13 @@
   from: OutgoingReports,
   start: string,
   to: IncomingReports,
-  report: WatchedReport,
+  report: EngineReportRecord,
   lost = false,
 ): readonly EngineReport[] {
   const held = to.heldFrom() === start ? to.held() : [];
   const reports = from.answer([report], held, report.requestedAt);
   if (lost) return [];
-  return to.take({ from: start, reports }, 0).map((received) => received.report);
+  return to.applyReply({ from: start, reports }, 0).map((received) => received.report);
 }
 
 Then(
@@ -84,7 +84,7 @@
     const answeredAt = askedAt + took / 2;
     const read = watched(reportOf(1, 1, 1), answeredAt - age);
     const reports = createOutgoingReports().answer([read], [], answeredAt);
-    const [received] = createIncomingReports().take({ from: "b@1", reports }, askedAt);
+    const [received] = createIncomingReports().applyReply({ from: "b@1", reports }, askedAt);
     scenarioState(this).set("requestedAt", received.requestedAt);
   },
 );
--- a/packages/retry-budget/src/retry-budget.steps.ts
+++ b/packages/retry-budget/src/retry-budget.steps.ts
@@ -31,9 +31,9 @@
     const requests: number[] = [];
     for (let step = 0; step < rate * seconds; step++) {
       for (const budget of budgets) {
-        budget.request(service);
+        budget.recordRequest(service);
         requests.push(clock.now());
-        while (budget.take(service, budgets.length)) retries.push(clock.now());
+        while (budget.tryTake(service, budgets.length)) retries.push(clock.now());
       }
       await clock.runUntil(clock.now() + 1_000 / rate);
     }
@@ -57,6 +57,6 @@
 Then("one box may retry at most {int} times at once", function (this: object, most: number) {
   const { budgets } = fleetOf(this);
   let taken = 0;
-  while (budgets[0].take(service, budgets.length)) taken += 1;
+  while (budgets[0].tryTake(service, budgets.length)) taken += 1;
   assert.ok(taken >= 1 && taken <= most);
 });
--- a/packages/route-table/src/route-table.steps.ts
+++ b/packages/route-table/src/route-table.steps.ts
@@ -2,7 +2,7 @@
 import { Given, Then } from "@cucumber/cucumber";
 import { scenarioState } from "@linkfall/test-support";
 import type { Route } from "@linkfall/types";
-import { createRouteTable, type RouteTable, shareFor } from "./index.js";
+import { createRouteTable, type RouteTable, selectShare } from "./index.js";
 
 function route(name: string): Route {
   const [host, pathPrefix] = name.split(" ");
@@ -56,8 +56,8 @@
   function (this: object) {
     const split = scenarioState(this).get<Route>("route");
     const ids = Array.from({ length: 1000 }, (_, index) => `request-${index}`);
-    const first = ids.filter((id) => shareFor(split, id).service === "first");
+    const first = ids.filter((id) => selectShare(split, id).service === "first");
     assert.ok(first.length > 850 && first.length < 950);
-    assert.ok(ids.every((id) => shareFor(split, id) === shareFor(split, id)));
+    assert.ok(ids.every((id) => selectShare(split, id) === selectShare(split, id)));
   },
 );
--- a/packages/soak/src/scenarios/box-faults.ts
+++ b/packages/soak/src/scenarios/box-faults.ts
@@ -65,7 +65,7 @@
 function holder(world: World): WorldBox | undefined {
   const steady = world.boxes.filter((box) => box.process.state() === "running" && !box.draining);
   if (steady.length <= fewestBoxes) return undefined;
-  return steady.find((box) => box.box.kernel.find(leaseHolderName).heldPools().length > 0);
+  return steady.find((box) => box.box.kernel.find(leaseHolderName).heldLeases().length > 0);
 }
 
 export function killHolder(world: World): End {
--- a/packages/target-limits/src/limit-book.steps.ts
+++ b/packages/target-limits/src/limit-book.steps.ts
@@ -3,11 +3,11 @@
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
 import { scenarioState } from "@linkfall/test-support";
 import type { AdvertisedLimit } from "@linkfall/types";
-import { createLimitBook, type LimitBook } from "./index.js";
+import { createLimitRegistry, type LimitRegistry } from "./index.js";
 
 interface Scene {
   readonly clock: VirtualClock;
-  readonly book: LimitBook;
+  readonly book: LimitRegistry;
   readonly changes: string[];
 }
 
@@ -23,7 +23,7 @@
 ): Promise<void> {
   const { clock, book } = sceneOf(world);
   await clock.runUntil(at);
-  book.hear({ target, notice, sentMsAgo: at - sentAt, served });
+  book.recordAnswer({ target, notice, sentMsAgo: at - sentAt, served });
 }
 
 const limited = (perSecond: number): AdvertisedLimit => ({ kind: "limited", perSecond });
@@ -32,7 +32,7 @@
   "a target that named a limit of {float} a second at {int} ms",
   async function (this: object, perSecond: number, at: number) {
     const clock = createVirtualClock();
-    const book = createLimitBook(clock, () => undefined);
+    const book = createLimitRegistry(clock, () => undefined);
     const changes: string[] = [];
     book.onChange((change) => changes.push(String(change.perSecond ?? "none")));
     scenarioState(this).set("limit book", { clock, book, changes } satisfies Scene);
--- a/packages/target-limits/src/permits.steps.ts
+++ b/packages/target-limits/src/permits.steps.ts
@@ -33,11 +33,12 @@
 const alone: PermitPeers = {
   self: "b1",
   allocators: () => ["b1"],
-  ask: async () => Left({ kind: "peer_unreachable", reason: "no peers", mayHaveArrived: false }),
+  sendRequest: async () =>
+    Left({ kind: "peer_unreachable", reason: "no peers", mayHaveArrived: false }),
   connected: () => true,
-  ownPart: () => 1,
-  silentPart: () => 0,
-  boxes: () => 2,
+  ownShare: () => 1,
+  silentShare: () => 0,
+  boxCount: () => 2,
 };
 
 function setUpBoxes(world: object, births: readonly (number | undefined)[]): Boxes {
@@ -56,7 +57,7 @@
     perSecond === undefined
       ? ({ kind: "none" } as const)
       : ({ kind: "limited", perSecond } as const);
-  limits[box].hear({ target, notice, sentMsAgo: 1, served: true });
+  limits[box].recordAnswer({ target, notice, sentMsAgo: 1, served: true });
 }
 
 Given(
@@ -147,8 +148,8 @@
 When("the boxes tell each other what they know", function (this: object) {
   const { limits } = boxesOf(this);
   const [first, second] = limits;
-  second.take("b1", first.tell(second.followed("b1")));
-  first.take("b2", second.tell(first.followed("b2")));
+  second.applyChanges("b1", first.changesSince(second.appliedSequence("b1")));
+  first.applyChanges("b2", second.changesSince(first.appliedSequence("b2")));
 });
 
 const limitAt = (world: object, which: string) =>
@@ -173,7 +174,7 @@
   async function (this: object, seconds: number) {
     const boxes = boxesOf(this);
     const asked = boxes.limits[0]
-      .takePermit(target, 1_000)
+      .acquirePermit(target, 1_000)
       .then((permit) => (boxes.permit = permit));
     await passes(boxes, 100);
     boxes.clock.suspend(seconds * millisecondsPerSecond);
@@ -191,5 +192,5 @@
 });
 
 Then(/^the target is (not )?due for a trial$/, function (this: object, not: string | null) {
-  assert.equal(boxesOf(this).limits[0].isTrialDue(target), not === null);
+  assert.equal(boxesOf(this).limits[0].isProbeDue(target), not === null);
 });
--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { createFleet, type Fleet, holds } from "@linkfall/fleet";
+import { createFleet, type Fleet, hasModelLoaded } from "@linkfall/fleet";
 import {
   clockName,
   createKernel,
@@ -23,7 +23,7 @@
   RoutedConfiguration,
 } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
-import { createOrderGiver, type OrderGiver } from "./index.js";
+import { createOrderDispatcher, type OrderDispatcher } from "./index.js";
 
 const service = "s";
 const modelMb = 100;
@@ -58,7 +58,7 @@
   readonly fates: Fate[];
   readonly refused: number[];
   readonly storeLoads: number[];
-  giver?: OrderGiver;
+  giver?: OrderDispatcher;
   epoch: number | undefined;
   demand: readonly ModelDemand[];
   perSecond: number;
@@ -199,13 +199,13 @@
 function leaseOf(scene: Scene): OrderLease {
   return {
     epoch: () => scene.epoch,
-    known: () => undefined,
-    hear: () => undefined,
-    refused(epoch) {
+    observedLease: () => undefined,
+    observe: () => undefined,
+    recordRefusal(epoch) {
       scene.refused.push(epoch);
       scene.epoch = undefined;
     },
-    ordersForMs: () => 1_000,
+    remainingLeaseMs: () => 1_000,
     release: async () => undefined,
     start: async () => undefined,
     stop: async () => undefined,
@@ -227,10 +227,10 @@
     recordingLogger(() => undefined),
   );
   const fleet = createFleet(kernel, {
-    lapse: { graceMs: 1_600, share: 0.3 },
-    ejection: { failuresInARow: 3, firstMs: 1_000, longestMs: 8_000 },
+    lapse: { graceMs: 1_600, minShare: 0.3 },
+    ejection: { consecutiveFailures: 3, initialMs: 1_000, maxMs: 8_000 },
   });
-  fleet.takeList(engineIds.map(listed));
+  fleet.applyList(engineIds.map(listed));
   const scene: Scene = {
     clock,
     fleet,
@@ -256,22 +256,22 @@
     names,
     onDisk: names,
   };
-  scene.giver = createOrderGiver(kernel, {
+  scene.giver = createOrderDispatcher(kernel, {
     self: "b1",
     fleet,
     engines: portOf(scene),
-    takesPerSecond: () => undefined,
-    noteLimit: () => undefined,
+    maxRequestsPerSecond: () => undefined,
+    onLimitReported: () => undefined,
     lease: leaseOf(scene),
     configuration: () => configurationOf(scene),
     demand: () => scene.demand,
-    announce: () => undefined,
+    notifyPeers: () => undefined,
     rules: {
-      plan: { loadOfReplica: 0.6, horizonMs: 10_000 },
-      stateMs: 300,
-      busyStateMs: 60,
-      resendMs: 800,
-      giveUpMs: 8_000,
+      plan: { targetReplicaLoad: 0.6, horizonMs: 10_000 },
+      pollIntervalMs: 300,
+      activePollIntervalMs: 60,
+      resendAfterMs: 800,
+      moveTimeoutMs: 8_000,
     },
   });
   return scene;
@@ -316,7 +316,7 @@
     assert.ok(engine);
     await scene.clock.runUntil(scene.clock.now() + 300);
     engine.sequence += 1;
-    scene.fleet.takeHoldings(id, { sequence: engine.sequence, models: [] });
+    scene.fleet.applyRelayedHoldings(id, { sequence: engine.sequence, models: [] });
     await scene.clock.runUntil(scene.clock.now() + 2_000);
     engine.models.push(name);
   },
@@ -350,7 +350,7 @@
   const now = sceneOf(this).clock.now();
   const holding = sceneOf(this)
     .fleet.all()
-    .filter((belief) => holds(belief, name, adapter, now));
+    .filter((belief) => hasModelLoaded(belief, name, adapter, now));
   assert.equal(holding.length, 1);
 });
 
@@ -508,7 +508,7 @@
   const scene = sceneOf(this);
   // The second copy began while the first was under way, so it is there later.
   assert.equal(scene.orders.filter(({ order }) => order.model === name).length, 2);
-  const expected = scene.giver?.expected()[`${service} ${name}`];
+  const expected = scene.giver?.timesToReady()[`${service} ${name}`];
   // Loads on engines at work are taken to last a little longer than declared.
   const overrun = 1.15;
   const first = Math.min(...scene.orders.map(({ at }) => at));
