--- a/packages/box-peers/src/messages.ts
+++ b/packages/box-peers/src/messages.ts
@@ -3,13 +3,13 @@
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { ObservedLease } from "@linkfall/order-lease";
 import type {
-  BlameWord,
-  Holdings,
+  BlameMessage,
+  EngineInventory,
   Incarnation,
   ListedTarget,
   Milliseconds,
   Offset,
-  TargetLimitWord,
+  TargetLimitMessage,
 } from "@linkfall/types";
 
 /** Properties of a box that all other boxes need; they rarely change. */
@@ -63,7 +63,7 @@
 /** Models loaded in one engine, as read by the lease holder. */
 export interface EngineHoldings {
   readonly id: string;
-  readonly holdings: Holdings;
+  readonly holdings: EngineInventory;
 }
 
 /** A box as observed by another one. */
@@ -119,9 +119,9 @@
   /** Present if the sender reads the list from the store and the recipient does not. */
   readonly targets?: TargetChanges;
   /** Records of requests that crash targets; absent if the recipient has them all. */
-  readonly blame?: BlameWord;
+  readonly blame?: BlameMessage;
   /** Records of targets' rate limits; absent if the recipient has them all. */
-  readonly limits?: TargetLimitWord;
+  readonly limits?: TargetLimitMessage;
 }
 
 /** The configuration as stored, copied from the box that read it. */
--- a/packages/box-peers/src/peers.ts
+++ b/packages/box-peers/src/peers.ts
@@ -102,7 +102,7 @@
   const sightingsFor = (recipient?: BoxStatus): readonly Member[] => {
     const knowsMembers =
       recipient !== undefined && (table.isFullMesh() || recipient.followed !== undefined);
-    if (knowsMembers && random.below(redundantSightingPeriod) !== 0) return [];
+    if (knowsMembers && random.nextInt(redundantSightingPeriod) !== 0) return [];
     const alive = table.all().filter(table.isAlive);
     return sample(alive, knowsMembers ? 1 : options.maxSightings, random);
   };
@@ -156,7 +156,7 @@
     round += 1;
     logSilent();
     for (const member of currentPartners()) if (isDue(member)) void exchangeWith(member);
-    const jitter = 1 + jitterFraction * (random.fraction() - 0.5);
+    const jitter = 1 + jitterFraction * (random.nextFloat() - 0.5);
     const factor = source.isIdle() && !table.isFullMesh() ? idleRoundFactor : 1;
     cancel = clock.after(table.roundIntervalMs() * factor * jitter, runRound);
   };
--- a/packages/box-peers/src/transport.ts
+++ b/packages/box-peers/src/transport.ts
@@ -12,7 +12,11 @@
   type UntypedServiceImplementation,
 } from "@grpc/grpc-js";
 import type { QuotaRequest, QuotaGrant } from "@linkfall/account-quota";
-import { type AskStream, createAskStream, type Numbered } from "@linkfall/ask-stream";
+import {
+  type RequestStream,
+  createRequestStream,
+  type NumberedMessage,
+} from "@linkfall/ask-stream";
 import type { PeerUnreachable } from "@linkfall/errors";
 import type { Clock } from "@linkfall/kernel";
 import type { PermitRequest, PermitGrant } from "@linkfall/target-limits";
@@ -57,7 +61,7 @@
   | { readonly kind: "quota"; readonly grant: QuotaGrant }
   | { readonly kind: "permit"; readonly grant: PermitGrant };
 
-const exchange: MethodDefinition<Numbered<Ask>, Numbered<Answer>> = {
+const exchange: MethodDefinition<NumberedMessage<Ask>, NumberedMessage<Answer>> = {
   path: "/linkfall.Boxes/Exchange",
   requestStream: true,
   responseStream: true,
@@ -81,7 +85,7 @@
 };
 
 interface OpenStream {
-  readonly stream: AskStream<Ask, Answer>;
+  readonly stream: RequestStream<Ask, Answer>;
   lastUsedAt: Milliseconds;
 }
 
@@ -111,39 +115,39 @@
       streams.delete(address);
     }
   };
-  const streamTo = (address: string): AskStream<Ask, Answer> => {
+  const streamTo = (address: string): RequestStream<Ask, Answer> => {
     const existing = streams.get(address);
     if (existing) {
       existing.lastUsedAt = clock.now();
       return existing.stream;
     }
     closeIdle();
-    const stream = createAskStream<Ask, Answer>(clock, callTimeoutMs, () => dial(address));
+    const stream = createRequestStream<Ask, Answer>(clock, callTimeoutMs, () => dial(address));
     streams.set(address, { stream, lastUsedAt: clock.now() });
     return stream;
   };
 
   return {
     async exchange(address, heartbeat) {
-      const reply = await streamTo(address).ask({ kind: "heartbeat", heartbeat });
+      const reply = await streamTo(address).request({ kind: "heartbeat", heartbeat });
       return reply.chain((answer) =>
         answer.kind === "heartbeat" ? Right(answer.heartbeat) : Left(unexpectedAnswer(answer)),
       );
     },
     async configuration(address) {
-      const reply = await streamTo(address).ask({ kind: "configuration" });
+      const reply = await streamTo(address).request({ kind: "configuration" });
       return reply.chain((answer) =>
         answer.kind === "configuration" ? Right(answer.copy) : Left(unexpectedAnswer(answer)),
       );
     },
     async quota(address, ask) {
-      const reply = await streamTo(address).ask({ kind: "quota", ask });
+      const reply = await streamTo(address).request({ kind: "quota", ask });
       return reply.chain((answer) =>
         answer.kind === "quota" ? Right(answer.grant) : Left(unexpectedAnswer(answer)),
       );
     },
     async permit(address, ask) {
-      const reply = await streamTo(address).ask({ kind: "permit", ask });
+      const reply = await streamTo(address).request({ kind: "permit", ask });
       return reply.chain((answer) =>
         answer.kind === "permit" ? Right(answer.grant) : Left(unexpectedAnswer(answer)),
       );
@@ -172,8 +176,8 @@
 export function createPeerServer(handler: PeerHandler): PeerServer {
   const server = new Server(channelOptions);
   const implementation: UntypedServiceImplementation = {
-    exchange: ((call: ServerDuplexStream<Numbered<Ask>, Numbered<Answer>>) => {
-      call.on("data", ({ number, body }: Numbered<Ask>) => {
+    exchange: ((call: ServerDuplexStream<NumberedMessage<Ask>, NumberedMessage<Answer>>) => {
+      call.on("data", ({ number, body }: NumberedMessage<Ask>) => {
         if (body === undefined) return;
         void handleAsk(handler, body).then((answer) => {
           if (call.writable) call.write({ number, body: answer });
--- a/packages/box-peers/src/wire-format.steps.ts
+++ b/packages/box-peers/src/wire-format.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
 import { seededRandom } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import fc from "fast-check";
 import { decodeMessage, encodeMessage } from "./wire-format.js";
 
@@ -25,18 +25,18 @@
     const reported = Array.from({ length: engines }, () => ({
       id: `i-${random.identifier()}`,
       holdings: {
-        sequence: random.below(40),
-        models: Array.from({ length: models }, () => modelOf(random.below(166))),
+        sequence: random.nextInt(40),
+        models: Array.from({ length: models }, () => modelOf(random.nextInt(166))),
       },
     }));
-    notes(this).set("message", { kind: "heartbeat", report: { engines: reported } });
+    scenarioState(this).set("message", { kind: "heartbeat", report: { engines: reported } });
   },
 );
 
 Then(
   "it is encoded in less than {float} of its JSON text",
   function (this: object, maxRatio: number) {
-    const message = notes(this).get<object>("message");
+    const message = scenarioState(this).get<object>("message");
     const ratio = encodeMessage(message).length / JSON.stringify(message).length;
     assert.ok(ratio < maxRatio, String(ratio));
   },
--- a/packages/completion/src/engine-stream.steps.ts
+++ b/packages/completion/src/engine-stream.steps.ts
@@ -4,7 +4,7 @@
 import { Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
 import type { BodyPart, TargetResponse } from "@linkfall/ports";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import fc from "fast-check";
 import { Left, Right } from "purify-ts";
 import { attemptHeader, readEngineStream, type StreamResult } from "./engine-stream.js";
@@ -100,13 +100,13 @@
   const responseAttempt = fault.startsWith("belongs") ? "r~0" : "r~1";
   const reading = read(clock, parts, 0, responseAttempt);
   await clock.runUntil(5_000);
-  notes(this).set("result", await reading);
+  scenarioState(this).set("result", await reading);
 });
 
 Then(
   "the result is {string} after {int} tokens",
   function (this: object, kind: string, count: number) {
-    const readResult = notes(this).get<ReadResult>("result");
+    const readResult = scenarioState(this).get<ReadResult>("result");
     assert.deepEqual([readResult.result.kind, readResult.tokens.length], [kind, count]);
   },
 );
@@ -142,10 +142,10 @@
         if (position === count - 1) retainedBytes = heapAfterCollection() - initialBytes;
       },
     );
-    notes(this).set("retained", retainedBytes);
+    scenarioState(this).set("retained", retainedBytes);
   },
 );
 
 Then("it retains less than {int} MB", function (this: object, megabytes: number) {
-  assert.ok(notes(this).get<number>("retained") < megabytes * 1_000_000);
+  assert.ok(scenarioState(this).get<number>("retained") < megabytes * 1_000_000);
 });
--- a/packages/config/src/read-settings.ts
+++ b/packages/config/src/read-settings.ts
@@ -1,4 +1,4 @@
-/** From the text of an INI file to checked settings. */
+/** Parses and validates the text of an INI file. */
 import type { FieldProblem, InvalidInput } from "@linkfall/errors";
 import { parse } from "ini";
 import { type Either, Left, Right } from "purify-ts";
@@ -13,8 +13,8 @@
   return { field: path.join("."), reason: issue.message };
 }
 
-/** Rules that span several keys. */
-function crossProblems(settings: Settings): readonly FieldProblem[] {
+/** Checks constraints that involve several keys. */
+function findCrossKeyProblems(settings: Settings): readonly FieldProblem[] {
   const problems: FieldProblem[] = [];
   if (settings.lease.renew_ms * 2 > settings.lease.lease_ms) {
     problems.push({ field: "lease.renew_ms", reason: "at most half of lease.lease_ms" });
@@ -28,13 +28,13 @@
   return problems;
 }
 
-/** Reads the text of a settings file. All problems are named at once. */
+/** Parses the text of a settings file. On failure all problems are returned. */
 export function readSettings(text: string): Either<InvalidInput, Settings> {
   const checked = settingsSchema.safeParse({ ...parse(text) });
   if (!checked.success) {
     return Left({ kind: "invalid_input", problems: checked.error.issues.map(toProblem) });
   }
-  const problems = crossProblems(checked.data);
+  const problems = findCrossKeyProblems(checked.data);
   if (problems.length > 0) return Left({ kind: "invalid_input", problems });
   return Right(checked.data);
 }
--- a/packages/config/src/settings-schema.ts
+++ b/packages/config/src/settings-schema.ts
@@ -1,20 +1,20 @@
-/** The schema of a whole settings file, made from its keys. */
+/** The schema of a settings file, derived from the key definitions. */
 import { serviceName } from "@linkfall/kernel";
 import { z } from "zod";
-import { type SettingKey, settingSections } from "./keys.js";
+import { type SettingDefinition, settingSections } from "./keys.js";
 
-type SectionSchemas<S extends Record<string, SettingKey>> = {
+type SectionSchemas<S extends Record<string, SettingDefinition>> = {
   [K in keyof S]: S[K]["schema"];
 };
 
-function sectionSchema<S extends Record<string, SettingKey>>(section: S) {
+function sectionSchema<S extends Record<string, SettingDefinition>>(section: S) {
   const shape = Object.fromEntries(
     Object.entries(section).map(([keyName, setting]) => [keyName, setting.schema]),
   ) as SectionSchemas<S>;
   return z.strictObject(shape);
 }
 
-/** Checks a whole file; sections with defaults only may be left out, unknown keys are refused. */
+/** Validates a settings file. Sections in which all keys have defaults are optional; unknown keys are rejected. */
 export const settingsSchema = z.strictObject({
   box: sectionSchema(settingSections.box),
   platform: sectionSchema(settingSections.platform),
@@ -29,7 +29,7 @@
   log: sectionSchema(settingSections.log).prefault({}),
 });
 
-/** The checked settings of one box. */
+/** Validated settings of a box. */
 export type Settings = z.infer<typeof settingsSchema>;
 
 export const settingsName = serviceName<Settings>("settings");
--- a/packages/entry-box/src/account-admission.ts
+++ b/packages/entry-box/src/account-admission.ts
@@ -1,7 +1,7 @@
 /** Charges requests to the limit of their client account and settles the charge when they end. */
 import { type AccountQuota, type QuotaCharge, unitsOf } from "@linkfall/account-quota";
 import type { ForwardedRequest, RequestOutcome } from "@linkfall/forwarding";
-import type { ClientAccount, Milliseconds, RequestTerms } from "@linkfall/types";
+import type { ClientAccount, Milliseconds, RequestMetadata } from "@linkfall/types";
 
 /** Result of charging a request to its account. */
 export type AccountAdmission =
@@ -17,7 +17,7 @@
 export async function admitToQuota(
   quota: AccountQuota,
   account: ClientAccount | undefined,
-  terms: RequestTerms,
+  terms: RequestMetadata,
   version: number,
 ): Promise<AccountAdmission> {
   if (!account?.limit) return { kind: "admitted" };
--- a/packages/entry-box/src/entries.steps.ts
+++ b/packages/entry-box/src/entries.steps.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { type DataTable, Given, Then } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { chooseEntries, type EntryCandidate } from "./entries.js";
 
-const boxesOf = (world: object) => notes(world).get<readonly EntryCandidate[]>("boxes");
+const boxesOf = (world: object) => scenarioState(world).get<readonly EntryCandidate[]>("boxes");
 const setBoxes = (world: object, boxes: readonly EntryCandidate[]) =>
-  notes(world).set("boxes", boxes);
+  scenarioState(world).set("boxes", boxes);
 const split = (names: string) => names.split(" ");
 
 Given("boxes of these capacities", function (this: object, table: DataTable) {
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -11,7 +11,7 @@
 import type { RequestCodec } from "@linkfall/ports";
 import { fingerprintOf, type RequestContent } from "@linkfall/request-fingerprint";
 import { selectShare } from "@linkfall/route-table";
-import type { ClientAccount, Milliseconds, RequestTerms, Route } from "@linkfall/types";
+import type { ClientAccount, Milliseconds, RequestMetadata, Route } from "@linkfall/types";
 import { admitToQuota, settleQuota } from "./account-admission.js";
 import { respondLocally, type FrontRequest } from "./front.js";
 import { identify } from "./identify.js";
@@ -39,7 +39,7 @@
 
 function toForwardedRequest(
   request: FrontRequest,
-  terms: RequestTerms,
+  terms: RequestMetadata,
   route: Route,
   account: ClientAccount | undefined,
   { configuration }: ActiveConfiguration,
@@ -55,7 +55,7 @@
     account: account?.name,
     fingerprint: lazyFingerprint({ ...request, account: account?.name }),
     priority: account?.priority ?? route.priority,
-    responseStartDueAt: request.arrivedAt + Math.min(timeoutMs, route.patienceMs ?? timeoutMs),
+    responseStartDueAt: request.arrivedAt + Math.min(timeoutMs, route.eventTimeoutMs ?? timeoutMs),
     deadlineAt: request.arrivedAt + timeoutMs,
     streamPosition: { lastEventId: terms.resumeAfter },
     triedTargets: new Set(),
@@ -108,20 +108,20 @@
 /** Handles one request under the configuration in force when it arrives. */
 export async function handleRequest(context: RequestContext, request: FrontRequest): Promise<void> {
   const { feed, codec, forward } = context;
-  const terms = codec.readTerms(request.headers);
+  const terms = codec.readMetadata(request.headers);
   const reject = (status: number, why: string, retryAfterMs?: Milliseconds, details?: object) => {
     const { path } = request;
     forward.logger.event("requestRejected", { request: terms.id, status, why, path, ...details });
     respondLocally(request.sink, status, retryAfterMs);
   };
-  const unreadable = codec.unreadable(request.headers);
+  const unreadable = codec.describeInvalidHeaders(request.headers);
   if (unreadable !== undefined) return reject(400, unreadable);
   const inForce = feed.activeConfiguration();
   if (!inForce || !context.ready()) return reject(503, "no configuration yet", notReadyRetryMs);
   const route = inForce.routes.find(request.host, request.path);
   if (!route) return reject(404, `no route in version ${inForce.configuration.version}`);
   const { version } = inForce.configuration;
-  const caller = identify(inForce.keys, route, codec.readKey(request.headers));
+  const caller = identify(inForce.keys, route, codec.readApiKey(request.headers));
   if (caller.kind === "unknown") {
     return reject(401, caller.why, undefined, { version, key: caller.fingerprint });
   }
--- a/packages/entry-box/src/heartbeat-source.ts
+++ b/packages/entry-box/src/heartbeat-source.ts
@@ -11,7 +11,7 @@
 import { desiredFeedName } from "@linkfall/desired-feed";
 import { fleetName } from "@linkfall/fleet";
 import { orderLeaseName } from "@linkfall/order-lease";
-import type { BlameWord, TargetLimitWord } from "@linkfall/types";
+import type { BlameMessage, TargetLimitMessage } from "@linkfall/types";
 import type { BoxRuntime } from "./box-runtime.js";
 import { ownLoads, recentDemand } from "./box-loads.js";
 import { ownProfile } from "./own-profile.js";
@@ -27,13 +27,13 @@
 }
 
 /** Records of requests that crash targets, as far as the recipient lacks them. */
-function blameFor({ kernel }: BoxRuntime, recipient?: BoxStatus): BlameWord | undefined {
+function blameFor({ kernel }: BoxRuntime, recipient?: BoxStatus): BlameMessage | undefined {
   const message = kernel.find(crashBlameName).changesSince(recipient?.blameFollowed ?? 0);
   return message.records.length > 0 ? message : undefined;
 }
 
 /** Records of targets' rate limits, as far as the recipient lacks them. */
-function limitsFor({ kernel }: BoxRuntime, recipient?: BoxStatus): TargetLimitWord | undefined {
+function limitsFor({ kernel }: BoxRuntime, recipient?: BoxStatus): TargetLimitMessage | undefined {
   const message = kernel.find(targetLimitsName).changesSince(recipient?.limitsFollowed ?? 0);
   return message.records.length > 0 ? message : undefined;
 }
--- a/packages/entry-settings/src/entry-settings.steps.ts
+++ b/packages/entry-settings/src/entry-settings.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { Given, Then } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { type EntrySettings, readEntrySettings } from "./index.js";
 
 const minimalSettings = [
@@ -18,15 +18,15 @@
 ];
 
 Given("the minimal settings of a forwarding box", function (this: object) {
-  notes(this).set("lines", [...minimalSettings]);
+  scenarioState(this).set("lines", [...minimalSettings]);
 });
 
 Given("{string} in {string}", function (this: object, text: string, section: string) {
-  notes(this).get<string[]>("lines").push(section, text);
+  scenarioState(this).get<string[]>("lines").push(section, text);
 });
 
 const parseSettings = (world: object) =>
-  readEntrySettings(notes(world).get<string[]>("lines").join("\n"));
+  readEntrySettings(scenarioState(world).get<string[]>("lines").join("\n"));
 
 function problemsOf(world: object): readonly string[] {
   return parseSettings(world).caseOf({
--- a/packages/event-stream/src/index.ts
+++ b/packages/event-stream/src/index.ts
@@ -1,30 +1,30 @@
-/** Cuts an event stream into whole events, byte for byte. */
+/** Splits a server-sent event stream into events without changing its bytes. */
 
-/** One whole event with the blank line that ends it. */
+/** A complete event, including the blank line that terminates it. */
 export interface StreamEvent {
   readonly bytes: Buffer;
-  /** Its `id` field, where it has one. */
+  /** Value of the `id` field, if there is one. */
   readonly id?: string;
 }
 
 export interface EventSplitter {
-  /** Takes bytes; returns the events that are whole now. */
+  /** Adds a chunk and returns the events that it completes. */
   push(bytes: Buffer): readonly StreamEvent[];
-  /** Bytes of an event that is not whole yet. */
+  /** Returns the bytes of the incomplete event. */
   rest(): Buffer;
 }
 
-const lineEnd = 0x0a;
+const lineFeed = 0x0a;
 const carriageReturn = 0x0d;
 const idField = /(?:^|\n)id:\s?([^\r\n]*)/;
 
-/** Index after the blank line that ends the first event at or after `from`, or -1. */
-function endOfEvent(bytes: Buffer, from: number): number {
-  let index = bytes.indexOf(lineEnd, from);
+/** Returns the index after the blank line that terminates the first event at or after `from`, or -1. */
+function findEventEnd(bytes: Buffer, from: number): number {
+  let index = bytes.indexOf(lineFeed, from);
   while (index >= 0) {
     const next = bytes[index + 1] === carriageReturn ? index + 2 : index + 1;
-    if (bytes[next] === lineEnd) return next + 1;
-    index = bytes.indexOf(lineEnd, index + 1);
+    if (bytes[next] === lineFeed) return next + 1;
+    index = bytes.indexOf(lineFeed, index + 1);
   }
   return -1;
 }
@@ -34,19 +34,19 @@
   return { bytes, id };
 }
 
-/** Creates a splitter for one stream. */
+/** Creates the splitter of one stream. */
 export function createEventSplitter(): EventSplitter {
-  let held: Buffer = Buffer.alloc(0);
+  let buffered: Buffer = Buffer.alloc(0);
   return {
     push(bytes) {
-      held = held.length === 0 ? bytes : Buffer.concat([held, bytes]);
+      buffered = buffered.length === 0 ? bytes : Buffer.concat([buffered, bytes]);
       const events: StreamEvent[] = [];
-      for (let end = endOfEvent(held, 0); end >= 0; end = endOfEvent(held, 0)) {
-        events.push(toEvent(held.subarray(0, end)));
-        held = held.subarray(end);
+      for (let end = findEventEnd(buffered, 0); end >= 0; end = findEventEnd(buffered, 0)) {
+        events.push(toEvent(buffered.subarray(0, end)));
+        buffered = buffered.subarray(end);
       }
       return events;
     },
-    rest: () => held,
+    rest: () => buffered,
   };
 }
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -3,7 +3,7 @@
 import type { TargetUnreachable } from "@linkfall/errors";
 import { createEventSplitter, type StreamEvent } from "@linkfall/event-stream";
 import type { Clock } from "@linkfall/kernel";
-import type { AnswerFacts, RawHeaders, RequestCodec } from "@linkfall/ports";
+import type { ResponseMetadata, RawHeaders, RequestCodec } from "@linkfall/ports";
 import {
   type Exchange,
   type ExchangeRequest,
@@ -55,7 +55,7 @@
   /** Maximum time without a byte from the target; absent if no other target may be tried. */
   readonly idleTimeoutMs?: Milliseconds;
   /** Called with the status and the parsed headers of the response. */
-  onResponseHead(status: number, facts: AnswerFacts): void;
+  onResponseHead(status: number, facts: ResponseMetadata): void;
   /** Called when the caller disconnects, with the progress of the send. */
   onCallerGone(progress: SendProgress): void;
   /** Called on the first bytes of the response body. */
@@ -85,7 +85,7 @@
   const buffered: Buffer[] = [];
   let bufferedBytes = 0;
   let head: ResponseHead | undefined;
-  let facts: AnswerFacts | undefined;
+  let facts: ResponseMetadata | undefined;
   let forwarding = false;
   let lastBytesAt: Milliseconds | undefined;
   let settled = false;
@@ -116,7 +116,7 @@
   const startForwarding = (response: ResponseHead) => {
     forwarding = true;
     if (!sink.headersSent())
-      sink.writeHead(response.status, input.codec.forCaller(response.headers));
+      sink.writeHead(response.status, input.codec.toCallerHeaders(response.headers));
   };
   const forwardEvents = (response: ResponseHead, bytes: Buffer) => {
     for (const event of splitter.push(bytes)) {
@@ -139,7 +139,7 @@
 
   const handleHead = (response: ResponseHead) => {
     restartIdleTimer();
-    const parsed = input.codec.readAnswer(response.status, response.headers);
+    const parsed = input.codec.readResponse(response.status, response.headers);
     if (parsed.requestId !== undefined && parsed.requestId !== input.requestId) {
       return settle({
         kind: "lost",
--- a/packages/forwarding/src/forward.ts
+++ b/packages/forwarding/src/forward.ts
@@ -83,7 +83,7 @@
   const shouldRetry = head.status >= serverErrorStatus && mayRetry(context, request);
   if (shouldRetry && takeFromRetryBudget(context, request)) return continueRequest;
   if (head.status < serverErrorStatus) recordServed(context, request);
-  request.sink.send(head.status, context.codec.forCaller(head.headers), body);
+  request.sink.send(head.status, context.codec.toCallerHeaders(head.headers), body);
   return endRequest({ outcome: "answered", status: head.status });
 }
 
--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -1,7 +1,7 @@
 /** State of one request while a box forwards it. */
 import type { RequestedWeights } from "@linkfall/model-demand";
 import type { RawHeaders } from "@linkfall/ports";
-import type { Milliseconds, RequestTerms, Route, RoutedService } from "@linkfall/types";
+import type { Milliseconds, RequestMetadata, Route, RoutedService } from "@linkfall/types";
 import type { ResponseSink } from "./answer-sink.js";
 import type { StreamPosition } from "./attempt.js";
 
@@ -15,7 +15,7 @@
   readonly body: Buffer;
   /** Hash of the request's content; equal for the same request sent again. */
   fingerprint(): string;
-  readonly terms: RequestTerms;
+  readonly terms: RequestMetadata;
   /** Name of the client account; absent for anonymous requests. */
   readonly account?: string;
   /** Priority of the client account if it has one, else of the route; 0 is the most urgent. */
@@ -65,6 +65,6 @@
 }
 
 /** Key of the requested weights in the prefix index: `model` or `model/adapter`. */
-export function weightsKey(terms: RequestTerms): string {
+export function weightsKey(terms: RequestMetadata): string {
   return terms.adapter === undefined ? (terms.model ?? "") : `${terms.model}/${terms.adapter}`;
 }
--- a/packages/forwarding/src/forwarding.steps.ts
+++ b/packages/forwarding/src/forwarding.steps.ts
@@ -82,18 +82,18 @@
 const address = "127.0.0.1:1";
 
 const codec: RequestCodec = {
-  readTerms: () => ({
+  readMetadata: () => ({
     id: "r",
-    tokensTold: false,
+    tokensDeclared: false,
     promptTokens: 0,
     maxOutputTokens: 0,
     parts: [],
   }),
-  readKey: () => undefined,
-  unreadable: () => undefined,
-  forSend: () => [],
-  forCaller: () => [],
-  readAnswer: () => ({ notRun: false, misdirected: false, limit: { kind: "none" } }),
+  readApiKey: () => undefined,
+  describeInvalidHeaders: () => undefined,
+  toTargetHeaders: () => [],
+  toCallerHeaders: () => [],
+  readResponse: () => ({ notRun: false, misdirected: false, limit: { kind: "none" } }),
 };
 
 function contextOf(
@@ -186,13 +186,13 @@
       name: "stream",
       host: "a.example",
       pathPrefix: "/",
-      shares: [{ service: service.name, weight: 1 }],
+      weightedServices: [{ service: service.name, weight: 1 }],
       repeatability: "not_repeatable",
       streaming: true,
       resumable: false,
       timeoutMs,
       objectiveMs,
-      patienceMs,
+      eventTimeoutMs: patienceMs,
       priority: 0,
       maxAttempts: 1,
       anonymous: false,
@@ -245,7 +245,7 @@
       id,
       model,
       adapter,
-      tokensTold: true,
+      tokensDeclared: true,
       promptTokens: 100,
       maxOutputTokens: 10,
       parts: [],
@@ -253,7 +253,7 @@
     priority: 1,
     sink: sinkOf(state),
     arrivedAt: clock.now(),
-    responseStartDueAt: clock.now() + (route.patienceMs ?? route.timeoutMs),
+    responseStartDueAt: clock.now() + (route.eventTimeoutMs ?? route.timeoutMs),
     deadlineAt: clock.now() + route.timeoutMs,
     streamPosition: {},
     triedTargets: new Set(),
--- a/packages/forwarding/src/hold-for-weights.ts
+++ b/packages/forwarding/src/hold-for-weights.ts
@@ -38,7 +38,7 @@
   request: ForwardedRequest,
 ): Milliseconds {
   const { model = "" } = request.terms;
-  const loadMs = request.service.engine?.models.get(model)?.fromDiskMs ?? 0;
+  const loadMs = request.service.engine?.models.get(model)?.loadFromDiskMs ?? 0;
   return Math.max(forwardLimits.defaultRetryAfterMs, loadMs);
 }
 
--- a/packages/forwarding/src/lost-targets.ts
+++ b/packages/forwarding/src/lost-targets.ts
@@ -1,11 +1,11 @@
 /** Probes targets after a lost response, to tell a crashed process from a lost connection. */
 import type { Clock } from "@linkfall/kernel";
-import type { Listening } from "@linkfall/ports";
+import type { ListenerStatus } from "@linkfall/ports";
 import type { Milliseconds } from "@linkfall/types";
 
 export interface TargetProbe {
   /** Whether the target at `host:port` accepts connections; losses at about the same time share one probe. */
-  isListening(address: string): Promise<Listening>;
+  isListening(address: string): Promise<ListenerStatus>;
 }
 
 /** A probe is reused for this long, since a crash loses all requests of the target at once. */
@@ -14,9 +14,9 @@
 /** Creates a probe that tests addresses with `connect`. */
 export function createTargetProbe(
   clock: Clock,
-  connect: (address: string) => Promise<Listening>,
+  connect: (address: string) => Promise<ListenerStatus>,
 ): TargetProbe {
-  const pendingProbes = new Map<string, Promise<Listening>>();
+  const pendingProbes = new Map<string, Promise<ListenerStatus>>();
   return {
     isListening(address) {
       const pending = pendingProbes.get(address);
--- a/packages/forwarding/src/meters.steps.ts
+++ b/packages/forwarding/src/meters.steps.ts
@@ -1,24 +1,24 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { createStreamGapMeter, createWorkCostMeter, type WorkCostMeter } from "./index.js";
 
 const perRequestMs = 30;
 const promptTokens = 1_000;
-const meterOf = (world: object) => notes(world).get<WorkCostMeter>("meter");
+const meterOf = (world: object) => scenarioState(world).get<WorkCostMeter>("meter");
 
 Given(
   "a target with a prefill time of {float} ms per token",
   function (this: object, perTokenMs: number) {
     const costs = { perTokenMs, perRequestMs, perResponseMs: 300, crossDomainMs: 8 };
-    notes(this).set("meter", createWorkCostMeter(costs));
-    notes(this).set("expectedMs", perRequestMs + perTokenMs * promptTokens);
+    scenarioState(this).set("meter", createWorkCostMeter(costs));
+    scenarioState(this).set("expectedMs", perRequestMs + perTokenMs * promptTokens);
   },
 );
 
 function observeResponses(world: object, count: number, lateMs: number): void {
-  const expectedMs = notes(world).get<number>("expectedMs");
+  const expectedMs = scenarioState(world).get<number>("expectedMs");
   for (let index = 0; index < count; index++) {
     meterOf(world).observeFirstBytes("service", "t", promptTokens, expectedMs + lateMs);
   }
--- a/packages/forwarding/src/pick.ts
+++ b/packages/forwarding/src/pick.ts
@@ -1,7 +1,7 @@
 /** Picks the target of a request, or returns the reason why it cannot be sent now. */
 import { hasModelLoaded, type TargetView } from "@linkfall/fleet";
 import { topNodes } from "@linkfall/rendezvous";
-import type { Milliseconds, RequestTerms } from "@linkfall/types";
+import type { Milliseconds, RequestMetadata } from "@linkfall/types";
 import { type Candidate, type Choice, chooseTarget } from "@linkfall/target-choice";
 import { maxQueueMs } from "./admission.js";
 import type { ForwardContext } from "./forward-context.js";
@@ -58,7 +58,7 @@
 const affinityHitRate = 0.8;
 
 /** Estimated prompt tokens that need prefill, before a target is chosen. */
-export function estimateUncachedTokens({ promptTokens, parts }: RequestTerms): number {
+export function estimateUncachedTokens({ promptTokens, parts }: RequestMetadata): number {
   const shared = parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
   return Math.max(0, promptTokens - shared * affinityHitRate);
 }
--- a/packages/http-client/src/index.ts
+++ b/packages/http-client/src/index.ts
@@ -1,11 +1,11 @@
-/** Sends one HTTP request with Node's client and says, on a failure, whether it can have arrived. */
+/** HTTP client on top of Node's that reports whether a failed request may have reached the server. */
 import { Agent, type ClientRequest, type IncomingMessage, request as httpRequest } from "node:http";
 import type { TargetUnreachable } from "@linkfall/errors";
 import type { BodyPart, HeaderMap, TargetRequest, TargetResponse } from "@linkfall/ports";
 import { type Either, Left, Right } from "purify-ts";
 
-/** Idle connections are closed sooner than common servers close them. */
-const idleConnectionMs = 4_000;
+/** Shorter than the keep-alive timeout of common servers, so that idle connections are closed by the client. */
+const idleConnectionTimeoutMs = 4_000;
 
 export interface HttpClient {
   send(
@@ -20,8 +20,8 @@
   return { kind: "target_unreachable", reason, mayHaveArrived };
 }
 
-/** Headers as one text each; a repeated one is joined as HTTP allows. */
-export function flatHeaders(headers: IncomingMessage["headers"]): HeaderMap {
+/** Joins repeated headers with commas, as HTTP allows. */
+export function flattenHeaders(headers: IncomingMessage["headers"]): HeaderMap {
   const pairs = Object.entries(headers).flatMap(([name, value]) => {
     if (value === undefined) return [];
     return [[name, Array.isArray(value) ? value.join(", ") : value] as const];
@@ -29,8 +29,8 @@
   return Object.fromEntries(pairs);
 }
 
-/** The body of a message; a message that ends early ends with a Left. */
-export async function* bodyParts(message: IncomingMessage): AsyncGenerator<BodyPart> {
+/** Yields the chunks of a body. If the body ends early, the last part is a Left. */
+export async function* readBodyParts(message: IncomingMessage): AsyncGenerator<BodyPart> {
   try {
     for await (const chunk of message) yield Right(chunk as Buffer);
     if (!message.complete) yield Left(unreachable("the body was cut", true));
@@ -39,8 +39,8 @@
   }
 }
 
-/** Whether a byte of the request can have left on its connection. */
-function watchConnection(request: ClientRequest): () => boolean {
+/** Returns a function that checks whether any byte of the request may have been sent. */
+function trackConnection(request: ClientRequest): () => boolean {
   let connected = false;
   request.on("socket", (socket) => {
     if (socket.connecting) socket.once("connect", () => (connected = true));
@@ -49,45 +49,47 @@
   return () => connected;
 }
 
-/** Creates a client that keeps connections alive between requests. */
+/** Creates a client that reuses connections. */
 export function createHttpClient(): HttpClient {
-  const keepAlive = new Agent({ keepAlive: true, timeout: idleConnectionMs });
+  const keepAliveAgent = new Agent({ keepAlive: true, timeout: idleConnectionTimeoutMs });
   return {
     send: (request, signal) =>
       new Promise((resolve) => {
-        if (signal.aborted) return resolve(Left(unreachable("given up before it was sent", false)));
-        const mark = request.address.lastIndexOf(":");
-        const sent = httpRequest({
-          host: request.address.slice(0, mark).replace(/^\[|\]$/g, ""),
-          port: Number(request.address.slice(mark + 1)),
+        if (signal.aborted) return resolve(Left(unreachable("aborted before it was sent", false)));
+        const portSeparator = request.address.lastIndexOf(":");
+        const outgoing = httpRequest({
+          host: request.address.slice(0, portSeparator).replace(/^\[|\]$/g, ""),
+          port: Number(request.address.slice(portSeparator + 1)),
           method: request.method,
           path: request.path,
           headers: { ...request.headers, "content-length": request.body.length },
-          agent: request.freshConnection ? false : keepAlive,
+          agent: request.freshConnection ? false : keepAliveAgent,
           signal,
         });
-        const mayHaveArrived = watchConnection(sent);
-        sent.once("error", (problem) => {
+        const mayHaveArrived = trackConnection(outgoing);
+        outgoing.once("error", (problem) => {
           resolve(Left(unreachable(problem.message, mayHaveArrived())));
         });
-        sent.once("response", (message) => {
-          // Later errors belong to the body. Whoever reads it sees them; a body that is no longer
-          // read has nobody to tell.
-          sent.on("error", () => undefined);
+        outgoing.once("response", (message) => {
+          // Later errors concern the body and reach its reader; if the body is no longer read, they
+          // are ignored.
+          outgoing.on("error", () => undefined);
           message.on("error", () => undefined);
-          const headers = flatHeaders(message.headers);
-          resolve(Right({ status: message.statusCode ?? 0, headers, body: bodyParts(message) }));
+          const headers = flattenHeaders(message.headers);
+          resolve(
+            Right({ status: message.statusCode ?? 0, headers, body: readBodyParts(message) }),
+          );
         });
-        sent.end(request.body);
+        outgoing.end(request.body);
       }),
-    close: () => keepAlive.destroy(),
+    close: () => keepAliveAgent.destroy(),
   };
 }
 
-/** Largest JSON answer that is read into memory. */
-const longestJson = 64_000_000;
+/** Maximum size of a response that is read into memory. */
+const maxTextBytes = 64_000_000;
 
-/** Reads a body as text; Left where it was cut or is too long. */
+/** Reads a body as text; returns a Left if it was cut or is too large. */
 export async function readText(
   body: AsyncIterable<BodyPart>,
 ): Promise<Either<TargetUnreachable, string>> {
@@ -97,17 +99,17 @@
     if (part.isLeft()) return Left(part.extract() as TargetUnreachable);
     const chunk = part.extract() as Uint8Array;
     size += chunk.length;
-    if (size > longestJson) return Left(unreachable("the answer is too long", true));
+    if (size > maxTextBytes) return Left(unreachable("the response is too large", true));
     chunks.push(chunk);
   }
   return Right(Buffer.concat(chunks).toString("utf8"));
 }
 
-/** Parses JSON; Left where it is none. */
+/** Parses JSON; returns a Left if it is invalid. */
 export function parseJson(text: string): Either<TargetUnreachable, unknown> {
   try {
     return Right(JSON.parse(text));
   } catch {
-    return Left(unreachable("the answer is not JSON", true));
+    return Left(unreachable("the response is not valid JSON", true));
   }
 }
--- a/packages/http-front/src/http-front.ts
+++ b/packages/http-front/src/http-front.ts
@@ -1,4 +1,4 @@
-/** A listening address where callers or operators connect. */
+/** HTTP server for callers or operators. */
 import { createServer as createPlain, type IncomingMessage, type ServerResponse } from "node:http";
 import { createServer as createTls } from "node:https";
 import type { AddressInfo, Socket } from "node:net";
@@ -19,36 +19,36 @@
 
 export interface HttpFrontInput {
   readonly clock: Clock;
-  /** `host:port`; port 0 takes a free one. */
+  /** `host:port`; port 0 selects a free port. */
   readonly address: string;
   readonly limits: RequestLimits;
   readonly tls?: FrontTls;
   handle(request: CallerRequest): Promise<CallerResponse>;
-  /** Takes an error that no value stands for: a defect. */
-  defect(problem: unknown): void;
+  /** Called with unexpected errors, which are bugs. */
+  onDefect(problem: unknown): void;
 }
 
 export interface HttpFront {
-  /** Starts to listen; resolves with the address. */
+  /** Starts listening; resolves with the address. */
   listen(): Promise<Either<AddressUnavailable, string>>;
-  /** Stops to listen and closes all connections. */
+  /** Stops listening and closes all connections once their responses are sent or a timeout has passed. */
   close(): Promise<void>;
 }
 
-/** How long answers that are done may take to leave at a stop. */
-const closeGraceMs = 5_000;
-const overflowCode = "HPE_HEADER_OVERFLOW";
+/** Time for open connections to finish when the server closes. */
+const closeTimeoutMs = 5_000;
+const headerOverflowCode = "HPE_HEADER_OVERFLOW";
 
-/** Answers what the parser could not take: the same JSON shape as every other refusal. */
-function answerMalformed(problem: NodeJS.ErrnoException, socket: Socket): void {
+/** Responds to input that Node's HTTP parser rejected, in the same JSON format as other refusals. */
+function respondToMalformed(problem: NodeJS.ErrnoException, socket: Socket): void {
   if (!socket.writable || socket.bytesWritten > 0) {
     socket.destroy();
     return;
   }
-  const tooLarge = problem.code === overflowCode;
+  const tooLarge = problem.code === headerOverflowCode;
   const refusal = notRun(
     "bad_request",
-    tooLarge ? "the head is too large" : "no valid HTTP request",
+    tooLarge ? "the request head is too large" : "the request is not valid HTTP",
   );
   const body = Buffer.from(refusalResponse(refusal).body as Uint8Array);
   const status = tooLarge ? "431 Request Header Fields Too Large" : "400 Bad Request";
@@ -58,19 +58,19 @@
   );
 }
 
-/** Creates a front that does not listen yet. */
+/** Creates a front, which does not listen until `listen` is called. */
 export function createHttpFront(input: HttpFrontInput): HttpFront {
-  const serve = async (message: IncomingMessage, sink: ServerResponse) => {
-    const gone = new AbortController();
-    onCallerDisconnect(sink, () => gone.abort());
-    sink.on("error", () => gone.abort());
+  const serve = async (message: IncomingMessage, serverResponse: ServerResponse) => {
+    const callerGone = new AbortController();
+    onCallerDisconnect(serverResponse, () => callerGone.abort());
+    serverResponse.on("error", () => callerGone.abort());
     const body = await readBody(input.clock, message, input.limits);
-    await awaitPendingDisconnectsAfterRead(input.clock.now, () => gone.signal.aborted);
-    if (gone.signal.aborted) return;
+    await awaitPendingDisconnectsAfterRead(input.clock.now, () => callerGone.signal.aborted);
+    if (callerGone.signal.aborted) return;
     const response = await body.caseOf({
       Left: async (refusal) => {
         const refused = refusalResponse(refusal);
-        // The rest of the request is not read, so the connection cannot be used again.
+        // The rest of the request is not read, so the connection cannot be reused.
         return { ...refused, headers: { ...refused.headers, connection: "close" } };
       },
       Right: (bytes) =>
@@ -79,33 +79,33 @@
           path: message.url ?? "/",
           headers: requestHeaders(message),
           body: bytes,
-          gone: gone.signal,
+          signal: callerGone.signal,
         }),
     });
-    await writeResponse(sink, response, gone.signal);
+    await writeResponse(serverResponse, response, callerGone.signal);
   };
 
   const options = { maxHeaderSize: input.limits.maxHeaderBytes, ...input.tls };
-  const listener = (message: IncomingMessage, sink: ServerResponse) =>
-    void serve(message, sink).catch(input.defect);
+  const listener = (message: IncomingMessage, serverResponse: ServerResponse) =>
+    void serve(message, serverResponse).catch(input.onDefect);
   const server = input.tls ? createTls(options, listener) : createPlain(options, listener);
-  server.on("clientError", answerMalformed);
+  server.on("clientError", respondToMalformed);
 
-  const mark = input.address.lastIndexOf(":");
-  const host = input.address.slice(0, mark).replace(/^\[|\]$/g, "");
+  const portSeparator = input.address.lastIndexOf(":");
+  const host = input.address.slice(0, portSeparator).replace(/^\[|\]$/g, "");
   return {
     listen: () =>
       new Promise((resolve) => {
         server.once("error", ({ message }) => {
           resolve(Left({ kind: "address_unavailable", address: input.address, reason: message }));
         });
-        server.listen(Number(input.address.slice(mark + 1)), host, () => {
+        server.listen(Number(input.address.slice(portSeparator + 1)), host, () => {
           resolve(Right(`${host}:${(server.address() as AddressInfo).port}`));
         });
       }),
     close: () =>
       new Promise((resolve) => {
-        const cancel = input.clock.after(closeGraceMs, () => server.closeAllConnections());
+        const cancel = input.clock.after(closeTimeoutMs, () => server.closeAllConnections());
         server.close(() => {
           cancel();
           resolve();
--- a/packages/http-front/src/write-response.ts
+++ b/packages/http-front/src/write-response.ts
@@ -1,46 +1,49 @@
-/** Writes an answer. One that was cut is ended by breaking the connection, never by a clean end. */
+/** Writes responses. For a body that was cut, the connection is closed without the final chunk. */
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
 import type { CallerResponse } from "@linkfall/ports";
 
-/** Resolves when the answer has been handed to the connection, or the caller has gone. */
+/** Resolves when the response has been written to the connection or the caller has disconnected. */
 export async function writeResponse(
-  sink: ServerResponse,
+  serverResponse: ServerResponse,
   response: CallerResponse,
-  gone: AbortSignal,
+  callerGone: AbortSignal,
 ): Promise<void> {
   if (response.body instanceof Uint8Array) {
     const length = { "content-length": String(response.body.length) };
-    sink.writeHead(response.status, { ...response.headers, ...length });
-    sink.end(response.body);
+    serverResponse.writeHead(response.status, { ...response.headers, ...length });
+    serverResponse.end(response.body);
     return;
   }
-  sink.writeHead(response.status, response.headers);
+  serverResponse.writeHead(response.status, response.headers);
   for await (const part of response.body) {
-    if (gone.aborted) return;
+    if (callerGone.aborted) return;
     if (part.isLeft()) {
-      await breakOff(sink);
+      await abortResponse(serverResponse);
       return;
     }
-    const more = sink.write(part.extract());
-    if (!more) await drained(sink, gone);
+    const writable = serverResponse.write(part.extract());
+    if (!writable) await waitForDrain(serverResponse, callerGone);
   }
-  sink.end();
+  serverResponse.end();
 }
 
-/** Lets what was written leave, then closes the connection without an end marker. */
-async function breakOff(sink: ServerResponse): Promise<void> {
+/** Flushes the written data, then closes the connection without the final chunk. */
+async function abortResponse(serverResponse: ServerResponse): Promise<void> {
   await new Promise<void>((resolve) => {
-    sink.write("", () => resolve());
-    sink.once("close", () => resolve());
+    serverResponse.write("", () => resolve());
+    serverResponse.once("close", () => resolve());
   });
-  sink.destroy();
+  serverResponse.destroy();
 }
 
-async function drained(sink: ServerResponse, gone: AbortSignal): Promise<void> {
+async function waitForDrain(
+  serverResponse: ServerResponse,
+  callerGone: AbortSignal,
+): Promise<void> {
   try {
-    await once(sink, "drain", { signal: gone });
+    await once(serverResponse, "drain", { signal: callerGone });
   } catch {
-    // The caller has gone; the loop above sees it.
+    // The caller has disconnected; the loop above checks the signal.
   }
 }
--- a/packages/json-call/src/index.ts
+++ b/packages/json-call/src/index.ts
@@ -1,4 +1,4 @@
-/** Calls a JSON interface over HTTP, with a time limit and a check of the answer's shape. */
+/** Calls JSON APIs over HTTP with a timeout and schema validation of the response. */
 import type { TargetUnreachable } from "@linkfall/errors";
 import { type HttpClient, parseJson, readText } from "@linkfall/http-client";
 import type { Clock } from "@linkfall/kernel";
@@ -6,7 +6,6 @@
 import { type Either, Left, Right } from "purify-ts";
 import type { z } from "zod";
 
-/** One call. */
 export interface JsonCall {
   readonly address: string;
   readonly method: "GET" | "POST" | "DELETE";
@@ -16,26 +15,27 @@
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** An answer whose body has been read and parsed. */
-export interface JsonAnswer {
+/** A response with a parsed body. */
+export interface JsonResponse {
   readonly status: number;
+  /** The parsed body, not validated. */
   readonly value: unknown;
 }
 
 export interface JsonCaller {
-  call(call: JsonCall): Promise<Either<TargetUnreachable, JsonAnswer>>;
+  call(call: JsonCall): Promise<Either<TargetUnreachable, JsonResponse>>;
 }
 
-/** Creates a caller that gives up after `limit` milliseconds. */
+/** Creates a caller whose calls time out after `timeoutMs`. */
 export function createJsonCaller(
   clock: Clock,
   client: HttpClient,
-  limit: Milliseconds,
+  timeoutMs: Milliseconds,
 ): JsonCaller {
   return {
     async call(call) {
-      const giveUp = new AbortController();
-      const cancel = clock.after(limit, () => giveUp.abort());
+      const timeout = new AbortController();
+      const cancel = clock.after(timeoutMs, () => timeout.abort());
       const body = call.body === undefined ? "" : JSON.stringify(call.body);
       const sent = await client.send(
         {
@@ -46,7 +46,7 @@
           body: Buffer.from(body),
           freshConnection: false,
         },
-        giveUp.signal,
+        timeout.signal,
       );
       if (sent.isLeft()) {
         cancel();
@@ -55,19 +55,21 @@
       const response = sent.unsafeCoerce();
       const text = await readText(response.body);
       cancel();
-      return text.chain(parseJson).map((value): JsonAnswer => ({ status: response.status, value }));
+      return text
+        .chain(parseJson)
+        .map((value): JsonResponse => ({ status: response.status, value }));
     },
   };
 }
 
-/** Checks the shape of an answer that should have status 200. */
-export function expectAnswer<T>(
-  answer: JsonAnswer,
+/** Validates the body of a response; returns a Left if the status is not 200 or the schema does not match. */
+export function parseOkResponse<T>(
+  response: JsonResponse,
   schema: z.ZodType<T>,
 ): Either<TargetUnreachable, T> {
-  const problem = (reason: string): Either<TargetUnreachable, T> =>
+  const fail = (reason: string): Either<TargetUnreachable, T> =>
     Left({ kind: "target_unreachable", reason, mayHaveArrived: true });
-  if (answer.status !== 200) return problem(`status ${answer.status}`);
-  const checked = schema.safeParse(answer.value);
-  return checked.success ? Right(checked.data) : problem("an answer of another shape");
+  if (response.status !== 200) return fail(`status ${response.status}`);
+  const checked = schema.safeParse(response.value);
+  return checked.success ? Right(checked.data) : fail("the response does not match the schema");
 }
--- a/packages/kernel/src/virtual-clock.ts
+++ b/packages/kernel/src/virtual-clock.ts
@@ -1,39 +1,39 @@
-/** A clock that moves only when it is told to, for tests and measurements. */
+/** A clock that advances only on request, for tests and benchmarks. */
 import type { Milliseconds } from "@linkfall/types";
 import type { Clock } from "./clock.js";
 
 interface PendingTimer {
-  readonly due: Milliseconds;
-  readonly order: number;
+  readonly dueAtMs: Milliseconds;
+  readonly sequence: number;
   readonly action: () => void;
   cancelled: boolean;
 }
 
-/** Time at which virtual wall-clock time starts. */
-const wallStart = Date.UTC(2026, 0, 1);
+/** Initial wall-clock time, in Unix milliseconds. */
+const wallClockStartMs = Date.UTC(2026, 0, 1);
 
-/** A clock under the control of its owner. */
+/** A clock that is advanced explicitly. */
 export interface VirtualClock extends Clock {
-  /** Runs all timers that are due up to `time`, letting promises settle between them. */
+  /** Advances the clock to `time` and runs all timers that are due, settling promises after each. */
   runUntil(time: Milliseconds): Promise<void>;
-  /** Lets the machine sleep: the steady clock and its timers stand still meanwhile. */
-  suspend(time: Milliseconds): void;
+  /** Simulates a suspension: only `elapsed` and the wall clock advance, by `durationMs`. */
+  suspend(durationMs: Milliseconds): void;
 }
 
-/** Lets every promise that can settle now do so. */
+/** Waits until all promises that can settle have settled. */
 function settlePromises(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** A binary heap ordered by due time, then by order of creation. */
+/** Creates a binary min-heap of timers, ordered by due time, then by creation. */
 function timerHeap() {
   const heap: PendingTimer[] = [];
   const before = (a: PendingTimer, b: PendingTimer) =>
-    a.due < b.due || (a.due === b.due && a.order < b.order);
+    a.dueAtMs < b.dueAtMs || (a.dueAtMs === b.dueAtMs && a.sequence < b.sequence);
   const swap = (i: number, j: number) => {
-    const kept = heap[i];
+    const previous = heap[i];
     heap[i] = heap[j];
-    heap[j] = kept;
+    heap[j] = previous;
   };
   return {
     peek: () => heap[0] as PendingTimer | undefined,
@@ -55,30 +55,35 @@
       for (;;) {
         const left = 2 * parent + 1;
         const right = left + 1;
-        let least = parent;
-        if (left < heap.length && before(heap[left], heap[least])) least = left;
-        if (right < heap.length && before(heap[right], heap[least])) least = right;
-        if (least === parent) return;
-        swap(parent, least);
-        parent = least;
+        let smallest = parent;
+        if (left < heap.length && before(heap[left], heap[smallest])) smallest = left;
+        if (right < heap.length && before(heap[right], heap[smallest])) smallest = right;
+        if (smallest === parent) return;
+        swap(parent, smallest);
+        parent = smallest;
       }
     },
   };
 }
 
-/** Creates a virtual clock that reads 0. */
+/** Creates a virtual clock that starts at 0. */
 export function createVirtualClock(): VirtualClock {
   const timers = timerHeap();
   let now = 0;
   let suspendedMs = 0;
-  let created = 0;
+  let nextSequence = 0;
   return {
     now: () => now,
     elapsed: () => now + suspendedMs,
-    suspend: (time) => void (suspendedMs += time),
-    wallTime: () => new Date(wallStart + now + suspendedMs).toISOString(),
+    suspend: (durationMs) => void (suspendedMs += durationMs),
+    wallTime: () => new Date(wallClockStartMs + now + suspendedMs).toISOString(),
     after(delay, action) {
-      const timer = { due: now + Math.max(0, delay), order: created++, action, cancelled: false };
+      const timer = {
+        dueAtMs: now + Math.max(0, delay),
+        sequence: nextSequence++,
+        action,
+        cancelled: false,
+      };
       timers.push(timer);
       return () => {
         timer.cancelled = true;
@@ -86,10 +91,10 @@
     },
     async runUntil(time) {
       await settlePromises();
-      for (let next = timers.peek(); next && next.due <= time; next = timers.peek()) {
+      for (let next = timers.peek(); next && next.dueAtMs <= time; next = timers.peek()) {
         timers.pop();
         if (next.cancelled) continue;
-        now = next.due;
+        now = next.dueAtMs;
         next.action();
         await settlePromises();
       }
--- a/packages/logger/src/bounded-logger.steps.ts
+++ b/packages/logger/src/bounded-logger.steps.ts
@@ -8,13 +8,13 @@
   readonly clock: VirtualClock;
   readonly logger: BoundedLogger;
   readonly out: Writable;
-  /** Texts as they were written, each of one line or more. */
+  /** Text of each write; one or more lines. */
   readonly writes: string[];
 }
 
 const scenes = new WeakMap<object, Scene>();
 const bufferBytes = 100_000;
-const gatherMs = 100;
+const maxFlushDelayMs = 100;
 
 function sceneOf(world: object): Scene {
   const scene = scenes.get(world);
@@ -22,42 +22,45 @@
   return scene;
 }
 
-/** All lines that have been written, once those that wait are. */
-function linesOf(world: object): readonly string[] {
+/** Flushes the logger and returns all written lines. */
+function flushedLines(world: object): readonly string[] {
   const { logger, writes } = sceneOf(world);
   logger.flush();
   return writes.flatMap((text) => text.trimEnd().split("\n"));
 }
 
-function begin(world: object, linesPerSecond: number, reads: boolean): void {
+function createScene(world: object, linesPerSecond: number, outputIsRead: boolean): void {
   const clock = createVirtualClock();
   const writes: string[] = [];
   const out = new Writable({
     decodeStrings: false,
     write(text: string, _encoding, done) {
       writes.push(text);
-      // An output that nobody reads never says that it is done.
-      if (reads) done();
+      // An output that is not read never completes a write.
+      if (outputIsRead) done();
     },
   });
   const logger = createBoundedLogger(clock, "b1", out, {
     level: "info",
     linesPerSecond,
     bufferBytes,
-    gatherMs,
+    maxFlushDelayMs,
   });
   scenes.set(world, { clock, logger, out, writes });
 }
 
-Given("a bounded logger on an output that nobody reads", function (this: object) {
-  begin(this, 1_000_000, false);
+Given("a bounded logger with an output that is not read", function (this: object) {
+  createScene(this, 1_000_000, false);
 });
 
-Given("a bounded logger with {int} lines a second", function (this: object, rate: number) {
-  begin(this, rate, true);
-});
+Given(
+  "a bounded logger with a limit of {int} lines per second",
+  function (this: object, linesPerSecond: number) {
+    createScene(this, linesPerSecond, true);
+  },
+);
 
-function logEnded(world: object, count: number): void {
+function logRequestEnds(world: object, count: number): void {
   for (let index = 0; index < count; index++) {
     sceneOf(world).logger.event("requestEnded", { request: `r${index}`, outcome: "answered" });
   }
@@ -66,7 +69,7 @@
 When(
   /^(\d+) requests are logged as ended(?: within a second)?$/,
   function (this: object, count: string) {
-    logEnded(this, Number(count));
+    logRequestEnds(this, Number(count));
   },
 );
 
@@ -74,7 +77,7 @@
   "a second passes and {int} request is logged as ended",
   async function (this: object, count: number) {
     await sceneOf(this).clock.runUntil(1_001);
-    logEnded(this, count);
+    logRequestEnds(this, count);
   },
 );
 
@@ -83,28 +86,28 @@
 });
 
 Then(
-  "the output holds at most its bound and the rest is counted as left out",
+  "the output buffers no more than its limit and the other lines are counted as dropped",
   function (this: object) {
     const { out, logger } = sceneOf(this);
-    const longestLine = 1_000;
-    assert.ok(out.writableLength <= bufferBytes + longestLine);
-    assert.ok(logger.dropped() > 10_000);
+    const maxLineBytes = 1_000;
+    assert.ok(out.writableLength <= bufferBytes + maxLineBytes);
+    assert.ok(logger.droppedLines() > 10_000);
   },
 );
 
 Then("{int} lines are written", function (this: object, count: number) {
-  assert.equal(linesOf(this).length, count);
+  assert.equal(flushedLines(this).length, count);
 });
 
-When("the time to gather lines passes", async function (this: object) {
-  await sceneOf(this).clock.runUntil(gatherMs + 1);
+When("the maximum flush delay passes", async function (this: object) {
+  await sceneOf(this).clock.runUntil(maxFlushDelayMs + 1);
 });
 
 Then("the output was written to {int} time(s)", function (this: object, count: number) {
   assert.equal(sceneOf(this).writes.length, count);
 });
 
-Then("the last line tells of {int} left out", function (this: object, count: number) {
-  const last = JSON.parse(linesOf(this).at(-1) ?? "{}") as { leftOut?: number };
+Then("the last line reports {int} dropped lines", function (this: object, count: number) {
+  const last = JSON.parse(flushedLines(this).at(-1) ?? "{}") as { leftOut?: number };
   assert.equal(last.leftOut, count);
 });
--- a/packages/manifest/src/index.ts
+++ b/packages/manifest/src/index.ts
@@ -1,12 +1,12 @@
-/** Reads resource files: YAML or JSON, one resource or a list for each document. */
+/** Parses resource files in YAML or JSON. Each document contains a resource or a list of resources. */
 import type { FieldProblem, InvalidInput } from "@linkfall/errors";
 import { checkResource } from "@linkfall/state-fold";
 import { type Resource, resourceKey } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
 import { parseAllDocuments } from "yaml";
 
-/** An input value with the label that problems are reported under. */
-interface Item {
+/** An input value with the label used in error messages. */
+interface LabelledValue {
   readonly label: string;
   readonly value: unknown;
 }
@@ -22,13 +22,13 @@
     : `resource ${index + 1}`;
 }
 
-function toItems(values: readonly unknown[]): readonly Item[] {
+function toLabelledValues(values: readonly unknown[]): readonly LabelledValue[] {
   const flat = values.flatMap((value) => (Array.isArray(value) ? value : [value]));
   const filled = flat.filter((value) => value !== null && value !== undefined);
   return filled.map((value, index) => ({ label: labelOf(value, index), value }));
 }
 
-function duplicates(resources: readonly Resource[]): readonly FieldProblem[] {
+function findDuplicates(resources: readonly Resource[]): readonly FieldProblem[] {
   const seen = new Set<string>();
   const problems: FieldProblem[] = [];
   for (const resource of resources) {
@@ -39,7 +39,7 @@
   return problems;
 }
 
-/** Reads the text of a resource file. All problems are named at once, and nothing is taken. */
+/** Parses the text of a resource file. If any resource is invalid, all problems and no resources are returned. */
 export function readManifest(text: string): Either<InvalidInput, readonly Resource[]> {
   const documents = parseAllDocuments(text);
   const list = Array.isArray(documents) ? documents : [];
@@ -47,12 +47,12 @@
   if (syntax.length > 0) {
     return invalid(syntax.map((problem) => ({ field: "file", reason: problem.message })));
   }
-  const items = toItems(list.map((document) => document.toJS() as unknown));
+  const items = toLabelledValues(list.map((document) => document.toJS() as unknown));
   const checked = items.map(({ label, value }) => checkResource(value, label));
   const problems = checked.flatMap((result) =>
     result.caseOf<readonly FieldProblem[]>({ Left: (list) => list, Right: () => [] }),
   );
   const resources = checked.flatMap((result) => result.map((resource) => [resource]).orDefault([]));
-  const all = [...problems, ...duplicates(resources)];
-  return all.length > 0 ? invalid(all) : Right(resources);
+  const allProblems = [...problems, ...findDuplicates(resources)];
+  return allProblems.length > 0 ? invalid(allProblems) : Right(resources);
 }
--- a/packages/peer-grpc/src/peer-client.ts
+++ b/packages/peer-grpc/src/peer-client.ts
@@ -1,6 +1,6 @@
 /** Client for messages to other boxes. */
 import { type ClientReadableStream, Metadata, type ServiceError, status } from "@grpc/grpc-js";
-import { type AskStream, createAskStream } from "@linkfall/ask-stream";
+import { type RequestStream, createRequestStream } from "@linkfall/ask-stream";
 import type { PeerUnreachable, TargetUnreachable } from "@linkfall/errors";
 import type { Clock } from "@linkfall/kernel";
 import type { BodyPart, CallerRequest, CallerResponse, PeerPort, PeerState } from "@linkfall/ports";
@@ -41,7 +41,7 @@
 interface PeerConnection {
   /** For forwarded requests and for fetching state. */
   readonly client: PeerClient;
-  readonly stream: AskStream<AskBody, AnswerBody>;
+  readonly stream: RequestStream<AskBody, AnswerBody>;
   lastUsedAt: Milliseconds;
 }
 
@@ -168,7 +168,7 @@
     };
     const peer: PeerConnection = {
       client: new PeerClient(address, credentials, channelOptions),
-      stream: createAskStream(clock, timeoutMs, dial),
+      stream: createRequestStream(clock, timeoutMs, dial),
       lastUsedAt: clock.now(),
     };
     connections.set(address, peer);
@@ -178,16 +178,16 @@
   return {
     async heartbeat(address, message) {
       const body = { $case: "beat", value: toBeatRequest(message) } as const;
-      return expectAnswer(await peerAt(address).stream.ask(body), "beat", fromBeatReply);
+      return expectAnswer(await peerAt(address).stream.request(body), "beat", fromBeatReply);
     },
     async reportUsage(address, report) {
       const body = { $case: "usage", value: toUsageMessage(report) } as const;
-      const answer = await peerAt(address).stream.ask(body);
+      const answer = await peerAt(address).stream.request(body);
       return expectAnswer(answer, "usage", ({ accounts }) => accounts);
     },
     async readReports(address, request) {
       const body = { $case: "reports", value: toReportsMessage(request) } as const;
-      return expectAnswer(await peerAt(address).stream.ask(body), "reports", fromReportsReply);
+      return expectAnswer(await peerAt(address).stream.request(body), "reports", fromReportsReply);
     },
     async fetchState(address) {
       const stream = peerAt(address).client.fetchState({});
@@ -200,7 +200,7 @@
       const { method, path, headers, body } = request;
       const message = { method, path, headers: { ...headers }, body: Buffer.from(body) };
       const stream = peerAt(address).client.forward(message, new Metadata());
-      request.gone.addEventListener("abort", () => stream.cancel(), { once: true });
+      request.signal.addEventListener("abort", () => stream.cancel(), { once: true });
       return readForwarded(stream);
     },
     close() {
--- a/packages/raw-exchange/src/is-listening.ts
+++ b/packages/raw-exchange/src/is-listening.ts
@@ -1,7 +1,7 @@
 /** Checks whether an address accepts connections, to tell a crashed process from a lost connection. */
 import { connect } from "node:net";
 import type { Clock } from "@linkfall/kernel";
-import type { Listening } from "@linkfall/ports";
+import type { ListenerStatus } from "@linkfall/ports";
 import type { Milliseconds } from "@linkfall/types";
 
 /** System error code of a connection to a port without a listener. */
@@ -12,11 +12,11 @@
   clock: Clock,
   address: string,
   timeoutMs: Milliseconds,
-): Promise<Listening> {
+): Promise<ListenerStatus> {
   const colon = address.lastIndexOf(":");
   const socket = connect(Number(address.slice(colon + 1)), address.slice(0, colon));
   return new Promise((resolve) => {
-    const finish = (listening: Listening) => {
+    const finish = (listening: ListenerStatus) => {
       cancel();
       socket.destroy();
       resolve(listening);
--- a/packages/route-table/src/index.ts
+++ b/packages/route-table/src/index.ts
@@ -1,5 +1,5 @@
 /** Matches requests to routes by exact host and longest path prefix. */
-import type { Route, RoutedConfiguration, RouteShare } from "@linkfall/types";
+import type { Route, RoutedConfiguration, WeightedService } from "@linkfall/types";
 import murmurhash from "murmurhash";
 
 /** Number of values of the 32-bit hash. */
@@ -43,12 +43,12 @@
 }
 
 /** Selects a weighted share by hashing the request id, so that every box selects the same one. */
-export function selectShare(route: Route, requestId: string): RouteShare {
-  const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
+export function selectShare(route: Route, requestId: string): WeightedService {
+  const total = route.weightedServices.reduce((sum, share) => sum + share.weight, 0);
   let remainder = (murmurhash.v3(requestId) / hashRange) * total;
-  for (const share of route.shares) {
+  for (const share of route.weightedServices) {
     if (remainder < share.weight) return share;
     remainder -= share.weight;
   }
-  return route.shares[0];
+  return route.weightedServices[0];
 }
--- a/packages/settings-watch/src/changed-keys.ts
+++ b/packages/settings-watch/src/changed-keys.ts
@@ -1,9 +1,7 @@
-/** What differs between two readings of settings. */
-
-/** Sections of settings by name, each with values by key. */
+/** Settings by section and key. */
 export type SettingsSections = Readonly<Record<string, object | undefined>>;
 
-/** Values, written out, by `section.key`. */
+/** Returns the serialized values by `section.key`. */
 function flatten(settings: SettingsSections): ReadonlyMap<string, string> {
   const values = Object.entries(settings).flatMap(([section, keys]) =>
     Object.entries(keys ?? {}).map(
@@ -13,10 +11,10 @@
   return new Map(values);
 }
 
-/** Names the keys whose values differ, as `section.key`, in the order of the earlier reading. */
+/** Returns the keys whose values differ, as `section.key`, in the order of `before`. */
 export function changedKeys(before: SettingsSections, after: SettingsSections): readonly string[] {
-  const old = flatten(before);
-  const now = flatten(after);
-  const keys = new Set([...old.keys(), ...now.keys()]);
-  return [...keys].filter((key) => old.get(key) !== now.get(key));
+  const previous = flatten(before);
+  const current = flatten(after);
+  const keys = new Set([...previous.keys(), ...current.keys()]);
+  return [...keys].filter((key) => previous.get(key) !== current.get(key));
 }
--- a/packages/settings-watch/src/settings-watch.ts
+++ b/packages/settings-watch/src/settings-watch.ts
@@ -1,7 +1,6 @@
 /**
- * Watches a settings file. A change is found by reading the file at intervals, so that nobody has to signal the process: a
- * signal ends a process that has not come to listen for it. A process of the runtime listens after 50 to 60 ms; of 20 that
- * were signalled 40 ms after their start 20 ended.
+ * Polls a settings file for changes. Polling works at any time, while a signal terminates a process
+ * that has not installed its signal handler yet.
  */
 import { type Clock, type Random, repeatEvery, type Service } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
@@ -11,37 +10,41 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly intervalMs: Milliseconds;
-  /** The text that the process runs with. */
+  /** The text that the current settings were read from. */
   readonly text: string;
-  /** Reads the file; Left holds why it can't be read. It must not wait. */
+  /** Reads the file without blocking; a Left holds the reason why it cannot be read. */
   readText(): Either<string, string>;
-  /** Takes a text that differs from the one before it. */
-  changed(text: string): void;
-  /** Called once for each row of failed reads, with the reason of the first. */
-  unreadable(reason: string): void;
+  /** Called with a text that differs from the previous one. */
+  onChange(text: string): void;
+  /** Called once for a sequence of failed reads, with the reason of the first. */
+  onReadFailure(reason: string): void;
 }
 
 export interface SettingsWatch extends Service {
-  /** Looks at once, as when somebody says that the file has changed. */
-  look(): void;
+  /** Reads the file immediately. */
+  checkNow(): void;
 }
 
-/** Creates a watch that looks from its start to its stop. */
+/** Creates a watch that polls the file while it is started. */
 export function createSettingsWatch(input: SettingsWatchInput): SettingsWatch {
-  let known = input.text;
+  let lastText = input.text;
   let readable = true;
 
-  const fail = (reason: string) => {
-    if (readable) input.unreadable(reason);
+  const handleReadFailure = (reason: string) => {
+    if (readable) input.onReadFailure(reason);
     readable = false;
   };
-  const take = (text: string) => {
+  const handleText = (text: string) => {
     readable = true;
-    if (text === known) return;
-    known = text;
-    input.changed(text);
+    if (text === lastText) return;
+    lastText = text;
+    input.onChange(text);
   };
-  const look = () => void input.readText().caseOf({ Left: fail, Right: take });
+  const checkNow = () =>
+    void input.readText().caseOf({ Left: handleReadFailure, Right: handleText });
 
-  return { ...repeatEvery(input.clock, input.random, input.intervalMs, look), look };
+  return {
+    ...repeatEvery(input.clock, input.random, input.intervalMs, checkNow),
+    checkNow,
+  };
 }
--- a/packages/target-choice/src/index.ts
+++ b/packages/target-choice/src/index.ts
@@ -70,6 +70,6 @@
   });
   const best = Math.min(...ranked.map(({ costMs }) => costMs));
   const tied = ranked.filter(({ costMs }) => costMs <= best + tieMs);
-  const { id, startMs } = tied[random.below(tied.length)];
+  const { id, startMs } = tied[random.nextInt(tied.length)];
   return { id, expectedStartMs: startMs };
 }
--- a/packages/target-choice/src/target-choice.steps.ts
+++ b/packages/target-choice/src/target-choice.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
 import { seededRandom } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { type Candidate, chooseTarget, estimateStartMs } from "./index.js";
 
 const costs = { perTokenMs: 0.026, perRequestMs: 30, perResponseMs: 1_000, crossDomainMs: 2 };
@@ -50,7 +50,7 @@
     const startMs = (id: string) =>
       estimateStartMs(candidates(this).find((candidate) => candidate.id === id) as Candidate);
     assert.ok(startMs(later) > startMs(earlier) + ms);
-    notes(this).set("compared", true);
+    scenarioState(this).set("compared", true);
   },
 );
 
--- a/packages/types/src/orders.ts
+++ b/packages/types/src/orders.ts
@@ -1,54 +1,53 @@
-/** Orders to engines and their replies. */
+/** Orders to engines, their replies, and entries of the audit trail. */
 import type { Epoch, Mebibytes } from "./identifiers.js";
 import type { EngineRole, ResourceName } from "./resources.js";
 
-interface OrderHead {
-  /** Unique; a repeat under the same identifier has no further effect. */
+interface OrderBase {
+  /** Unique; an engine carries out an order at most once per identifier. */
   readonly id: string;
   readonly engine: string;
   /**
-   * The start of the engine that the order is meant for. An engine that has restarted refuses it,
-   * so an order delayed over a restart cannot surprise its successor.
+   * Incarnation of the engine that the order is addressed to. A restarted engine refuses it, which
+   * keeps a delayed order from reaching a later incarnation.
    */
   readonly engineIncarnation: string;
   readonly epoch: Epoch;
-  /** Why the order was given; goes to the audit trail. */
+  /** Reason for the order, recorded in the audit trail. */
   readonly cause: string;
 }
 
 /** Load an artifact into the memory of one accelerator. */
-export interface LoadOrder extends OrderHead {
+export interface LoadOrder extends OrderBase {
   readonly kind: "load";
   readonly artifact: string;
   readonly accelerator: number;
   readonly sizeMb: Mebibytes;
 }
 
-/** Free an artifact's memory, after the requests that run on it. */
-export interface UnloadOrder extends OrderHead {
+/** Unload an artifact once the requests that use it have finished. */
+export interface UnloadOrder extends OrderBase {
   readonly kind: "unload";
   readonly artifact: string;
   readonly accelerator: number;
   readonly sizeMb: Mebibytes;
 }
 
-/** Change the role of the engine. */
-export interface RoleOrder extends OrderHead {
+export interface RoleOrder extends OrderBase {
   readonly kind: "role";
   readonly role: EngineRole;
 }
 
 export type Order = LoadOrder | UnloadOrder | RoleOrder;
 
-/** The engine's answer to an order. */
+/** An engine's reply to an order. */
 export type OrderReply =
   | { readonly kind: "accepted" }
   | { readonly kind: "stale_epoch"; readonly fence: Epoch }
   | { readonly kind: "refused"; readonly reason: string };
 
-/** One step of the audit trail. */
+/** One entry of the audit trail. */
 export interface AuditEntry {
-  /** Wall-clock time of the box that wrote it, ISO 8601; for people only. */
+  /** Wall-clock time of the box that wrote the entry, ISO 8601; for display only. */
   readonly at: string;
   readonly who: string;
   readonly box: string;
