--- a/packages/caller-service/src/response-end.ts
+++ b/packages/caller-service/src/body-end.ts
@@ -14,7 +14,7 @@
 }
 
 /** The same answer, with one call of `ended`: at once for a body that is there, else when it has been read. */
-export function whenRead(response: CallerResponse, ended: () => void): CallerResponse {
+export function withBodyEnd(response: CallerResponse, ended: () => void): CallerResponse {
   if (!(response.body instanceof Uint8Array)) {
     return { ...response, body: withEnd(response.body, ended) };
   }
--- a/packages/caller-service/src/completion-endpoint.ts
+++ b/packages/caller-service/src/completion-endpoint.ts
@@ -16,7 +16,7 @@
 import { type Either, Left, Right } from "purify-ts";
 import { z } from "zod";
 import { createChunkQueue } from "./chunk-queue.js";
-import type { RequestTerms } from "./request-terms.js";
+import type { RequestOptions } from "./request-options.js";
 
 const completionsPath = "/v1/completions";
 const standardMaxTokens = 128;
@@ -43,7 +43,7 @@
   run(
     account: Account,
     call: CompletionCall,
-    terms: RequestTerms,
+    terms: RequestOptions,
     gone: AbortSignal,
   ): Promise<CallerResponse>;
 }
@@ -134,7 +134,7 @@
       chunks.end();
       return end;
     });
-    const first = await Promise.race([chunks.filled, ended]);
+    const first = await Promise.race([chunks.hasPart, ended]);
     if (first?.kind === "refused") return refusalResponse(first.refusal);
     return {
       status: 200,
--- a/packages/caller-service/src/prepare-request.ts
+++ b/packages/caller-service/src/prepare-request.ts
@@ -5,22 +5,22 @@
 import type { Account, Refusal } from "@linkfall/types";
 import { type Either, Left } from "purify-ts";
 import { createCompletionEndpoint } from "./completion-endpoint.js";
-import type { RequestTerms } from "./request-terms.js";
+import type { RequestOptions } from "./request-options.js";
 import { createServiceEndpoint, servicesPath } from "./service-endpoint.js";
 
 /** A request whose endpoint is known and that may run. */
 export interface PreparedRequest {
-  readonly mayBeRepeated: boolean;
+  readonly repeatable: boolean;
   /** Model and output tokens that it asks for; a plain service has none. */
   readonly model?: string;
-  readonly tokens?: number;
+  readonly maxTokens?: number;
   run(gone: AbortSignal): Promise<CallerResponse>;
 }
 
 export type PrepareRequest = (
   request: CallerRequest,
   account: Account,
-  terms: RequestTerms,
+  terms: RequestOptions,
 ) => Either<Refusal, PreparedRequest>;
 
 /** Creates the endpoints of one box. */
