--- a/packages/caller-service/src/account-limits.ts
+++ b/packages/caller-service/src/account-limits.ts
@@ -1,6 +1,6 @@
 /**
- * Quotas of client accounts over all boxes. Each box allows the part of an account's rate that its
- * own traffic is of the whole, and never less than half an equal part.
+ * Rate limits of client accounts, divided between the boxes. Each box grants a part of an account's
+ * rate that is proportional to its own traffic, but at least half of an equal part.
  */
 import { clockName, type Kernel } from "@linkfall/kernel";
 import { membershipName } from "@linkfall/membership";
@@ -9,41 +9,46 @@
 import type { Account, Refusal } from "@linkfall/types";
 import { usageReportsName } from "@linkfall/usage-report";
 
-/** Least part of the rate that a box allows, as a share of an equal part. */
-const leastShare = 0.5;
-/** Seconds of the rate that may come at once. */
+/** Lower bound of a box's part of the rate, as a fraction of an equal part. */
+const minLocalShare = 0.5;
+/** Burst size, in seconds of the rate. */
 const burstSeconds = 2;
 
 export interface AccountLimits {
-  /** Takes a request from the account's rate; answers with the refusal when it is used up. */
+  /** Consumes one request of the account's rate; returns a refusal when the limit is reached. */
   admit(account: Account): Refusal | undefined;
 }
 
 /**
- * The part of an account's rate that this box may let through.
+ * Computes this box's part of an account's rate, in requests per second.
  *
- * @param own requests a second that came to this box
- * @param total the same over all boxes; undefined where it is not known
+ * @param accountRate the account's rate over all boxes, in requests per second
+ * @param totalRequestsPerSecond traffic over all boxes; undefined if unknown
+ * @param boxes number of serving boxes
  */
 export function localRate(
-  whole: number,
-  own: number,
-  total: number | undefined,
+  accountRate: number,
+  localRequestsPerSecond: number,
+  totalRequestsPerSecond: number | undefined,
   boxes: number,
 ): number {
-  const equal = whole / boxes;
-  if (total === undefined || total === 0) return equal;
-  return Math.max(leastShare * equal, (whole * own) / Math.max(own, total));
+  const equalPart = accountRate / boxes;
+  if (totalRequestsPerSecond === undefined || totalRequestsPerSecond === 0) return equalPart;
+  return Math.max(
+    minLocalShare * equalPart,
+    (accountRate * localRequestsPerSecond) /
+      Math.max(localRequestsPerSecond, totalRequestsPerSecond),
+  );
 }
 
-/** Creates the limits of one box. */
+/** Creates the account limits enforced by this box. */
 export function createAccountLimits(kernel: Kernel): AccountLimits {
   const clock = kernel.find(clockName);
   const membership = kernel.find(membershipName);
   const usage = kernel.find(usageReportsName);
   const buckets = new Map<string, TokenBucket>();
 
-  const limitsFor = ({ name, requestsPerSecond }: Account) => {
+  const bucketLimitsFor = ({ name, requestsPerSecond }: Account) => {
     const boxes = Math.max(1, membership.serving().length);
     const rate = localRate(requestsPerSecond, usage.ownRate(name), usage.totalRate(name), boxes);
     return { rate, burst: Math.max(1, rate * burstSeconds) };
@@ -51,12 +56,12 @@
 
   return {
     admit(account) {
-      const limits = limitsFor(account);
+      const limits = bucketLimitsFor(account);
       const bucket = buckets.get(account.name) ?? createTokenBucket(clock, limits);
       buckets.set(account.name, bucket);
       bucket.limit(limits);
       if (bucket.take()) return undefined;
-      return notRun("rate_limited", "the account's rate is used up", bucket.waitFor());
+      return notRun("rate_limited", "the account's rate limit is reached", bucket.waitFor());
     },
   };
 }
--- a/packages/caller-service/src/authentication.ts
+++ b/packages/caller-service/src/authentication.ts
@@ -1,4 +1,4 @@
-/** Finds the account whose token a request carries. */
+/** Authenticates requests by the bearer token of a client account. */
 import { createHash } from "node:crypto";
 import type { Kernel } from "@linkfall/kernel";
 import type { CallerRequest } from "@linkfall/ports";
@@ -7,16 +7,16 @@
 import type { Account, Refusal } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
 
-const bearer = /^Bearer (\S+)$/i;
+const bearerPattern = /^Bearer (\S+)$/i;
 
-/** Creates the check of one box; tokens are known by their hashes only. */
+/** Creates a function that resolves a request's token to its account. Only token hashes are stored. */
 export function createAuthentication(
   kernel: Kernel,
 ): (request: CallerRequest) => Either<Refusal, Account> {
   const store = kernel.find(stateStoreName);
   return ({ headers }) => {
-    const token = bearer.exec(headers["authorization"] ?? "")?.[1];
-    if (token === undefined) return Left(notRun("unauthenticated", "a bearer token is needed"));
+    const token = bearerPattern.exec(headers["authorization"] ?? "")?.[1];
+    if (token === undefined) return Left(notRun("unauthenticated", "a bearer token is required"));
     const hash = createHash("sha256").update(token).digest("hex");
     const account = store.desired().accountsByToken.get(hash);
     return account ? Right(account) : Left(notRun("unauthenticated", "unknown token"));
--- a/packages/caller-service/src/body-end.ts
+++ b/packages/caller-service/src/body-end.ts
@@ -1,23 +1,26 @@
-/** Tells when an answer has been read to its end, or its reader has gone. */
+/** Detects the end of a response body. */
 import type { BodyPart, CallerResponse } from "@linkfall/ports";
 
-/** The same body, with a call when it has ended or its reader has gone. */
-async function* withEnd(
+/** Yields the body's parts and calls `onEnd` when it is exhausted or its reader stops early. */
+async function* notifyAtEnd(
   body: AsyncIterable<BodyPart>,
-  ended: () => void,
+  onEnd: () => void,
 ): AsyncGenerator<BodyPart> {
   try {
     yield* body;
   } finally {
-    ended();
+    onEnd();
   }
 }
 
-/** The same answer, with one call of `ended`: at once for a body that is there, else when it has been read. */
-export function withBodyEnd(response: CallerResponse, ended: () => void): CallerResponse {
+/**
+ * Returns an equivalent response that calls `onEnd` once: immediately for a buffered body, otherwise
+ * when the stream has been read or abandoned.
+ */
+export function withBodyEnd(response: CallerResponse, onEnd: () => void): CallerResponse {
   if (!(response.body instanceof Uint8Array)) {
-    return { ...response, body: withEnd(response.body, ended) };
+    return { ...response, body: notifyAtEnd(response.body, onEnd) };
   }
-  ended();
+  onEnd();
   return response;
 }
--- a/packages/caller-service/src/caller-service.ts
+++ b/packages/caller-service/src/caller-service.ts
@@ -1,4 +1,4 @@
-/** The way of every caller's request: who, what, within which limits, and then to its endpoint. */
+/** Handles callers' requests: authentication, options, limits and dispatch to an endpoint. */
 import { settingsName } from "@linkfall/config";
 import { clockName, type Kernel, serviceName } from "@linkfall/kernel";
 import { loggerName } from "@linkfall/logger";
@@ -17,74 +17,83 @@
 
 export interface CallerService {
   /**
-   * Answers one request.
+   * Handles one request.
    *
-   * @param forwarded whether another box has passed it on; it is then never passed on again
+   * @param forwarded whether another box forwarded it; it is then not forwarded again
    */
   handle(request: CallerRequest, forwarded?: boolean): Promise<CallerResponse>;
-  /** Not repeatable requests that this box remembers. */
+  /** Number of non-repeatable requests whose results this box retains. */
   retainedResults(): number;
-  /** Requests whose answers have not been passed on whole, those at their owners included. */
+  /** Number of requests whose responses are not complete, including those forwarded to their owners. */
   open(): number;
 }
 
 export const callerServiceName = serviceName<CallerService>("caller-service");
 
-/** What is counted and logged of an answer. */
-function createOutcomeNotes(kernel: Kernel) {
+/** Creates a function that records metrics and log events of a response. */
+function createOutcomeRecorder(kernel: Kernel) {
   const clock = kernel.find(clockName);
   const logger = kernel.find(loggerName);
   const metrics = kernel.find(metricsName);
   return (response: CallerResponse, startedAt: Milliseconds) => {
     const outcome = outcomeOf(response);
-    metrics.count("linkfall_requests_total", "Requests of callers", { outcome });
-    metrics.observe("linkfall_first_byte_ms", "Time to the first byte", clock.now() - startedAt);
+    metrics.count("linkfall_requests_total", "Requests by outcome", { outcome });
+    metrics.observe(
+      "linkfall_first_byte_ms",
+      "Time to first byte in milliseconds",
+      clock.now() - startedAt,
+    );
     if (outcome === "outcome_unknown") logger.event("outcomeUnknown", { status: response.status });
     else if (outcome !== "answered") logger.event("requestRefused", { status: response.status });
   };
 }
 
-/** Creates the service of one box. */
+/** Creates the caller service of this box. */
 export function createCallerService(kernel: Kernel): CallerService {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
   const membership = kernel.find(membershipName);
   const settings = kernel.find(settingsName).callers;
   const authenticate = createAuthentication(kernel);
-  const entries = createEntriesHandler(kernel);
+  const handleEntries = createEntriesHandler(kernel);
   const prepare = createPrepareRequest(kernel);
   const runner = createRequestRunner(kernel);
-  const note = createOutcomeNotes(kernel);
+  const recordOutcome = createOutcomeRecorder(kernel);
   let open = 0;
 
-  const mayServe = (): Refusal | undefined => {
-    if (!store.ready()) return notRun("not_ready", "this box has no state yet", retryAfterMs);
+  const serviceRefusal = (): Refusal | undefined => {
+    if (!store.ready())
+      return notRun("not_ready", "this box has not loaded its state yet", retryAfterMs);
     if (!membership.isolated()) return undefined;
-    return notRun("isolated", "this box is cut off; use another one", retryAfterMs);
+    return notRun(
+      "isolated",
+      "this box is isolated from the other boxes; use another one",
+      retryAfterMs,
+    );
   };
 
   const listModels = (account: Account): CallerResponse => {
     const desired = store.desired();
-    const named = [...desired.models.values(), ...desired.adapters.values()];
-    const own = named.filter((entry) => entry.accounts.includes(account.name));
-    const data = own.map((entry) => ({ id: entry.name, object: "model" }));
+    const declared = [...desired.models.values(), ...desired.adapters.values()];
+    const allowed = declared.filter((entry) => entry.accounts.includes(account.name));
+    const data = allowed.map((entry) => ({ id: entry.name, object: "model" }));
     return jsonResponse({ object: "list", data });
   };
 
-  const answer = async (
+  const route = async (
     request: CallerRequest,
     account: Account,
     forwarded: boolean,
   ): Promise<CallerResponse> => {
     const [path, query] = request.path.split("?", 2);
     if (path === "/v1/entries" && request.method === "GET") {
-      return entries(account, new URLSearchParams(query));
+      return handleEntries(account, new URLSearchParams(query));
     }
     if (path === "/v1/models" && request.method === "GET") return listModels(account);
     return parseRequestOptions(request, account, settings)
-      .chain((terms) =>
-        prepare(request, account, terms).map((prepared) =>
-          runner.run({ request, account, options: terms, forwarded }, prepared),
+      .chain((options) =>
+        prepare(request, account, options).map((prepared) =>
+          runner.run({ request, account, options, forwarded }, prepared),
         ),
       )
       .caseOf({
@@ -95,14 +104,14 @@
 
   const handle = async (request: CallerRequest, forwarded: boolean): Promise<CallerResponse> => {
     const startedAt = clock.now();
-    const unable = mayServe();
-    const response = unable
-      ? refusalResponse(unable)
+    const unavailable = serviceRefusal();
+    const response = unavailable
+      ? refusalResponse(unavailable)
       : await authenticate(request).caseOf({
           Left: (refusal) => Promise.resolve(refusalResponse(refusal)),
-          Right: (account) => answer(request, account, forwarded),
+          Right: (account) => route(request, account, forwarded),
         });
-    note(response, startedAt);
+    recordOutcome(response, startedAt);
     return response;
   };
 
--- a/packages/caller-service/src/chunk-queue.ts
+++ b/packages/caller-service/src/chunk-queue.ts
@@ -1,69 +1,70 @@
-/** Parts of an answer on their way from the engine to the caller, with backpressure. */
+/** Queue between an engine and a caller for the parts of a streamed response, with backpressure. */
 import type { BodyPart } from "@linkfall/ports";
 import { Right } from "purify-ts";
 
-/** Parts that may wait before the engine is held back. */
-const mostWaiting = 64;
+/** Queue length from which on the writer is paused. */
+const maxPendingParts = 64;
 
 export interface ChunkQueue {
-  /** Adds a part; a promise asks to wait until the caller has read some. */
+  /** Adds a part. A returned promise resolves when the writer may continue. */
   push(part: BodyPart): Promise<void> | void;
-  /** No further part comes. */
+  /** Marks the queue as complete. */
   end(): void;
-  /** Resolves with undefined once there is a part. */
+  /** Resolves when the first part has been added. */
   readonly hasPart: Promise<undefined>;
-  /** The parts in their order. Whoever stops reading calls the queue off. */
+  /** Yields the parts in order. Stopping before the end cancels the queue. */
   read(): AsyncGenerator<BodyPart>;
 }
 
-/** Parts that wait together as one, so that they cost the reader one write. */
-function joined(parts: readonly BodyPart[]): readonly BodyPart[] {
+/** Merges the pending chunks into one, which the reader sends in a single write. */
+function coalesce(parts: readonly BodyPart[]): readonly BodyPart[] {
   if (parts.length < 2) return parts;
   const chunks = parts.flatMap((part) => (part.isRight() ? [part.extract()] : []));
-  const cuts = parts.filter((part) => part.isLeft());
-  return [Right(Buffer.concat(chunks)), ...cuts];
+  const failures = parts.filter((part) => part.isLeft());
+  return [Right(Buffer.concat(chunks)), ...failures];
 }
 
-/** Creates an empty queue; `calledOff` is called when its reader stops before the end. */
-export function createChunkQueue(calledOff: () => void): ChunkQueue {
-  let waiting: BodyPart[] = [];
+/** Creates an empty queue. `onCancel` is called if the reader stops before the end. */
+export function createChunkQueue(onCancel: () => void): ChunkQueue {
+  let pending: BodyPart[] = [];
   let ended = false;
-  let wakeReader: () => void = () => undefined;
-  let release: (() => void) | undefined;
-  let noteFilled: (value: undefined) => void = () => undefined;
-  const filled = new Promise<undefined>((resolve) => (noteFilled = resolve));
+  let resumeReader: () => void = () => undefined;
+  let resumeWriter: (() => void) | undefined;
+  let resolveHasPart: (value: undefined) => void = () => undefined;
+  const hasPart = new Promise<undefined>((resolve) => (resolveHasPart = resolve));
 
   const takeAll = () => {
-    const parts = waiting;
-    waiting = [];
-    release?.();
-    release = undefined;
+    const parts = pending;
+    pending = [];
+    resumeWriter?.();
+    resumeWriter = undefined;
     return parts;
   };
 
   return {
-    hasPart: filled,
+    hasPart,
     push(part) {
-      waiting.push(part);
-      noteFilled(undefined);
-      wakeReader();
-      if (waiting.length >= mostWaiting) return new Promise((resolve) => (release = resolve));
+      pending.push(part);
+      resolveHasPart(undefined);
+      resumeReader();
+      if (pending.length >= maxPendingParts)
+        return new Promise((resolve) => (resumeWriter = resolve));
     },
     end() {
       ended = true;
-      wakeReader();
+      resumeReader();
     },
     async *read() {
       try {
         for (;;) {
-          for (const part of joined(takeAll())) yield part;
-          if (waiting.length > 0) continue;
+          for (const part of coalesce(takeAll())) yield part;
+          if (pending.length > 0) continue;
           if (ended) return;
-          await new Promise<void>((resolve) => (wakeReader = resolve));
+          await new Promise<void>((resolve) => (resumeReader = resolve));
         }
       } finally {
         takeAll();
-        if (!ended) calledOff();
+        if (!ended) onCancel();
       }
     },
   };
--- a/packages/caller-service/src/completion-endpoint.ts
+++ b/packages/caller-service/src/completion-endpoint.ts
@@ -1,4 +1,4 @@
-/** `POST /v1/completions` in the usual OpenAI-compatible shape. */
+/** `POST /v1/completions`, compatible with the OpenAI API. */
 import {
   type CompletionEnd,
   type CompletionJob,
@@ -19,18 +19,18 @@
 import type { RequestOptions } from "./request-options.js";
 
 const completionsPath = "/v1/completions";
-const standardMaxTokens = 128;
-const mostTokens = 100_000;
+const defaultMaxTokens = 128;
+const maxTokensLimit = 100_000;
 
 const bodySchema = z.object({
   model: z.string().min(1).max(128),
   prompt: z.string(),
-  max_tokens: z.number().int().min(1).max(mostTokens).default(standardMaxTokens),
+  max_tokens: z.number().int().min(1).max(maxTokensLimit).default(defaultMaxTokens),
   stream: z.boolean().default(false),
 });
 type CompletionBody = z.infer<typeof bodySchema>;
 
-/** A checked completion request. */
+/** A validated completion request. */
 export interface CompletionCall {
   readonly body: CompletionBody;
   readonly model: Model;
@@ -38,13 +38,13 @@
 }
 
 export interface CompletionEndpoint {
-  /** Checks the body and that the account may use what it names. */
+  /** Validates the body, and that the account may use the model or adapter. */
   check(account: Account, body: Uint8Array): Either<Refusal, CompletionCall>;
   run(
     account: Account,
     call: CompletionCall,
-    terms: RequestOptions,
-    gone: AbortSignal,
+    options: RequestOptions,
+    signal: AbortSignal,
   ): Promise<CallerResponse>;
 }
 
@@ -61,38 +61,41 @@
   return Left(notRun("bad_request", `${issue.path.join(".") || "body"}: ${issue.message}`));
 }
 
-function chunkOf(id: string, model: string, token: CompletionToken): string {
+function formatChunk(id: string, model: string, token: CompletionToken): string {
   const choice = { index: 0, text: token.text, finish_reason: token.finishReason ?? null };
   const chunk = { id, object: "text_completion", model, choices: [choice] };
   return `id: ${token.position}\ndata: ${JSON.stringify(chunk)}\n\n`;
 }
 
 /**
- * What follows the last token: the end marker, or an error event and a cut. A caller must not take a
- * fragment for an answer.
+ * Parts sent after the last token: the end marker, or an error event and an abort of the connection,
+ * which lets callers detect a truncated response.
  */
-function lastParts(end: CompletionEnd): readonly BodyPart[] {
+function finalParts(end: CompletionEnd): readonly BodyPart[] {
   if (end.kind === "answered") return [Right(Buffer.from("data: [DONE]\n\n"))];
-  const cut: TargetUnreachable = {
+  const truncation: TargetUnreachable = {
     kind: "target_unreachable",
     reason: end.refusal.reason,
     mayHaveArrived: true,
   };
-  return [Right(Buffer.from(`event: error\ndata: ${refusalBody(end.refusal)}\n\n`)), Left(cut)];
+  return [
+    Right(Buffer.from(`event: error\ndata: ${refusalBody(end.refusal)}\n\n`)),
+    Left(truncation),
+  ];
 }
 
-/** Creates the endpoint of one box. */
+/** Creates the completion endpoint of this box. */
 export function createCompletionEndpoint(kernel: Kernel): CompletionEndpoint {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
   const completions = kernel.find(completionsName);
   const incarnation = kernel.find(incarnationName);
-  let requests = 0;
+  let requestCount = 0;
 
-  const unknownModel = () => notRun("unknown_model", "there is no such model for this account");
+  const modelNotFound = () => notRun("unknown_model", "no such model for this account");
 
-  /** A model of another account is as unknown as one that does not exist. */
-  const resolve = (
+  /** Resolves a model or adapter. Those of other accounts are reported as not found. */
+  const resolveModel = (
     account: Account,
     name: string,
   ): Either<Refusal, Pick<CompletionCall, "model" | "adapter">> => {
@@ -100,11 +103,11 @@
     const adapter = desired.adapters.get(name);
     const model = desired.models.get(adapter?.model ?? name);
     const owner = adapter ?? model;
-    if (!model || !owner?.accounts.includes(account.name)) return Left(unknownModel());
+    if (!model || !owner?.accounts.includes(account.name)) return Left(modelNotFound());
     return Right({ model, adapter });
   };
 
-  const gathered = async (job: CompletionJob, name: string): Promise<CallerResponse> => {
+  const collectResponse = async (job: CompletionJob, name: string): Promise<CallerResponse> => {
     let text = "";
     let count = 0;
     let finishReason = "stop";
@@ -119,39 +122,39 @@
     return jsonResponse({ id: job.id, object: "text_completion", model: name, choices, usage });
   };
 
-  /** The head is sent once the first token is there, so a refusal before it has its own status. */
-  const streamed = async (job: CompletionJob, name: string): Promise<CallerResponse> => {
-    const stop = new AbortController();
-    const onGone = () => stop.abort();
-    job.gone.addEventListener("abort", onGone, { once: true });
-    const chunks = createChunkQueue(() => stop.abort());
-    const running = completions.run({ ...job, gone: stop.signal }, (token) =>
-      chunks.push(Right(Buffer.from(chunkOf(job.id, name, token)))),
+  /** Waits for the first token before the headers are sent: an earlier refusal has its own status. */
+  const streamResponse = async (job: CompletionJob, name: string): Promise<CallerResponse> => {
+    const abort = new AbortController();
+    const onAbort = () => abort.abort();
+    job.gone.addEventListener("abort", onAbort, { once: true });
+    const parts = createChunkQueue(() => abort.abort());
+    const running = completions.run({ ...job, gone: abort.signal }, (token) =>
+      parts.push(Right(Buffer.from(formatChunk(job.id, name, token)))),
     );
     const ended = running.then((end) => {
-      job.gone.removeEventListener("abort", onGone);
-      for (const part of lastParts(end)) void chunks.push(part);
-      chunks.end();
+      job.gone.removeEventListener("abort", onAbort);
+      for (const part of finalParts(end)) void parts.push(part);
+      parts.end();
       return end;
     });
-    const first = await Promise.race([chunks.hasPart, ended]);
+    const first = await Promise.race([parts.hasPart, ended]);
     if (first?.kind === "refused") return refusalResponse(first.refusal);
     return {
       status: 200,
       headers: { "content-type": "text/event-stream", "linkfall-outcome": "answered" },
-      body: chunks.read(),
+      body: parts.read(),
     };
   };
 
   return {
     check: (account, body) =>
       parseBody(body).chain((parsed) =>
-        resolve(account, parsed.model).map((found) => ({ body: parsed, ...found })),
+        resolveModel(account, parsed.model).map((found) => ({ body: parsed, ...found })),
       ),
-    async run(account, call, terms, gone) {
+    async run(account, call, options, signal) {
       const { body, model, adapter } = call;
       const job: CompletionJob = {
-        id: `${incarnation}-${++requests}`,
+        id: `${incarnation}-${++requestCount}`,
         account: account.name,
         fingerprint: fingerprintOf({
           account: account.name,
@@ -164,12 +167,12 @@
         adapter,
         prompt: body.prompt,
         maxTokens: body.max_tokens,
-        priority: terms.priority,
-        deadlineAt: clock.now() + terms.deadlineMs,
-        repeatable: terms.repeatable ?? true,
-        gone,
+        priority: options.priority,
+        deadlineAt: clock.now() + options.deadlineMs,
+        repeatable: options.repeatable ?? true,
+        gone: signal,
       };
-      return body.stream ? streamed(job, body.model) : gathered(job, body.model);
+      return body.stream ? streamResponse(job, body.model) : collectResponse(job, body.model);
     },
   };
 }
--- a/packages/caller-service/src/entries.ts
+++ b/packages/caller-service/src/entries.ts
@@ -1,4 +1,4 @@
-/** Answers which boxes a caller should use, for how long, and under which ticket. */
+/** `GET /v1/entries`: the boxes that a caller should use, their lifetime and a request ticket. */
 import { settingsName } from "@linkfall/config";
 import { type Kernel, randomName, serviceName } from "@linkfall/kernel";
 import { membershipName } from "@linkfall/membership";
@@ -9,50 +9,50 @@
 import { stateStoreName } from "@linkfall/state-store";
 import type { Account, MemberEntry } from "@linkfall/types";
 
-/** Most addresses in one answer. */
-const mostEntries = 8;
+/** Maximum number of addresses in a response. */
+const maxEntries = 8;
 
-export const ticketIssuerName = serviceName<TicketOffice>("ticket-office");
+export const ticketIssuerName = serviceName<TicketOffice>("ticket-issuer");
 
 export type EntriesHandler = (account: Account, query: URLSearchParams) => CallerResponse;
 
-/** Creates the answering of one box. */
+/** Creates the handler of this box. */
 export function createEntriesHandler(kernel: Kernel): EntriesHandler {
   const random = kernel.find(randomName);
   const membership = kernel.find(membershipName);
   const store = kernel.find(stateStoreName);
-  const office = kernel.find(ticketIssuerName);
+  const ticketIssuer = kernel.find(ticketIssuerName);
   const settings = kernel.find(settingsName);
 
-  /** Boxes that serve the model's pool, where one is named; all others would pass the request on. */
-  const fitting = (boxes: readonly MemberEntry[], model: string | null) => {
+  /** Selects the boxes that serve the model's pool; the others would have to forward its requests. */
+  const boxesForModel = (boxes: readonly MemberEntry[], model: string | null) => {
     const pool = model === null ? undefined : store.desired().models.get(model)?.pool;
     if (pool === undefined) return boxes;
     const names = boxes.map((entry) => entry.box);
-    const top = topNodes(pool, names, settings.lease.boxes_per_pool);
-    return boxes.filter((entry) => top.includes(entry.box));
+    const servingPool = topNodes(pool, names, settings.lease.boxes_per_pool);
+    return boxes.filter((entry) => servingPool.includes(entry.box));
   };
 
-  /** In random order, so that callers spread; those of the caller's domain first. */
-  const ordered = (boxes: readonly MemberEntry[], domain: string | null) => {
+  /** Shuffles the boxes to spread callers, those in the caller's failure domain first. */
+  const orderByDomain = (boxes: readonly MemberEntry[], domain: string | null) => {
     const shuffled = boxes
-      .map((entry) => ({ entry, place: random.fraction() }))
-      .sort((a, b) => a.place - b.place)
+      .map((entry) => ({ entry, sortKey: random.fraction() }))
+      .sort((a, b) => a.sortKey - b.sortKey)
       .map(({ entry }) => entry);
-    const near = shuffled.filter((entry) => entry.domain === domain);
-    const far = shuffled.filter((entry) => entry.domain !== domain);
-    return [...near, ...far].slice(0, mostEntries);
+    const sameDomain = shuffled.filter((entry) => entry.domain === domain);
+    const otherDomains = shuffled.filter((entry) => entry.domain !== domain);
+    return [...sameDomain, ...otherDomains].slice(0, maxEntries);
   };
 
   return (account, query) => {
-    const boxes = fitting(membership.serving(), query.get("model"));
-    const entries = ordered(boxes, query.get("domain")).map((entry) => ({
+    const boxes = boxesForModel(membership.serving(), query.get("model"));
+    const entries = orderByDomain(boxes, query.get("domain")).map((entry) => ({
       address: entry.callerAddress,
       box: entry.box,
       domain: entry.domain,
     }));
-    // A leaving box must not become the owner of new requests.
-    const ticket = membership.self().leaving ? undefined : office.issue(account.name);
+    // A box that is leaving must not become the owner of new requests.
+    const ticket = membership.self().leaving ? undefined : ticketIssuer.issue(account.name);
     return jsonResponse({
       entries,
       lifetime_ms: settings.callers.entries_lifetime_ms,
--- a/packages/caller-service/src/in-flight.ts
+++ b/packages/caller-service/src/in-flight.ts
@@ -1,12 +1,12 @@
-/** Requests in flight, by client account: the bound of a box, and fair shares when it is full. */
+/** Limits the requests in flight of a box, with fair sharing between client accounts under load. */
 import { serviceName } from "@linkfall/kernel";
 import type { Account } from "@linkfall/types";
 
-/** Share of the bound from which on accounts are held to their fair part. */
-const fairShareFrom = 0.5;
+/** Utilisation from which on accounts are limited to their fair share. */
+const fairShareThreshold = 0.5;
 
 export interface InFlightLimiter {
-  /** Takes a place for a request; false when there is none for this account. */
+  /** Acquires a slot for a request; false if none is available to this account. */
   tryAcquire(account: Account): boolean;
   release(account: Account): void;
   total(): number;
@@ -14,32 +14,36 @@
 
 export const inFlightLimiterName = serviceName<InFlightLimiter>("in-flight");
 
-/** Creates the count of one box that bears `most` requests at once. */
-export function createInFlightLimiter(most: number): InFlightLimiter {
+/** Creates a limiter that allows `maxInFlight` concurrent requests. */
+export function createInFlightLimiter(maxInFlight: number): InFlightLimiter {
   const counts = new Map<string, number>();
   const shares = new Map<string, number>();
   let total = 0;
 
-  /** The account's part of the bound among the accounts that have requests in flight. */
-  const fairPart = (account: Account) => {
+  /** The account's share of the limit among the accounts with requests in flight. */
+  const fairShareOf = (account: Account) => {
     shares.set(account.name, account.share);
     const active = [...counts.keys(), account.name];
-    const all = [...new Set(active)].reduce((sum, name) => sum + (shares.get(name) ?? 1), 0);
-    return Math.max(1, (most * account.share) / all);
+    const totalShares = [...new Set(active)].reduce(
+      (sum, name) => sum + (shares.get(name) ?? 1),
+      0,
+    );
+    return Math.max(1, (maxInFlight * account.share) / totalShares);
   };
 
   return {
     tryAcquire(account) {
-      if (total >= most) return false;
-      const own = counts.get(account.name) ?? 0;
-      if (total >= most * fairShareFrom && own >= fairPart(account)) return false;
-      counts.set(account.name, own + 1);
+      if (total >= maxInFlight) return false;
+      const current = counts.get(account.name) ?? 0;
+      if (total >= maxInFlight * fairShareThreshold && current >= fairShareOf(account))
+        return false;
+      counts.set(account.name, current + 1);
       total += 1;
       return true;
     },
     release(account) {
-      const left = (counts.get(account.name) ?? 0) - 1;
-      if (left > 0) counts.set(account.name, left);
+      const remaining = (counts.get(account.name) ?? 0) - 1;
+      if (remaining > 0) counts.set(account.name, remaining);
       else counts.delete(account.name);
       total -= 1;
     },
--- a/packages/caller-service/src/owner-route.ts
+++ b/packages/caller-service/src/owner-route.ts
@@ -1,4 +1,4 @@
-/** Takes a not repeatable request to the box start that owns its ticket. */
+/** Routes non-repeatable requests to the box incarnation that issued their ticket. */
 import { settingsName } from "@linkfall/config";
 import { clockName, type Kernel, withTimeout } from "@linkfall/kernel";
 import { incarnationName } from "@linkfall/log-writer";
@@ -10,36 +10,36 @@
 import { ticketIssuerName } from "./entries.js";
 import { type RequestOptions, optionHeaders } from "./request-options.js";
 
-const howToGetATicket =
-  "a not repeatable request needs a ticket: ask /v1/entries, and send " +
-  `${optionHeaders.requestId}: <ticket id>/<your own part>`;
+const ticketInstructions =
+  "a non-repeatable request requires a ticket: get one from /v1/entries, and send " +
+  `${optionHeaders.requestId}: <ticket id>/<your own suffix>`;
 
 export interface OwnerRouter {
   /**
-   * Runs a not repeatable request here when this box owns it, else passes it to the owner.
+   * Runs a non-repeatable request here if this box owns it, otherwise forwards it to the owner.
    *
-   * @param forwarded whether another box has passed it on already
-   * @param execute runs the request; called at most once for an identifier
+   * @param forwarded whether another box has already forwarded it
+   * @param execute runs the request; called at most once per request identifier
    */
   handle(
     request: CallerRequest,
     account: Account,
-    terms: RequestOptions,
+    options: RequestOptions,
     forwarded: boolean,
     execute: () => Promise<CallerResponse>,
   ): Promise<CallerResponse>;
-  /** Requests that are remembered. */
+  /** Number of requests whose results are retained. */
   retainedResults(): number;
 }
 
-/** Creates the routing to owners of one box. */
+/** Creates the owner router of this box. */
 export function createOwnerRouter(kernel: Kernel): OwnerRouter {
   const clock = kernel.find(clockName);
   const membership = kernel.find(membershipName);
   const incarnation = kernel.find(incarnationName);
   const peers = kernel.find(peerPortName);
   const settings = kernel.find(settingsName).callers;
-  const memory = createOnceMemory(clock, kernel.find(ticketIssuerName), {
+  const results = createOnceMemory(clock, kernel.find(ticketIssuerName), {
     retentionMs: settings.once_retention_ms,
     entries: settings.once_entries,
     answerBytes: settings.once_answer_bytes,
@@ -48,35 +48,35 @@
   const ownerGone = (reason: string) =>
     refusalResponse(outcomeUnknown("owner_gone", `the box that owns this request ${reason}`));
 
-  const passToOwner = async (
+  const forwardToOwner = async (
     request: CallerRequest,
     id: OnceId,
-    limit: Milliseconds,
+    timeoutMs: Milliseconds,
   ): Promise<CallerResponse> => {
     const owner = membership.find(id.owner);
     if (!owner) return ownerGone("is gone");
-    const answer = await withTimeout(clock, limit, peers.forward(owner.peerAddress, request));
-    if (!answer) return ownerGone("does not answer");
-    return answer.caseOf({
-      Right: (response) => response,
-      // An earlier request with this identifier may have run there, so this is never "not run".
+    const response = await withTimeout(clock, timeoutMs, peers.forward(owner.peerAddress, request));
+    if (!response) return ownerGone("did not respond in time");
+    return response.caseOf({
+      Right: (forwarded) => forwarded,
+      // An earlier attempt with this identifier may have run there: the outcome is unknown.
       Left: (failure) => ownerGone(`cannot be reached: ${failure.reason}`),
     });
   };
 
   return {
-    async handle(request, account, terms, forwarded, execute) {
-      const { requestId, deadlineMs } = terms;
+    async handle(request, account, options, forwarded, execute) {
+      const { requestId, deadlineMs } = options;
       if (requestId === undefined) {
-        return refusalResponse(notRun("ticket_required", howToGetATicket));
+        return refusalResponse(notRun("ticket_required", ticketInstructions));
       }
       const id = parseOnceId(requestId);
-      if (!id) return refusalResponse(notRun("ticket_invalid", howToGetATicket));
-      if (id.owner === incarnation) return memory.run(id, account.name, execute);
-      // The owner's address has been taken over by another start of the box.
+      if (!id) return refusalResponse(notRun("ticket_invalid", ticketInstructions));
+      if (id.owner === incarnation) return results.run(id, account.name, execute);
+      // This box is a newer incarnation at the owner's address.
       if (forwarded) return ownerGone("is gone");
-      return passToOwner(request, id, deadlineMs);
+      return forwardToOwner(request, id, deadlineMs);
     },
-    retainedResults: memory.size,
+    retainedResults: results.size,
   };
 }
--- a/packages/caller-service/src/prepare-request.ts
+++ b/packages/caller-service/src/prepare-request.ts
@@ -1,4 +1,4 @@
-/** Finds the endpoint of a request, and checks that the request may run there. */
+/** Selects the endpoint of a request and validates the request for it. */
 import type { Kernel } from "@linkfall/kernel";
 import type { CallerRequest, CallerResponse } from "@linkfall/ports";
 import { notRun } from "@linkfall/refusals";
@@ -8,38 +8,38 @@
 import type { RequestOptions } from "./request-options.js";
 import { createServiceEndpoint, servicesPath } from "./service-endpoint.js";
 
-/** A request whose endpoint is known and that may run. */
+/** A validated request, bound to its endpoint. */
 export interface PreparedRequest {
   readonly repeatable: boolean;
-  /** Model and output tokens that it asks for; a plain service has none. */
+  /** Requested model and output tokens; undefined for plain services. */
   readonly model?: string;
   readonly maxTokens?: number;
-  run(gone: AbortSignal): Promise<CallerResponse>;
+  run(signal: AbortSignal): Promise<CallerResponse>;
 }
 
 export type PrepareRequest = (
   request: CallerRequest,
   account: Account,
-  terms: RequestOptions,
+  options: RequestOptions,
 ) => Either<Refusal, PreparedRequest>;
 
-/** Creates the endpoints of one box. */
+/** Creates the endpoints of this box. */
 export function createPrepareRequest(kernel: Kernel): PrepareRequest {
   const completions = createCompletionEndpoint(kernel);
   const services = createServiceEndpoint(kernel);
-  return (request, account, terms) => {
+  return (request, account, options) => {
     if (request.path === "/v1/completions" && request.method === "POST") {
       return completions.check(account, request.body).map((call) => ({
-        mayBeRepeated: terms.repeatable ?? true,
+        repeatable: options.repeatable ?? true,
         model: call.model.name,
-        tokens: call.body.max_tokens,
-        run: (gone) => completions.run(account, call, terms, gone),
+        maxTokens: call.body.max_tokens,
+        run: (signal) => completions.run(account, call, options, signal),
       }));
     }
     if (request.path.startsWith(servicesPath)) {
       return services.check(account, request.path).map((call) => ({
-        mayBeRepeated: terms.repeatable !== false && !call.declaredNotRepeatable,
-        run: (gone) => services.run(account, call, request, terms, gone),
+        repeatable: options.repeatable !== false && !call.declaredNotRepeatable,
+        run: (signal) => services.run(account, call, request, options, signal),
       }));
     }
     return Left(notRun("unknown_path", `${request.method} ${request.path}`));
--- a/packages/caller-service/src/run-request.ts
+++ b/packages/caller-service/src/run-request.ts
@@ -1,4 +1,4 @@
-/** Runs a prepared request within the limits of its account, at its owner where it may run once only. */
+/** Runs prepared requests within the limits of their accounts; non-repeatable ones run at their owner. */
 import type { Kernel } from "@linkfall/kernel";
 import type { CallerRequest, CallerResponse } from "@linkfall/ports";
 import { notRun, refusalResponse } from "@linkfall/refusals";
@@ -13,12 +13,12 @@
 
 export const retryAfterMs: Milliseconds = 1_000;
 
-/** One request on its way to its endpoint. */
+/** A request with its account and options. */
 export interface RequestContext {
   readonly request: CallerRequest;
   readonly account: Account;
   readonly options: RequestOptions;
-  /** Another box has passed it on. */
+  /** Whether another box forwarded it. */
   readonly forwarded: boolean;
 }
 
@@ -27,37 +27,39 @@
   readonly retainedResults: OwnerRouter["retainedResults"];
 }
 
-/** Creates the runner of one box. */
+/** Creates the request runner of this box. */
 export function createRequestRunner(kernel: Kernel): RequestRunner {
   const inFlight = kernel.find(inFlightLimiterName);
   const usage = kernel.find(usageReportsName);
   const limits = createAccountLimits(kernel);
-  const owners = createOwnerRouter(kernel);
+  const ownerRouter = createOwnerRouter(kernel);
 
-  /** Counts the request as in flight until its answer has been read, or dropped. */
-  const runCounted = async (account: Account, prepared: PreparedRequest, gone: AbortSignal) => {
+  /** Counts the request as in flight until its response body has been read or abandoned. */
+  const runInFlight = async (account: Account, prepared: PreparedRequest, signal: AbortSignal) => {
     if (!inFlight.tryAcquire(account)) {
-      return refusalResponse(notRun("overloaded", "this box is full", retryAfterMs));
+      return refusalResponse(
+        notRun("overloaded", "this box has reached its limit of requests in flight", retryAfterMs),
+      );
     }
-    const response = await prepared.run(gone);
+    const response = await prepared.run(signal);
     return withBodyEnd(response, () => inFlight.release(account));
   };
 
-  const admitAndRun = async (account: Account, prepared: PreparedRequest, gone: AbortSignal) => {
+  const admitAndRun = async (account: Account, prepared: PreparedRequest, signal: AbortSignal) => {
     usage.note(account.name, prepared.model, prepared.maxTokens);
     const overRate = limits.admit(account);
-    return overRate ? refusalResponse(overRate) : runCounted(account, prepared, gone);
+    return overRate ? refusalResponse(overRate) : runInFlight(account, prepared, signal);
   };
 
   return {
-    run({ request, account, options: terms, forwarded }, prepared) {
+    run({ request, account, options, forwarded }, prepared) {
       if (prepared.repeatable) return admitAndRun(account, prepared, request.gone);
-      // It runs to its end even when its caller goes, so that a repeat finds its answer.
-      const never = new AbortController().signal;
-      return owners.handle(request, account, terms, forwarded, () =>
-        admitAndRun(account, prepared, never),
+      // Not aborted when the caller disconnects: a retry receives the retained result.
+      const neverAborted = new AbortController().signal;
+      return ownerRouter.handle(request, account, options, forwarded, () =>
+        admitAndRun(account, prepared, neverAborted),
       );
     },
-    retainedResults: owners.retainedResults,
+    retainedResults: ownerRouter.retainedResults,
   };
 }
--- a/packages/caller-service/src/service-endpoint.ts
+++ b/packages/caller-service/src/service-endpoint.ts
@@ -1,4 +1,4 @@
-/** `/services/<name>/<path>`: calls to plain services. */
+/** `/services/<name>/<path>`: requests to plain services. */
 import { clockName, type Kernel } from "@linkfall/kernel";
 import { plainCallsName } from "@linkfall/plain-call";
 import type { CallerRequest, CallerResponse } from "@linkfall/ports";
@@ -9,18 +9,18 @@
 import { type Either, Left, Right } from "purify-ts";
 import type { RequestOptions } from "./request-options.js";
 
-/** Path under which plain services are called. */
+/** Path prefix of plain services. */
 export const servicesPath = "/services/";
-/** Methods that are safe to repeat unless the caller or the service says otherwise. */
+/** Methods that are repeatable unless the caller or the service declares otherwise. */
 const idempotentMethods = ["GET", "HEAD", "PUT", "DELETE", "OPTIONS"];
-/** Headers that are the box's business and not the service's. */
-const withheld = /^(authorization|host|content-length|linkfall-.*)$/;
+/** Headers that are not forwarded to the service. */
+const internalHeaders = /^(authorization|host|content-length|linkfall-.*)$/;
 
-/** A checked call. */
+/** A validated request to a plain service. */
 export interface ServiceCall {
   readonly service: PlainService;
   readonly path: string;
-  /** Whether the service itself declares that the call may not be repeated. */
+  /** Whether the service declares this path as not repeatable. */
   readonly declaredNotRepeatable: boolean;
 }
 
@@ -30,23 +30,23 @@
     account: Account,
     call: ServiceCall,
     request: CallerRequest,
-    terms: RequestOptions,
-    gone: AbortSignal,
+    options: RequestOptions,
+    signal: AbortSignal,
   ): Promise<CallerResponse>;
 }
 
-/** Creates the endpoint of one box. */
+/** Creates the endpoint for plain services of this box. */
 export function createServiceEndpoint(kernel: Kernel): ServiceEndpoint {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
-  const calls = kernel.find(plainCallsName);
+  const plainCalls = kernel.find(plainCallsName);
   return {
     check(account, path) {
       const rest = path.slice(servicesPath.length);
       const [name] = rest.split(/[/?]/, 1);
       const service = store.desired().services.get(name);
       if (!service?.accounts.includes(account.name)) {
-        return Left(notRun("unknown_service", "there is no such service for this account"));
+        return Left(notRun("unknown_service", "no such service for this account"));
       }
       const servicePath = rest.slice(name.length) || "/";
       const declaredNotRepeatable = service.notRepeatablePaths.some((prefix) =>
@@ -54,10 +54,12 @@
       );
       return Right({ service, path: servicePath, declaredNotRepeatable });
     },
-    run(account, call, request, terms, gone) {
-      const headers = Object.entries(request.headers).filter(([name]) => !withheld.test(name));
-      const repeatable = terms.repeatable ?? idempotentMethods.includes(request.method);
-      return calls.run({
+    run(account, call, request, options, signal) {
+      const headers = Object.entries(request.headers).filter(
+        ([name]) => !internalHeaders.test(name),
+      );
+      const repeatable = options.repeatable ?? idempotentMethods.includes(request.method);
+      return plainCalls.run({
         account: account.name,
         fingerprint: fingerprintOf({
           account: account.name,
@@ -71,9 +73,9 @@
         path: call.path,
         headers: Object.fromEntries(headers),
         body: request.body,
-        deadlineAt: clock.now() + terms.deadlineMs,
+        deadlineAt: clock.now() + options.deadlineMs,
         repeatable: repeatable && !call.declaredNotRepeatable,
-        gone,
+        gone: signal,
       });
     },
   };
