--- a/packages/cli/src/commands/status/index.ts
+++ b/packages/cli/src/commands/status/index.ts
@@ -1,11 +1,11 @@
 /** `linkfall status` */
-import type { StatusAnswer } from "@linkfall/operator-service";
+import type { StatusResponse } from "@linkfall/operator-service";
 import { Command } from "clipanion";
 import type { ExitCode } from "../../exit-codes.js";
 import { OperatorCommand } from "../../operator-command.js";
 import { renderTable } from "../../table.js";
 
-function summary(answer: StatusAnswer): string {
+function summary(answer: StatusResponse): string {
   const drain = `${answer.drain.phase}, ${answer.drain.requestsInFlight} requests in flight`;
   const cut = answer.isolated ? ", cut off" : "";
   const held = answer.sessions.map(
--- a/packages/cli/src/operator-command.ts
+++ b/packages/cli/src/operator-command.ts
@@ -6,7 +6,7 @@
   createOperatorClient,
   type OperatorClient,
 } from "@linkfall/operator-client";
-import type { WriteAnswer } from "@linkfall/operator-service";
+import type { WriteResponse } from "@linkfall/operator-service";
 import { resourceKey } from "@linkfall/types";
 import { Command, Option } from "clipanion";
 import type { Either } from "purify-ts";
@@ -67,7 +67,7 @@
   }
 
   /** Says what became of a write. */
-  protected showWrite(written: WriteAnswer): ExitCode {
+  protected showWrite(written: WriteResponse): ExitCode {
     if (this.output === "json") this.line(JSON.stringify(written));
     return match(written)
       .with({ kind: "accepted" }, ({ revision, boxes, inForceOn }): ExitCode => {
--- a/packages/operator-client/src/index.ts
+++ b/packages/operator-client/src/index.ts
@@ -4,12 +4,12 @@
 import { heldRequestsPath } from "@linkfall/crash-blame";
 import { limitedTargetsPath } from "@linkfall/target-limits";
 import type {
-  AuditAnswer,
-  BoxLine,
-  ResourcesAnswer,
-  StatusAnswer,
+  AuditResponse,
+  BoxSummary,
+  ResourcesResponse,
+  StatusResponse,
   WatchEvent,
-  WriteAnswer,
+  WriteResponse,
 } from "@linkfall/operator-service";
 import type { Change, HeldRequest, LimitedTarget, Revision } from "@linkfall/types";
 import { createParser, type EventSourceMessage } from "eventsource-parser";
@@ -33,11 +33,11 @@
 type Asked<T> = Promise<Either<AskFailure, T>>;
 
 export interface OperatorClient {
-  resources(): Asked<ResourcesAnswer>;
-  write(changes: readonly Change[]): Asked<WriteAnswer>;
-  status(): Asked<StatusAnswer>;
-  boxes(): Asked<readonly BoxLine[]>;
-  audit(): Asked<AuditAnswer>;
+  resources(): Asked<ResourcesResponse>;
+  write(changes: readonly Change[]): Asked<WriteResponse>;
+  status(): Asked<StatusResponse>;
+  boxes(): Asked<readonly BoxSummary[]>;
+  audit(): Asked<AuditResponse>;
   /** Requests that are held back by boxes that forward opaque requests. */
   heldRequests(): Asked<readonly HeldRequest[]>;
   /** Lets one through again; false where it is not held back. */
@@ -114,14 +114,14 @@
   const get = <T>(path: string) => ask<T>("GET", path, undefined, [200]);
 
   return {
-    resources: () => get<ResourcesAnswer>("/v1/resources"),
-    write: (changes) => ask<WriteAnswer>("POST", "/v1/writes", { changes }, writeStatuses),
-    status: () => get<StatusAnswer>("/v1/status"),
+    resources: () => get<ResourcesResponse>("/v1/resources"),
+    write: (changes) => ask<WriteResponse>("POST", "/v1/writes", { changes }, writeStatuses),
+    status: () => get<StatusResponse>("/v1/status"),
     async boxes() {
-      const answer = await get<{ boxes: readonly BoxLine[] }>("/v1/boxes");
+      const answer = await get<{ boxes: readonly BoxSummary[] }>("/v1/boxes");
       return answer.map(({ boxes }) => boxes);
     },
-    audit: () => get<AuditAnswer>("/v1/audit"),
+    audit: () => get<AuditResponse>("/v1/audit"),
     async heldRequests() {
       const answer = await get<{ held: readonly HeldRequest[] }>(heldRequestsPath);
       return answer.map(({ held }) => held);
