--- a/packages/caller-service/src/caller-service.ts
+++ b/packages/caller-service/src/caller-service.ts
@@ -12,7 +12,7 @@
 import { createEntriesHandler } from "./entries.js";
 import { createPrepareRequest } from "./prepare-request.js";
 import { parseRequestOptions } from "./request-options.js";
-import { withBodyEnd } from "./body-end.js";
+import { withBodyEnd } from "./response-end.js";
 import { retryAfterMs, createRequestRunner } from "./run-request.js";
 
 export interface CallerService {
--- a/packages/caller-service/src/run-request.ts
+++ b/packages/caller-service/src/run-request.ts
@@ -9,7 +9,7 @@
 import { createOwnerRouter, type OwnerRouter } from "./owner-route.js";
 import type { PreparedRequest } from "./prepare-request.js";
 import type { RequestOptions } from "./request-options.js";
-import { withBodyEnd } from "./body-end.js";
+import { withBodyEnd } from "./response-end.js";
 
 export const retryAfterMs: Milliseconds = 1_000;
 
