--- a/packages/operator-service/src/api-types.ts
+++ b/packages/operator-service/src/api-types.ts
@@ -1,4 +1,4 @@
-/** Shapes of the operator interface, shared by the service and the command-line tool. */
+/** Types of the operator API, shared by the service and its clients. */
 import type { InvalidInput, RevisionConflict } from "@linkfall/errors";
 import type { SessionStatus } from "@linkfall/pool-control";
 import type { AcceptedWrite } from "@linkfall/state-fold";
@@ -18,39 +18,41 @@
   readonly changes: readonly Change[];
 }
 
-/** What became of a write. */
+/** Response to `POST /v1/writes`. */
 export type WriteResponse =
   | {
       readonly kind: "accepted";
       readonly revision: Revision;
-      /** Boxes that are heard, and those of them on which the change is in force already. */
+      /** Number of reachable boxes. */
       readonly boxes: number;
+      /** Number of those that have applied the change. */
       readonly inForceOn: number;
     }
   | RevisionConflict
   | InvalidInput
   | { readonly kind: "unknown"; readonly reason: string };
 
-/** `GET /v1/resources`. */
+/** Response to `GET /v1/resources`. */
 export interface ResourcesResponse {
   readonly offset: Offset;
   readonly resources: readonly StoredResource[];
 }
 
-/** State of one model as one box sees it. */
+/** State of a model as observed by one box. */
 export interface ModelStatus {
   readonly model: string;
   readonly version: string;
   readonly ready: number;
   readonly loading: number;
-  /** Ready copies of older versions. */
+  /** Number of ready replicas of older versions. */
   readonly readyOld: number;
-  /** Adapters of the model that can be called, and all that are declared. */
+  /** Number of the model's adapters that have a serving replica. */
   readonly adaptersReady: number;
+  /** Number of the model's declared adapters. */
   readonly adapters: number;
 }
 
-/** State of one engine as one box sees it. */
+/** State of an engine as observed by one box. */
 export interface EngineStatus {
   readonly engine: string;
   readonly reported: boolean;
@@ -61,7 +63,7 @@
   readonly queued: number;
 }
 
-/** `GET /v1/status`. */
+/** Response to `GET /v1/status`. */
 export interface StatusResponse {
   readonly box: string;
   readonly offset: Offset;
@@ -73,7 +75,7 @@
   readonly engines: readonly EngineStatus[];
 }
 
-/** One line of `GET /v1/boxes`. */
+/** An entry of the response to `GET /v1/boxes`. */
 export interface BoxSummary {
   readonly box: string;
   readonly incarnation: string;
@@ -83,13 +85,13 @@
   readonly pools: readonly string[];
 }
 
-/** `GET /v1/audit`. */
+/** Response to `GET /v1/audit`. */
 export interface AuditResponse {
   readonly writes: readonly AcceptedWrite[];
   readonly actions: readonly AuditEntry[];
 }
 
-/** One event of `GET /v1/watch`. */
+/** An event of the stream of `GET /v1/watch`. */
 export type WatchEvent =
   | { readonly type: "write"; readonly write: AcceptedWrite }
   | { readonly type: "model"; readonly status: ModelStatus };
--- a/packages/operator-service/src/operator-service.ts
+++ b/packages/operator-service/src/operator-service.ts
@@ -1,4 +1,4 @@
-/** Answers the operators' tool. Everything but health and metrics needs an operator's token. */
+/** HTTP API for operators. All paths except health and metrics require an operator token. */
 import { createHash } from "node:crypto";
 import { settingsName } from "@linkfall/config";
 import { crashBlameName, heldRequestsPath } from "@linkfall/crash-blame";
@@ -18,9 +18,9 @@
 import { createWatchers } from "./watchers.js";
 import { createWriteHandler } from "./write-handler.js";
 
-const bearer = /^Bearer (\S+)$/i;
-/** Records of the audit stream that one answer looks at. */
-const auditRecords = 200;
+const bearerPattern = /^Bearer (\S+)$/i;
+/** Maximum number of audit stream records read for one response. */
+const maxAuditRecords = 200;
 
 export interface OperatorService extends Service {
   handle(request: CallerRequest): Promise<CallerResponse>;
@@ -28,12 +28,12 @@
 
 export const operatorServiceName = serviceName<OperatorService>("operator-service");
 
-function answer(status: number, value: unknown): CallerResponse {
+function jsonResponse(status: number, value: unknown): CallerResponse {
   const headers = { "content-type": "application/json" };
   return { status, headers, body: Buffer.from(`${JSON.stringify(value)}\n`) };
 }
 
-function statusOfWrite(written: WriteResponse): number {
+function writeStatusCode(written: WriteResponse): number {
   return match(written.kind)
     .with("accepted", () => 200)
     .with("revision_conflict", () => 409)
@@ -44,82 +44,86 @@
 
 function parseEntries(data: string): readonly AuditEntry[] {
   try {
-    const value: unknown = JSON.parse(data);
-    return Array.isArray(value) ? value : [];
+    const entries: unknown = JSON.parse(data);
+    return Array.isArray(entries) ? entries : [];
   } catch {
     return [];
   }
 }
 
-/** Creates the service of one box. */
+/** Creates the operator service of this box. */
 export function createOperatorService(kernel: Kernel): OperatorService {
   const store = kernel.find(stateStoreName);
   const membership = kernel.find(membershipName);
   const metrics = kernel.find(metricsName);
-  const control = kernel.find(poolControlName);
+  const poolControl = kernel.find(poolControlName);
   const leases = kernel.find(leaseHolderName);
   const log = kernel.find(logPortName);
-  const drain = kernel.find(drainStatusName);
+  const drainStatus = kernel.find(drainStatusName);
   const settings = kernel.find(settingsName);
-  const blame = kernel.find(crashBlameName);
+  const crashBlame = kernel.find(crashBlameName);
   const status = createStatusView(kernel);
   const watchers = createWatchers(kernel, status);
-  const takeWrite = createWriteHandler(kernel);
+  const handleWrite = createWriteHandler(kernel);
   const operators = new Map(
     settings.operators.tokens.map((entry) => {
-      const mark = entry.indexOf(":");
-      return [entry.slice(mark + 1), entry.slice(0, mark)] as const;
+      const separator = entry.indexOf(":");
+      return [entry.slice(separator + 1), entry.slice(0, separator)] as const;
     }),
   );
 
-  const whoIs = (request: CallerRequest): string | undefined => {
-    const token = bearer.exec(request.headers["authorization"] ?? "")?.[1];
+  const authenticate = (request: CallerRequest): string | undefined => {
+    const token = bearerPattern.exec(request.headers["authorization"] ?? "")?.[1];
     if (token === undefined) return undefined;
     return operators.get(createHash("sha256").update(token).digest("hex"));
   };
 
-  const statusAnswer = (): StatusResponse => ({
+  const statusResponse = (): StatusResponse => ({
     box: settings.box.name,
     offset: store.state().offset,
     ready: store.ready(),
     isolated: membership.isolated(),
-    drain: drain(),
-    sessions: control.sessions(),
+    drain: drainStatus(),
+    sessions: poolControl.sessions(),
     models: status.models(),
     engines: status.engines(),
   });
 
-  const boxLines = (): readonly BoxSummary[] => {
-    const alive = new Set(membership.alive().map((entry) => entry.incarnation));
-    const all = [membership.self(), ...membership.known().map((member) => member.entry)];
+  const boxSummaries = (): readonly BoxSummary[] => {
+    const aliveIncarnations = new Set(membership.alive().map((entry) => entry.incarnation));
+    const members = [membership.self(), ...membership.known().map((member) => member.entry)];
     const pools = [...store.desired().pools.keys()];
-    const names = membership.serving().map((entry) => entry.box);
-    return all.map((entry) => ({
+    const servingBoxes = membership.serving().map((entry) => entry.box);
+    return members.map((entry) => ({
       box: entry.box,
       incarnation: entry.incarnation,
       domain: entry.domain,
       callerAddress: entry.callerAddress,
-      state: !alive.has(entry.incarnation) ? "suspected" : entry.leaving ? "leaving" : "alive",
+      state: !aliveIncarnations.has(entry.incarnation)
+        ? "suspected"
+        : entry.leaving
+          ? "leaving"
+          : "alive",
       pools: pools.filter((pool) =>
-        topNodes(pool, names, settings.lease.boxes_per_pool).includes(entry.box),
+        topNodes(pool, servingBoxes, settings.lease.boxes_per_pool).includes(entry.box),
       ),
     }));
   };
 
-  /** The newest entries of the audit stream; none while the log does not answer. */
+  /** Returns the newest entries of the audit stream; empty while the log is unreachable. */
   const auditActions = async (): Promise<readonly AuditEntry[]> => {
-    const readFrom = (from: Offset) => log.read(streams.audit, from, auditRecords);
-    let read = await readFrom(1);
-    const failure = read.swap().toMaybe().extract();
-    if (failure?.kind === "log_truncated") read = await readFrom(failure.first);
-    const newest = read.map((batch) => batch.newest).orDefault(0);
-    if (newest > auditRecords) read = await readFrom(newest - auditRecords + 1);
-    return read
+    const readFrom = (from: Offset) => log.read(streams.audit, from, maxAuditRecords);
+    let readResult = await readFrom(1);
+    const failure = readResult.swap().toMaybe().extract();
+    if (failure?.kind === "log_truncated") readResult = await readFrom(failure.first);
+    const newest = readResult.map((batch) => batch.newest).orDefault(0);
+    if (newest > maxAuditRecords) readResult = await readFrom(newest - maxAuditRecords + 1);
+    return readResult
       .map((batch) => batch.entries.flatMap((entry) => parseEntries(entry.data)))
       .orDefault([]);
   };
 
-  const auditAnswer = async (): Promise<AuditResponse> => ({
+  const auditResponse = async (): Promise<AuditResponse> => ({
     writes: store.state().history,
     actions: await auditActions(),
   });
@@ -130,61 +134,61 @@
     body: watchers.watch(Number(query.get("after") ?? store.state().offset), gone),
   });
 
-  const openPage = (path: string): CallerResponse | undefined => {
-    if (path === "/health/live") return answer(200, { live: true });
+  const handlePublicRequest = (path: string): CallerResponse | undefined => {
+    if (path === "/health/live") return jsonResponse(200, { live: true });
     if (path === "/health/ready") {
       const ready = store.ready() && !membership.isolated() && !membership.self().leaving;
-      return answer(ready ? 200 : 503, { ready });
+      return jsonResponse(ready ? 200 : 503, { ready });
     }
     if (path !== "/metrics") return undefined;
     const headers = { "content-type": "text/plain; version=0.0.4" };
     return { status: 200, headers, body: Buffer.from(metrics.expose()) };
   };
 
-  const operatorPage = async (
+  const handleOperatorRequest = async (
     request: CallerRequest,
-    who: string,
+    operator: string,
     path: string,
     query: URLSearchParams,
   ): Promise<CallerResponse> =>
     match([request.method, path])
       .with(["POST", "/v1/writes"], async () => {
-        const written = await takeWrite(who, request.body);
-        return answer(statusOfWrite(written), written);
+        const written = await handleWrite(operator, request.body);
+        return jsonResponse(writeStatusCode(written), written);
       })
       .with(["GET", "/v1/resources"], async () =>
-        answer(200, {
+        jsonResponse(200, {
           offset: store.state().offset,
           resources: [...store.state().resources.values()],
         }),
       )
-      .with(["GET", "/v1/status"], async () => answer(200, statusAnswer()))
-      .with(["GET", "/v1/boxes"], async () => answer(200, { boxes: boxLines() }))
+      .with(["GET", "/v1/status"], async () => jsonResponse(200, statusResponse()))
+      .with(["GET", "/v1/boxes"], async () => jsonResponse(200, { boxes: boxSummaries() }))
       .with(["GET", "/v1/leases"], async () =>
-        answer(200, { leases: [...store.state().leases.values()], held: leases.heldPools() }),
+        jsonResponse(200, { leases: [...store.state().leases.values()], held: leases.heldPools() }),
       )
-      .with(["GET", "/v1/audit"], async () => answer(200, await auditAnswer()))
-      .with(["GET", heldRequestsPath], async () => answer(200, { held: blame.held() }))
+      .with(["GET", "/v1/audit"], async () => jsonResponse(200, await auditResponse()))
+      .with(["GET", heldRequestsPath], async () => jsonResponse(200, { held: crashBlame.held() }))
       .with(["DELETE", heldRequestsPath], async () => {
-        const released = blame.release(query.get("request") ?? "");
-        return answer(released ? 200 : 404, { released });
+        const released = crashBlame.release(query.get("request") ?? "");
+        return jsonResponse(released ? 200 : 404, { released });
       })
       .with(["GET", "/v1/watch"], async () => watch(query, request.gone))
-      .with(P._, async () => answer(404, { error: { code: "unknown_path", reason: path } }))
+      .with(P._, async () => jsonResponse(404, { error: { code: "unknown_path", reason: path } }))
       .exhaustive();
 
   return {
     async handle(request) {
       const [path, queryText] = request.path.split("?", 2);
-      const open = openPage(path);
-      if (open) return open;
-      const who = whoIs(request);
-      if (who === undefined) {
-        return answer(401, {
-          error: { code: "unauthenticated", reason: "an operator's token is needed" },
+      const publicResponse = handlePublicRequest(path);
+      if (publicResponse) return publicResponse;
+      const operator = authenticate(request);
+      if (operator === undefined) {
+        return jsonResponse(401, {
+          error: { code: "unauthenticated", reason: "an operator token is required" },
         });
       }
-      return operatorPage(request, who, path, new URLSearchParams(queryText));
+      return handleOperatorRequest(request, operator, path, new URLSearchParams(queryText));
     },
     start: watchers.start,
     stop: watchers.stop,
--- a/packages/operator-service/src/status-view.ts
+++ b/packages/operator-service/src/status-view.ts
@@ -1,4 +1,4 @@
-/** The state of models and engines as this box sees it. */
+/** The state of models and engines as observed by this box. */
 import type { Kernel } from "@linkfall/kernel";
 import { stateStoreName } from "@linkfall/state-store";
 import { targetWatchName } from "@linkfall/target-watch";
@@ -11,47 +11,58 @@
   engines(): readonly EngineStatus[];
 }
 
-/** Creates the view of one box. */
+/** Creates the status view of this box. */
 export function createStatusView(kernel: Kernel): StatusView {
   const store = kernel.find(stateStoreName);
-  const watch = kernel.find(targetWatchName);
-  const replicas = kernel.find(replicasName);
+  const targetWatch = kernel.find(targetWatchName);
+  const replicaIndex = kernel.find(replicasName);
 
   const residents = (): readonly Resident[] =>
     [...store.desired().engines.keys()].flatMap(
-      (engine) => watch.reportOf(engine)?.report.residents ?? [],
+      (engine) => targetWatch.reportOf(engine)?.report.residents ?? [],
     );
 
   return {
     models() {
-      const all = residents();
+      const allResidents = residents();
       return [...store.desired().models.values()].map((model) => {
-        const current = modelArtifact(model.name, model.version);
-        const anyVersion = modelArtifact(model.name, "");
-        const copies = all.filter((copy) => copy.artifact.startsWith(anyVersion));
+        const currentArtifact = modelArtifact(model.name, model.version);
+        const artifactPrefix = modelArtifact(model.name, "");
+        const replicasOfModel = allResidents.filter((replica) =>
+          replica.artifact.startsWith(artifactPrefix),
+        );
         const adapters = [...store.desired().adapters.values()].filter(
           (adapter) => adapter.model === model.name,
         );
-        const callable = adapters.filter((adapter) => replicas.serving(model, adapter).length > 0);
-        const count = (test: (copy: Resident) => boolean) => copies.filter(test).length;
+        const readyAdapters = adapters.filter(
+          (adapter) => replicaIndex.serving(model, adapter).length > 0,
+        );
+        const count = (matches: (replica: Resident) => boolean) =>
+          replicasOfModel.filter(matches).length;
         return {
           model: model.name,
           version: model.version,
-          ready: count((copy) => copy.artifact === current && copy.state === "ready"),
-          loading: count((copy) => copy.artifact === current && copy.state === "loading"),
-          readyOld: count((copy) => copy.artifact !== current && copy.state === "ready"),
-          adaptersReady: callable.length,
+          ready: count(
+            (replica) => replica.artifact === currentArtifact && replica.state === "ready",
+          ),
+          loading: count(
+            (replica) => replica.artifact === currentArtifact && replica.state === "loading",
+          ),
+          readyOld: count(
+            (replica) => replica.artifact !== currentArtifact && replica.state === "ready",
+          ),
+          adaptersReady: readyAdapters.length,
           adapters: adapters.length,
         };
       });
     },
     engines: () =>
       [...store.desired().engines.values()].map((engine) => {
-        const report = watch.reportOf(engine.name)?.report;
+        const report = targetWatch.reportOf(engine.name)?.report;
         return {
           engine: engine.name,
           reported: report !== undefined,
-          leaving: watch.isLeaving(engine),
+          leaving: targetWatch.isLeaving(engine),
           role: report?.role,
           residents: report?.residents ?? [],
           running: report?.running ?? 0,
--- a/packages/operator-service/src/watchers.ts
+++ b/packages/operator-service/src/watchers.ts
@@ -1,4 +1,4 @@
-/** Tells watchers of accepted writes and of models that change state. */
+/** Streams accepted writes and model status changes to watchers. */
 import { clockName, type Kernel, randomName, repeatEvery, type Service } from "@linkfall/kernel";
 import type { BodyPart } from "@linkfall/ports";
 import { stateStoreName } from "@linkfall/state-store";
@@ -7,35 +7,38 @@
 import type { WatchEvent } from "./api-types.js";
 import type { StatusView } from "./status-view.js";
 
-const compareMs: Milliseconds = 500;
-/** Events kept for a slow watcher; one that lags further is ended and begins anew. */
-const keptEvents = 1_000;
+const compareIntervalMs: Milliseconds = 500;
+/** Maximum number of events queued for a watcher. A slower one is disconnected and has to reconnect. */
+const maxPendingEvents = 1_000;
 
 interface Watcher {
-  readonly waiting: WatchEvent[];
+  readonly pending: WatchEvent[];
   wake: () => void;
-  overrun: boolean;
+  overflowed: boolean;
 }
 
 export interface Watchers extends Service {
-  /** The events from now on, with the accepted writes after `after` first. */
-  watch(after: Revision, gone: AbortSignal): AsyncIterable<BodyPart>;
+  /**
+   * Streams server-sent events: the accepted writes after `after`, the status of all models, then new
+   * events until `signal` is aborted.
+   */
+  watch(after: Revision, signal: AbortSignal): AsyncIterable<BodyPart>;
 }
 
-function toPart(event: WatchEvent): BodyPart {
+function formatEvent(event: WatchEvent): BodyPart {
   return Right(Buffer.from(`event: ${event.type}\ndata: ${JSON.stringify(event)}\n\n`));
 }
 
-/** Creates the watchers of one box; its life cycle is the comparing of models' states. */
+/** Creates the watchers of this box. While started, it polls the status of models for changes. */
 export function createWatchers(kernel: Kernel, status: StatusView): Watchers {
   const store = kernel.find(stateStoreName);
   const watchers = new Set<Watcher>();
-  const shown = new Map<string, string>();
+  const lastSent = new Map<string, string>();
 
-  const tell = (event: WatchEvent) => {
+  const publish = (event: WatchEvent) => {
     for (const watcher of watchers) {
-      watcher.overrun ||= watcher.waiting.length >= keptEvents;
-      if (!watcher.overrun) watcher.waiting.push(event);
+      watcher.overflowed ||= watcher.pending.length >= maxPendingEvents;
+      if (!watcher.overflowed) watcher.pending.push(event);
       watcher.wake();
     }
   };
@@ -43,34 +46,39 @@
   store.onFold((event) => {
     if (event.type !== "write_accepted") return;
     const write = store.state().history.at(-1);
-    if (write) tell({ type: "write", write });
+    if (write) publish({ type: "write", write });
   });
 
-  const compare = () => {
+  const publishChangedModels = () => {
     if (watchers.size === 0) return;
     for (const model of status.models()) {
-      const text = JSON.stringify(model);
-      if (shown.get(model.model) === text) continue;
-      shown.set(model.model, text);
-      tell({ type: "model", status: model });
+      const serialised = JSON.stringify(model);
+      if (lastSent.get(model.model) === serialised) continue;
+      lastSent.set(model.model, serialised);
+      publish({ type: "model", status: model });
     }
   };
 
-  const loop = repeatEvery(kernel.find(clockName), kernel.find(randomName), compareMs, compare);
+  const loop = repeatEvery(
+    kernel.find(clockName),
+    kernel.find(randomName),
+    compareIntervalMs,
+    publishChangedModels,
+  );
   return {
-    async *watch(after, gone) {
-      const past = store.state().history.filter((write) => write.revision > after);
-      const waiting = past.map((write): WatchEvent => ({ type: "write", write }));
-      waiting.push(
+    async *watch(after, signal) {
+      const missed = store.state().history.filter((write) => write.revision > after);
+      const pending = missed.map((write): WatchEvent => ({ type: "write", write }));
+      pending.push(
         ...status.models().map((model): WatchEvent => ({ type: "model", status: model })),
       );
-      const watcher: Watcher = { waiting, wake: () => undefined, overrun: false };
+      const watcher: Watcher = { pending, wake: () => undefined, overflowed: false };
       watchers.add(watcher);
-      gone.addEventListener("abort", () => watcher.wake(), { once: true });
+      signal.addEventListener("abort", () => watcher.wake(), { once: true });
       try {
-        while (!gone.aborted && !watcher.overrun) {
-          for (const event of watcher.waiting.splice(0)) yield toPart(event);
-          if (watcher.waiting.length > 0 || gone.aborted) continue;
+        while (!signal.aborted && !watcher.overflowed) {
+          for (const event of watcher.pending.splice(0)) yield formatEvent(event);
+          if (watcher.pending.length > 0 || signal.aborted) continue;
           await new Promise<void>((resolve) => (watcher.wake = resolve));
         }
       } finally {
--- a/packages/operator-service/src/write-handler.ts
+++ b/packages/operator-service/src/write-handler.ts
@@ -1,4 +1,4 @@
-/** Takes operators' writes: checked here first, decided by the fold. */
+/** Handles operators' writes: validates them, appends them to the log and waits for the outcome. */
 import type { FieldProblem } from "@linkfall/errors";
 import { clockName, type Kernel, sleep } from "@linkfall/kernel";
 import { logWriterName } from "@linkfall/log-writer";
@@ -12,35 +12,35 @@
 import { z } from "zod";
 import type { WriteResponse } from "./api-types.js";
 
-/** How long an operator waits for the log before the outcome is called unknown. */
-const writeLimitMs: Milliseconds = 10_000;
+/** Timeout of an append to the log, after which the outcome is reported as unknown. */
+const appendTimeoutMs: Milliseconds = 10_000;
 
-/** How long the answer waits for the change to be in force on every box that is heard. */
-const inForceLimitMs: Milliseconds = 2_000;
-const inForceStepMs: Milliseconds = 50;
+/** Maximum time to wait until all reachable boxes have applied the change. */
+const inForceTimeoutMs: Milliseconds = 2_000;
+const inForcePollMs: Milliseconds = 50;
 
 const requestSchema = z.strictObject({ changes: z.array(changeSchema).min(1).max(10_000) });
 
 export type WriteHandler = (who: string, body: Uint8Array) => Promise<WriteResponse>;
 
 function parseChanges(body: Uint8Array): Either<readonly FieldProblem[], readonly Change[]> {
-  let value: unknown;
+  let parsed: unknown;
   try {
-    value = JSON.parse(Buffer.from(body).toString("utf8"));
+    parsed = JSON.parse(Buffer.from(body).toString("utf8"));
   } catch {
-    return Left([{ field: "body", reason: "not JSON" }]);
+    return Left([{ field: "body", reason: "is not valid JSON" }]);
   }
-  const checked = requestSchema.safeParse(value);
-  if (checked.success) return Right(checked.data.changes);
+  const validated = requestSchema.safeParse(parsed);
+  if (validated.success) return Right(validated.data.changes);
   return Left(
-    checked.error.issues.map((issue) => ({
+    validated.error.issues.map((issue) => ({
       field: issue.path.map(String).join("."),
       reason: issue.message,
     })),
   );
 }
 
-/** Creates the taking of writes of one box. */
+/** Creates the write handler of this box. */
 export function createWriteHandler(kernel: Kernel): WriteHandler {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
@@ -49,36 +49,36 @@
   const membership = kernel.find(membershipName);
 
   /**
-   * Answers once every box that is heard has the change. Were it answered before, the only box that
-   * has read it could be lost together with the log, and nobody would know of an accepted change.
+   * Waits until all reachable boxes have applied the change. An earlier response would risk losing an
+   * accepted change if the log and the only box that has read it fail together.
    */
   const awaitInForce = async (revision: Revision): Promise<WriteResponse> => {
-    const end = clock.now() + inForceLimitMs;
+    const deadlineAt = clock.now() + inForceTimeoutMs;
     for (;;) {
       const { boxes, reached } = membership.readTo(revision);
-      if (reached === boxes || clock.now() >= end) {
+      if (reached === boxes || clock.now() >= deadlineAt) {
         return { kind: "accepted", revision, boxes, inForceOn: reached };
       }
-      // Their next heartbeats would tell, too, but later than an operator wants to wait.
+      // Polls the boxes that lag behind, which is faster than waiting for their next heartbeat.
       membership.askBehind(revision);
-      await sleep(clock, inForceStepMs);
+      await sleep(clock, inForcePollMs);
     }
   };
 
   const appendWrite = async (who: string, changes: readonly Change[]): Promise<WriteResponse> => {
     const at = clock.wallTime();
-    const written = await writer.append(
+    const appended = await writer.append(
       (id) => ({ type: "write", id, who, at, changes }),
-      writeLimitMs,
+      appendTimeoutMs,
     );
-    const unknown: WriteResponse = {
+    const unknownOutcome: WriteResponse = {
       kind: "unknown",
-      reason: "the log did not answer in time; read the resources again before another try",
+      reason: "the log did not respond in time; read the resources again before retrying",
     };
-    return written.caseOf<Promise<WriteResponse>>({
-      Left: async () => unknown,
-      Right: async (folded) =>
-        match(folded[0])
+    return appended.caseOf<Promise<WriteResponse>>({
+      Left: async () => unknownOutcome,
+      Right: async (events) =>
+        match(events[0])
           .with(
             { type: "write_accepted" },
             ({ revision }): Promise<WriteResponse> | WriteResponse => {
@@ -90,7 +90,7 @@
             logger.event("changeRejected", { who });
             return why;
           })
-          .with(P._, () => unknown)
+          .with(P._, () => unknownOutcome)
           .exhaustive(),
     });
   };
@@ -101,7 +101,7 @@
       return { kind: "invalid_input", problems: parsed.extract() as readonly FieldProblem[] };
     }
     const changes = parsed.unsafeCoerce();
-    // What is wrong already does not burden the log; the fold judges again.
+    // Rejects writes that are already invalid without an append; the state fold validates the others.
     return judgeWrite(store.state(), changes) ?? appendWrite(who, changes);
   };
 }
