--- a/packages/cli/src/operator-command.ts
+++ b/packages/cli/src/operator-command.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from "node:fs";
 import type { FieldProblem } from "@linkfall/errors";
 import {
-  type AskFailure,
+  type RequestFailure,
   createOperatorClient,
   type OperatorClient,
 } from "@linkfall/operator-client";
@@ -49,7 +49,7 @@
 
   /** Shows an answer, or says why there is none. */
   protected conclude<T>(
-    answer: Either<AskFailure, T>,
+    answer: Either<RequestFailure, T>,
     show: (value: T) => ExitCode | void,
   ): ExitCode {
     return answer.caseOf<ExitCode>({
--- a/packages/operator-client/src/index.ts
+++ b/packages/operator-client/src/index.ts
@@ -16,7 +16,7 @@
 import { type Either, Left, Right } from "purify-ts";
 
 /** Where the box is, and who asks. */
-export interface OperatorTarget {
+export interface BoxEndpoint {
   /** `http://ip:port` or `https://ip:port`. */
   readonly url: string;
   readonly token: string;
@@ -25,31 +25,31 @@
 }
 
 /** The box could not be asked, or did not accept the operator. */
-export interface AskFailure {
+export interface RequestFailure {
   readonly kind: "unreachable" | "unauthenticated" | "unexpected";
   readonly reason: string;
 }
 
-type Asked<T> = Promise<Either<AskFailure, T>>;
+type ClientResult<T> = Promise<Either<RequestFailure, T>>;
 
 export interface OperatorClient {
-  resources(): Asked<ResourcesResponse>;
-  write(changes: readonly Change[]): Asked<WriteResponse>;
-  status(): Asked<StatusResponse>;
-  boxes(): Asked<readonly BoxSummary[]>;
-  audit(): Asked<AuditResponse>;
+  resources(): ClientResult<ResourcesResponse>;
+  write(changes: readonly Change[]): ClientResult<WriteResponse>;
+  status(): ClientResult<StatusResponse>;
+  boxes(): ClientResult<readonly BoxSummary[]>;
+  audit(): ClientResult<AuditResponse>;
   /** Requests that are held back by boxes that forward opaque requests. */
-  heldRequests(): Asked<readonly HeldRequest[]>;
+  heldRequests(): ClientResult<readonly HeldRequest[]>;
   /** Lets one through again; false where it is not held back. */
-  releaseRequest(fingerprint: string): Asked<boolean>;
+  releaseRequest(fingerprint: string): ClientResult<boolean>;
   /** Targets whose limits hold, as one box that forwards opaque requests knows them. */
-  limitedTargets(): Asked<readonly LimitedTarget[]>;
+  limitedTargets(): ClientResult<readonly LimitedTarget[]>;
   /** Calls `take` for each event until the connection ends or `signal` is aborted. */
   watch(
     after: Revision | undefined,
     take: (event: WatchEvent) => void,
     signal: AbortSignal,
-  ): Asked<void>;
+  ): ClientResult<void>;
 }
 
 interface RawAnswer {
@@ -64,7 +64,7 @@
 const releaseStatuses = [200, 404];
 
 /** Creates a client for one box. */
-export function createOperatorClient(target: OperatorTarget): OperatorClient {
+export function createOperatorClient(target: BoxEndpoint): OperatorClient {
   const send = (
     method: string,
     path: string,
@@ -72,7 +72,7 @@
     onText: (text: string) => void,
     signal?: AbortSignal,
   ) =>
-    new Promise<Either<AskFailure, RawAnswer>>((resolve) => {
+    new Promise<Either<RequestFailure, RawAnswer>>((resolve) => {
       const start = target.url.startsWith("https:") ? tlsRequest : plainRequest;
       const fail = (problem: Error) =>
         resolve(Left({ kind: "unreachable", reason: `${target.url}: ${problem.message}` }));
@@ -100,10 +100,10 @@
     path: string,
     body: unknown,
     statuses: readonly number[],
-  ): Asked<T> => {
+  ): ClientResult<T> => {
     const text = body === undefined ? "" : JSON.stringify(body);
     const answer = await send(method, path, text, () => undefined);
-    return answer.chain((raw): Either<AskFailure, T> => {
+    return answer.chain((raw): Either<RequestFailure, T> => {
       if (raw.status === unauthenticated) {
         return Left({ kind: "unauthenticated", reason: "the box does not know this token" });
       }
@@ -140,7 +140,7 @@
       const parser = createParser({ onEvent });
       const query = after === undefined ? "" : `?after=${after}`;
       const ended = await send("GET", `/v1/watch${query}`, "", (text) => parser.feed(text), signal);
-      return ended.chain((raw): Either<AskFailure, void> =>
+      return ended.chain((raw): Either<RequestFailure, void> =>
         raw.status === 200
           ? Right(undefined)
           : Left({ kind: "unexpected", reason: `status ${raw.status}` }),
