--- a/packages/operator-client/src/index.ts
+++ b/packages/operator-client/src/index.ts
@@ -1,4 +1,4 @@
-/** Asks a box's operator interface. */
+/** Client of a box's operator API. */
 import { request as plainRequest } from "node:http";
 import { request as tlsRequest } from "node:https";
 import { heldRequestsPath } from "@linkfall/crash-blame";
@@ -15,16 +15,16 @@
 import { createParser, type EventSourceMessage } from "eventsource-parser";
 import { type Either, Left, Right } from "purify-ts";
 
-/** Where the box is, and who asks. */
+/** Address of a box's operator API and the operator's credentials. */
 export interface BoxEndpoint {
   /** `http://ip:port` or `https://ip:port`. */
   readonly url: string;
   readonly token: string;
-  /** Authority of the box's certificate, PEM. */
+  /** Certificate of the authority that signed the box's certificate, in PEM format. */
   readonly ca?: string;
 }
 
-/** The box could not be asked, or did not accept the operator. */
+/** The box is unreachable, rejected the token, or sent an unexpected response. */
 export interface RequestFailure {
   readonly kind: "unreachable" | "unauthenticated" | "unexpected";
   readonly reason: string;
@@ -38,33 +38,33 @@
   status(): ClientResult<StatusResponse>;
   boxes(): ClientResult<readonly BoxSummary[]>;
   audit(): ClientResult<AuditResponse>;
-  /** Requests that are held back by boxes that forward opaque requests. */
+  /** Lists the requests that boxes forwarding opaque requests hold back. */
   heldRequests(): ClientResult<readonly HeldRequest[]>;
-  /** Lets one through again; false where it is not held back. */
+  /** Releases a held request; resolves to false if it is not held. */
   releaseRequest(fingerprint: string): ClientResult<boolean>;
-  /** Targets whose limits hold, as one box that forwards opaque requests knows them. */
+  /** Lists the targets with active rate limits, as known to a box that forwards opaque requests. */
   limitedTargets(): ClientResult<readonly LimitedTarget[]>;
-  /** Calls `take` for each event until the connection ends or `signal` is aborted. */
+  /** Calls `onEvent` for each event until the connection ends or `signal` is aborted. */
   watch(
     after: Revision | undefined,
-    take: (event: WatchEvent) => void,
+    onEvent: (event: WatchEvent) => void,
     signal: AbortSignal,
   ): ClientResult<void>;
 }
 
-interface RawAnswer {
+interface RawResponse {
   readonly status: number;
   readonly text: string;
 }
 
-const unauthenticated = 401;
-/** Statuses by which a write is answered. */
+const unauthorizedStatus = 401;
+/** Status codes whose body is a `WriteResponse`. */
 const writeStatuses = [200, 409, 422, 504];
-/** Statuses by which a release is answered. */
+/** Status codes of a release, successful or not found. */
 const releaseStatuses = [200, 404];
 
 /** Creates a client for one box. */
-export function createOperatorClient(target: BoxEndpoint): OperatorClient {
+export function createOperatorClient(endpoint: BoxEndpoint): OperatorClient {
   const send = (
     method: string,
     path: string,
@@ -72,75 +72,88 @@
     onText: (text: string) => void,
     signal?: AbortSignal,
   ) =>
-    new Promise<Either<RequestFailure, RawAnswer>>((resolve) => {
-      const start = target.url.startsWith("https:") ? tlsRequest : plainRequest;
-      const fail = (problem: Error) =>
-        resolve(Left({ kind: "unreachable", reason: `${target.url}: ${problem.message}` }));
+    new Promise<Either<RequestFailure, RawResponse>>((resolve) => {
+      const startRequest = endpoint.url.startsWith("https:") ? tlsRequest : plainRequest;
+      const fail = (error: Error) =>
+        resolve(Left({ kind: "unreachable", reason: `${endpoint.url}: ${error.message}` }));
       const headers = {
-        authorization: `Bearer ${target.token}`,
+        authorization: `Bearer ${endpoint.token}`,
         "content-type": "application/json",
       };
-      const options = { method, headers, signal, ca: target.ca, agent: false as const };
-      const sent = start(new URL(path, target.url), options, (message) => {
+      const options = { method, headers, signal, ca: endpoint.ca, agent: false as const };
+      const outgoing = startRequest(new URL(path, endpoint.url), options, (incoming) => {
         let text = "";
-        message.setEncoding("utf8");
-        message.on("data", (chunk: string) => {
+        incoming.setEncoding("utf8");
+        incoming.on("data", (chunk: string) => {
           text += chunk;
           onText(chunk);
         });
-        message.on("end", () => resolve(Right({ status: message.statusCode ?? 0, text })));
-        message.on("error", fail);
+        incoming.on("end", () => resolve(Right({ status: incoming.statusCode ?? 0, text })));
+        incoming.on("error", fail);
       });
-      sent.on("error", fail);
-      sent.end(body);
+      outgoing.on("error", fail);
+      outgoing.end(body);
     });
 
-  const ask = async <T>(
+  const requestJson = async <T>(
     method: string,
     path: string,
     body: unknown,
     statuses: readonly number[],
   ): ClientResult<T> => {
-    const text = body === undefined ? "" : JSON.stringify(body);
-    const answer = await send(method, path, text, () => undefined);
-    return answer.chain((raw): Either<RequestFailure, T> => {
-      if (raw.status === unauthenticated) {
-        return Left({ kind: "unauthenticated", reason: "the box does not know this token" });
+    const requestBody = body === undefined ? "" : JSON.stringify(body);
+    const response = await send(method, path, requestBody, () => undefined);
+    return response.chain((raw): Either<RequestFailure, T> => {
+      if (raw.status === unauthorizedStatus) {
+        return Left({ kind: "unauthenticated", reason: "the box rejected this token" });
       }
       if (statuses.includes(raw.status)) return Right(JSON.parse(raw.text) as T);
       return Left({ kind: "unexpected", reason: `status ${raw.status}: ${raw.text.trim()}` });
     });
   };
-  const get = <T>(path: string) => ask<T>("GET", path, undefined, [200]);
+  const get = <T>(path: string) => requestJson<T>("GET", path, undefined, [200]);
 
   return {
     resources: () => get<ResourcesResponse>("/v1/resources"),
-    write: (changes) => ask<WriteResponse>("POST", "/v1/writes", { changes }, writeStatuses),
+    write: (changes) =>
+      requestJson<WriteResponse>("POST", "/v1/writes", { changes }, writeStatuses),
     status: () => get<StatusResponse>("/v1/status"),
     async boxes() {
-      const answer = await get<{ boxes: readonly BoxSummary[] }>("/v1/boxes");
-      return answer.map(({ boxes }) => boxes);
+      const response = await get<{ boxes: readonly BoxSummary[] }>("/v1/boxes");
+      return response.map(({ boxes }) => boxes);
     },
     audit: () => get<AuditResponse>("/v1/audit"),
     async heldRequests() {
-      const answer = await get<{ held: readonly HeldRequest[] }>(heldRequestsPath);
-      return answer.map(({ held }) => held);
+      const response = await get<{ held: readonly HeldRequest[] }>(heldRequestsPath);
+      return response.map(({ held }) => held);
     },
     async releaseRequest(fingerprint) {
       const path = `${heldRequestsPath}?request=${encodeURIComponent(fingerprint)}`;
-      const answer = await ask<{ released: boolean }>("DELETE", path, undefined, releaseStatuses);
-      return answer.map(({ released }) => released);
+      const response = await requestJson<{ released: boolean }>(
+        "DELETE",
+        path,
+        undefined,
+        releaseStatuses,
+      );
+      return response.map(({ released }) => released);
     },
     async limitedTargets() {
-      const answer = await get<{ limited: readonly LimitedTarget[] }>(limitedTargetsPath);
-      return answer.map(({ limited }) => limited);
+      const response = await get<{ limited: readonly LimitedTarget[] }>(limitedTargetsPath);
+      return response.map(({ limited }) => limited);
     },
-    async watch(after, take, signal) {
-      const onEvent = (message: EventSourceMessage) => take(JSON.parse(message.data) as WatchEvent);
-      const parser = createParser({ onEvent });
+    async watch(after, onEvent, signal) {
+      const onMessage = (message: EventSourceMessage) =>
+        onEvent(JSON.parse(message.data) as WatchEvent);
+      const parser = createParser({ onEvent: onMessage });
       const query = after === undefined ? "" : `?after=${after}`;
-      const ended = await send("GET", `/v1/watch${query}`, "", (text) => parser.feed(text), signal);
-      return ended.chain((raw): Either<RequestFailure, void> =>
+      const response = await send(
+        "GET",
+        `/v1/watch${query}`,
+        "",
+        (text) => parser.feed(text),
+        signal,
+      );
+      return response.chain((raw): Either<RequestFailure, void> =>
         raw.status === 200
           ? Right(undefined)
           : Left({ kind: "unexpected", reason: `status ${raw.status}` }),
