--- a/packages/cli/src/commands/audit/index.ts
+++ b/packages/cli/src/commands/audit/index.ts
@@ -43,8 +43,8 @@
 
   async execute(): Promise<ExitCode> {
     const heads = ["TIME", "WHO", "ACTION", "SUBJECT", "OLD", "NEW", "DETAIL"];
-    return this.conclude(await this.client().audit(), (answer) =>
-      this.show(answer, heads, () => toRows(answer)),
+    return this.handleResult(await this.client().audit(), (answer) =>
+      this.printValue(answer, heads, () => toRows(answer)),
     );
   }
 }
--- a/packages/cli/src/commands/explain/index.ts
+++ b/packages/cli/src/commands/explain/index.ts
@@ -35,6 +35,6 @@
       return exitCodes.invalid;
     }
     for (const line of story) this.context.stdout.write(`${showLine(line)}\n`);
-    return exitCodes.done;
+    return exitCodes.success;
   }
 }
--- a/packages/cli/src/commands/status/index.ts
+++ b/packages/cli/src/commands/status/index.ts
@@ -24,10 +24,10 @@
   });
 
   async execute(): Promise<ExitCode> {
-    return this.conclude(await this.client().status(), (answer) => {
-      if (this.output === "json") return this.line(JSON.stringify(answer, undefined, 2));
-      this.line(summary(answer));
-      this.line("");
+    return this.handleResult(await this.client().status(), (answer) => {
+      if (this.output === "json") return this.printLine(JSON.stringify(answer, undefined, 2));
+      this.printLine(summary(answer));
+      this.printLine("");
       this.context.stdout.write(
         renderTable(
           ["MODEL", "VERSION", "READY", "LOADING", "OLDER", "ADAPTERS"],
@@ -41,7 +41,7 @@
           ]),
         ),
       );
-      this.line("");
+      this.printLine("");
       this.context.stdout.write(
         renderTable(
           ["ENGINE", "STATE", "ROLE", "RUNNING", "QUEUED", "RESIDENT"],
