--- a/packages/cli/bin/linkfall.js
+++ b/packages/cli/bin/linkfall.js
@@ -1,3 +1,3 @@
 #!/usr/bin/env node
-// Committed, so that installing can link it before anything is built.
+// Checked in, since package managers link executables at installation, before the build.
 import "../dist/main.js";
--- a/packages/cli/src/commands/apply/index.ts
+++ b/packages/cli/src/commands/apply/index.ts
@@ -10,21 +10,23 @@
 export class ApplyCommand extends OperatorCommand {
   static override paths = [["apply"]];
   static override usage = Command.Usage({
-    description: "declare resources: create or change them",
+    description: "create or update resources from a file",
     details: `
       Reads resources from a YAML or JSON file and writes those that differ, all of them or none.
-      Resources that the file does not name stay as they are. A change is based on the revisions that
-      are current when the command runs; with --base, on that revision: if a resource was changed
-      after it, nothing is applied.
+      Resources that are not in the file are left unchanged. Changes are based on the revisions that
+      are current when the command runs, or on the revision given by --base: if a resource was changed
+      after that revision, nothing is applied.
     `,
-    examples: [["Declare what a file holds", "linkfall apply -f models.yaml"]],
+    examples: [["Apply a file", "linkfall apply -f models.yaml"]],
   });
 
   file = Option.String("-f,--file", {
     required: true,
     description: "resource file, - for standard input",
   });
-  base = Option.String("--base", { description: "refuse what was changed after this revision" });
+  base = Option.String("--base", {
+    description: "fail if a resource was changed after this revision",
+  });
 
   async execute(): Promise<ExitCode> {
     return readResourceFile(this.file).caseOf<Promise<ExitCode>>({
@@ -39,9 +41,12 @@
     if (stored.isLeft()) return this.handleResult(stored, () => undefined);
     const { changes, diffs } = diffResources(resources, stored.unsafeCoerce().resources);
     const base: Revision = this.base === undefined ? Infinity : Number(this.base);
-    const based = changes.map((change) => ({ ...change, base: Math.min(base, change.base) }));
-    if (based.length === 0) {
-      this.printLine(this.output === "json" ? '{"kind":"unchanged"}' : "nothing to change");
+    const rebasedChanges = changes.map((change) => ({
+      ...change,
+      base: Math.min(base, change.base),
+    }));
+    if (rebasedChanges.length === 0) {
+      this.printLine(this.output === "json" ? '{"kind":"unchanged"}' : "no changes");
       return exitCodes.success;
     }
     if (this.output !== "json") {
@@ -49,7 +54,7 @@
         if (action !== "unchanged") this.printLine(`${action} ${subject.kind}/${subject.name}`);
       }
     }
-    return this.handleResult(await client.write(based), (written) =>
+    return this.handleResult(await client.write(rebasedChanges), (written) =>
       this.printWriteResult(written),
     );
   }
--- a/packages/cli/src/commands/audit/index.ts
+++ b/packages/cli/src/commands/audit/index.ts
@@ -5,9 +5,9 @@
 import { OperatorCommand } from "../../operator-command.js";
 import type { TableRow } from "../../table.js";
 
-/** One line of the trail: writes of operators and actions of the system, oldest first. */
+/** Table rows of the audit trail, oldest first: operators' writes and actions of the system. */
 function toRows({ writes, actions }: AuditResponse): readonly TableRow[] {
-  const written = writes.flatMap((write) =>
+  const writeRows = writes.flatMap((write) =>
     write.changes.map((change): TableRow => {
       const subject = `${change.subject.kind}/${change.subject.name}`;
       const fields = change.fields.join(",");
@@ -22,7 +22,7 @@
       ];
     }),
   );
-  const acted = actions.map((entry): TableRow => [
+  const actionRows = actions.map((entry): TableRow => [
     entry.at,
     `${entry.who} (${entry.box})`,
     entry.action,
@@ -31,20 +31,20 @@
     "",
     entry.detail,
   ]);
-  return [...written, ...acted].sort((a, b) => (a[0] < b[0] ? -1 : 1));
+  return [...writeRows, ...actionRows].sort((a, b) => (a[0] < b[0] ? -1 : 1));
 }
 
 export class AuditCommand extends OperatorCommand {
   static override paths = [["audit"]];
   static override usage = Command.Usage({
-    description: "show who changed what, and what the system did and why",
+    description: "show changes by operators, and actions of the system with their reasons",
     examples: [["The whole trail as JSON", "linkfall audit --output json"]],
   });
 
   async execute(): Promise<ExitCode> {
-    const heads = ["TIME", "WHO", "ACTION", "SUBJECT", "OLD", "NEW", "DETAIL"];
-    return this.handleResult(await this.client().audit(), (answer) =>
-      this.printValue(answer, heads, () => toRows(answer)),
+    const headers = ["TIME", "WHO", "ACTION", "SUBJECT", "OLD", "NEW", "DETAIL"];
+    return this.handleResult(await this.client().audit(), (response) =>
+      this.printValue(response, headers, () => toRows(response)),
     );
   }
 }
--- a/packages/cli/src/commands/check-settings/index.ts
+++ b/packages/cli/src/commands/check-settings/index.ts
@@ -10,15 +10,15 @@
 export class CheckSettingsCommand extends Command {
   static override paths = [["check-settings"]];
   static override usage = Command.Usage({
-    description: "check the settings file of a box",
+    description: "validate the settings file of a box",
     details:
-      "Names every wrong key with the reason. With --describe it prints the reference of all keys instead.",
+      "Prints each invalid key with the reason. With --describe, prints the reference of all keys instead.",
     examples: [["Check a file", "linkfall check-settings box.ini"]],
   });
 
   file = Option.String({ required: false });
   forwarding = Option.Boolean("--forwarding", false, {
-    description: "the file is of a box that forwards opaque requests",
+    description: "validate the file as settings of a box that forwards opaque requests",
   });
   describe = Option.Boolean("--describe", false, {
     description: "print the reference of all keys",
@@ -30,7 +30,7 @@
       return exitCodes.success;
     }
     if (this.file === undefined) {
-      this.context.stderr.write("linkfall: name a settings file\n");
+      this.context.stderr.write("linkfall: a settings file is required\n");
       return exitCodes.invalid;
     }
     const text = readFileSync(this.file, "utf8");
--- a/packages/cli/src/commands/delete/index.ts
+++ b/packages/cli/src/commands/delete/index.ts
@@ -7,34 +7,36 @@
 export class DeleteCommand extends OperatorCommand {
   static override paths = [["delete"]];
   static override usage = Command.Usage({
-    description: "remove one resource from desired state",
+    description: "delete a resource from the desired state",
     details:
-      "Refused while another resource refers to it. With --base, refused when it was changed after that revision.",
-    examples: [["Remove a model", "linkfall delete model notices"]],
+      "Fails while another resource refers to it. With --base, fails if it was changed after that revision.",
+    examples: [["Delete a model", "linkfall delete model notices"]],
   });
 
   kind = Option.String();
   name = Option.String();
-  base = Option.String("--base", { description: "refuse when it was changed after this revision" });
+  base = Option.String("--base", { description: "fail if it was changed after this revision" });
 
   async execute(): Promise<ExitCode> {
-    const kind = resourceKinds.find((known) => known === this.kind);
+    const kind = resourceKinds.find((candidate) => candidate === this.kind);
     if (kind === undefined) {
-      return this.printProblems([{ field: "kind", reason: `one of ${resourceKinds.join(", ")}` }]);
+      return this.printProblems([
+        { field: "kind", reason: `must be one of ${resourceKinds.join(", ")}` },
+      ]);
     }
-    const name = { kind, name: this.name };
+    const subject = { kind, name: this.name };
     const client = this.client();
-    const answer = await client.resources();
-    if (answer.isLeft()) return this.handleResult(answer, () => undefined);
-    const stored = answer
+    const resources = await client.resources();
+    if (resources.isLeft()) return this.handleResult(resources, () => undefined);
+    const stored = resources
       .unsafeCoerce()
-      .resources.find((entry) => resourceKey(entry.resource) === resourceKey(name));
+      .resources.find((entry) => resourceKey(entry.resource) === resourceKey(subject));
     if (!stored) {
-      this.printError(`there is no ${kind} "${this.name}"`);
+      this.printError(`${kind} "${this.name}" does not exist`);
       return exitCodes.notFound;
     }
     const base = this.base === undefined ? stored.revision : Number(this.base);
-    const written = await client.write([{ action: "delete", name, base }]);
+    const written = await client.write([{ action: "delete", name: subject, base }]);
     return this.handleResult(written, (value) => this.printWriteResult(value));
   }
 }
--- a/packages/cli/src/commands/diff/index.ts
+++ b/packages/cli/src/commands/diff/index.ts
@@ -8,8 +8,8 @@
 export class DiffCommand extends OperatorCommand {
   static override paths = [["diff"]];
   static override usage = Command.Usage({
-    description: "show what apply would change",
-    details: "Exits with 0 when there is no difference and with 6 when there is one.",
+    description: "show the changes that apply would make",
+    details: "Exits with 0 if there are no differences and with 6 if there are.",
     examples: [["Compare a file with the desired state", "linkfall diff -f models.yaml"]],
   });
 
@@ -19,19 +19,19 @@
   });
 
   async execute(): Promise<ExitCode> {
-    const read = readResourceFile(this.file);
-    if (read.isLeft()) {
-      return read
+    const parsed = readResourceFile(this.file);
+    if (parsed.isLeft()) {
+      return parsed
         .swap()
         .map((invalid) => this.printProblems(invalid.problems))
         .unsafeCoerce();
     }
     const stored = await this.client().resources();
     return this.handleResult(stored, ({ resources }) => {
-      const { diffs } = diffResources(read.unsafeCoerce(), resources);
-      const different = diffs.filter((diff) => diff.action !== "unchanged");
-      this.showDiffs(different);
-      return different.length > 0 ? exitCodes.differs : exitCodes.success;
+      const { diffs } = diffResources(parsed.unsafeCoerce(), resources);
+      const changed = diffs.filter((diff) => diff.action !== "unchanged");
+      this.showDiffs(changed);
+      return changed.length > 0 ? exitCodes.differs : exitCodes.success;
     });
   }
 
--- a/packages/cli/src/commands/explain/index.ts
+++ b/packages/cli/src/commands/explain/index.ts
@@ -17,10 +17,10 @@
 export class ExplainCommand extends Command {
   static override paths = [["explain"]];
   static override usage = Command.Usage({
-    description: "tell the story of one request from the logs of boxes",
+    description: "show the timeline of a request from the logs of boxes",
     details:
-      "Prints the request's own lines with what its box believed and what happened to its targets " +
-      "and its model, in the order of time.",
+      "Prints the request's log lines, the state of its box, and the events of its targets and model, " +
+      "in chronological order.",
     examples: [["Explain a failure", "linkfall explain 9c41d07be2a35f68 box-1.log box-2.log"]],
   });
 
@@ -29,12 +29,12 @@
 
   async execute(): Promise<ExitCode> {
     const logs = await Promise.all(this.files.map(readLines));
-    const story = explainRequest(logs.flat(), this.request);
-    if (story.length === 0) {
-      this.context.stderr.write(`linkfall: no line names the request ${this.request}\n`);
+    const timeline = explainRequest(logs.flat(), this.request);
+    if (timeline.length === 0) {
+      this.context.stderr.write(`linkfall: no log line mentions request ${this.request}\n`);
       return exitCodes.invalid;
     }
-    for (const line of story) this.context.stdout.write(`${showLine(line)}\n`);
+    for (const line of timeline) this.context.stdout.write(`${showLine(line)}\n`);
     return exitCodes.success;
   }
 }
--- a/packages/cli/src/commands/get/index.ts
+++ b/packages/cli/src/commands/get/index.ts
@@ -7,7 +7,7 @@
 export class GetCommand extends OperatorCommand {
   static override paths = [["get"]];
   static override usage = Command.Usage({
-    description: "show desired state",
+    description: "show the desired state",
     details: "Kinds: deployment, account, pool, model, adapter, engine, service.",
     examples: [
       ["All models", "linkfall get model"],
@@ -19,14 +19,14 @@
   name = Option.String({ required: false });
 
   async execute(): Promise<ExitCode> {
-    const answer = await this.client().resources();
-    return this.handleResult(answer, ({ resources }) => {
-      const found = resources.filter((entry) => this.matches(entry));
-      if (this.name !== undefined && found.length === 0) {
-        this.printError(`there is no ${this.kind} "${this.name}"`);
+    const result = await this.client().resources();
+    return this.handleResult(result, ({ resources }) => {
+      const selected = resources.filter((entry) => this.matches(entry));
+      if (this.name !== undefined && selected.length === 0) {
+        this.printError(`${this.kind} "${this.name}" does not exist`);
         return exitCodes.notFound;
       }
-      this.showResources(found);
+      this.showResources(selected);
       return exitCodes.success;
     });
   }
@@ -36,12 +36,12 @@
     return this.name === undefined || resource.name === this.name;
   }
 
-  private showResources(found: readonly StoredResource[]): void {
+  private showResources(selected: readonly StoredResource[]): void {
     const rows = () =>
-      found.map(({ resource, revision, who }) => {
+      selected.map(({ resource, revision, who }) => {
         const { kind, name, ...rest } = resource;
         return [kind, name, revision, who, JSON.stringify(rest)];
       });
-    this.printValue(found, ["KIND", "NAME", "REVISION", "BY", "FIELDS"], rows);
+    this.printValue(selected, ["KIND", "NAME", "REVISION", "BY", "FIELDS"], rows);
   }
 }
--- a/packages/cli/src/commands/status/index.ts
+++ b/packages/cli/src/commands/status/index.ts
@@ -5,33 +5,35 @@
 import { OperatorCommand } from "../../operator-command.js";
 import { renderTable } from "../../table.js";
 
-function summary(answer: StatusResponse): string {
-  const drain = `${answer.drain.phase}, ${answer.drain.requestsInFlight} requests in flight`;
-  const cut = answer.isolated ? ", cut off" : "";
-  const held = answer.sessions.map(
+function summarise(status: StatusResponse): string {
+  const drain = `${status.drain.phase}, ${status.drain.requestsInFlight} requests in flight`;
+  const isolation = status.isolated ? ", isolated" : "";
+  const heldPools = status.sessions.map(
     (session) =>
       `holds pool ${session.pool} (epoch ${session.epoch}, ${session.openOrders} open orders` +
-      `${session.fenceStands ? "" : ", fence not yet everywhere"})`,
+      `${session.fenceStands ? "" : ", fence not yet in place on all engines"})`,
+  );
+  return [`box ${status.box}: offset ${status.offset}, ${drain}${isolation}`, ...heldPools].join(
+    "\n",
   );
-  return [`box ${answer.box}: offset ${answer.offset}, ${drain}${cut}`, ...held].join("\n");
 }
 
 export class StatusCommand extends OperatorCommand {
   static override paths = [["status"]];
   static override usage = Command.Usage({
-    description: "show models, engines and a box's own state, its planned stop included",
-    examples: [["State of a box that is stopping", "linkfall status --box http://10.0.0.3:7072"]],
+    description: "show a box's own state, including a planned stop, and its models and engines",
+    examples: [["Show the status of a box", "linkfall status --box http://10.0.0.3:7072"]],
   });
 
   async execute(): Promise<ExitCode> {
-    return this.handleResult(await this.client().status(), (answer) => {
-      if (this.output === "json") return this.printLine(JSON.stringify(answer, undefined, 2));
-      this.printLine(summary(answer));
+    return this.handleResult(await this.client().status(), (status) => {
+      if (this.output === "json") return this.printLine(JSON.stringify(status, undefined, 2));
+      this.printLine(summarise(status));
       this.printLine("");
       this.context.stdout.write(
         renderTable(
           ["MODEL", "VERSION", "READY", "LOADING", "OLDER", "ADAPTERS"],
-          answer.models.map((model) => [
+          status.models.map((model) => [
             model.model,
             model.version,
             model.ready,
@@ -45,7 +47,7 @@
       this.context.stdout.write(
         renderTable(
           ["ENGINE", "STATE", "ROLE", "RUNNING", "QUEUED", "RESIDENT"],
-          answer.engines.map((engine) => [
+          status.engines.map((engine) => [
             engine.engine,
             engine.leaving ? "leaving" : engine.reported ? "reporting" : "silent",
             engine.role ?? "",
--- a/packages/cli/src/commands/watch/index.ts
+++ b/packages/cli/src/commands/watch/index.ts
@@ -5,7 +5,7 @@
 import type { ExitCode } from "../../exit-codes.js";
 import { OperatorCommand } from "../../operator-command.js";
 
-function describe(event: WatchEvent): string {
+function formatEvent(event: WatchEvent): string {
   return match(event)
     .with({ type: "write" }, ({ write }) => {
       const subjects = write.changes.map(
@@ -14,11 +14,11 @@
       return `revision ${write.revision} by ${write.who}: ${subjects.join(", ")}`;
     })
     .with({ type: "model" }, ({ status }) => {
-      const old = status.readyOld > 0 ? `, ${status.readyOld} of older versions` : "";
+      const older = status.readyOld > 0 ? `, ${status.readyOld} of older versions` : "";
       const adapters =
         status.adapters > 0 ? `, ${status.adaptersReady} of ${status.adapters} adapters` : "";
       const counts = `${status.ready} ready, ${status.loading} loading`;
-      return `model ${status.model}@${status.version}: ${counts}${old}${adapters}`;
+      return `model ${status.model}@${status.version}: ${counts}${older}${adapters}`;
     })
     .exhaustive();
 }
@@ -26,22 +26,22 @@
 export class WatchCommand extends OperatorCommand {
   static override paths = [["watch"]];
   static override usage = Command.Usage({
-    description: "follow changes and the states of models",
+    description: "follow changes and model status",
     details:
-      "Prints a line for each event until it is interrupted. With --after, accepted writes after that revision come first.",
-    examples: [["Follow from now on", "linkfall watch"]],
+      "Prints a line for each event until interrupted. With --after, starts with the writes accepted after that revision.",
+    examples: [["Follow new events", "linkfall watch"]],
   });
 
-  after = Option.String("--after", { description: "begin after this revision" });
+  after = Option.String("--after", { description: "start after this revision" });
 
   async execute(): Promise<ExitCode> {
     const interrupted = new AbortController();
     process.once("SIGINT", () => interrupted.abort());
     const after = this.after === undefined ? undefined : Number(this.after);
-    const take = (event: WatchEvent) =>
-      this.printLine(this.output === "json" ? JSON.stringify(event) : describe(event));
-    const ended = await this.client().watch(after, take, interrupted.signal);
+    const onEvent = (event: WatchEvent) =>
+      this.printLine(this.output === "json" ? JSON.stringify(event) : formatEvent(event));
+    const result = await this.client().watch(after, onEvent, interrupted.signal);
     if (interrupted.signal.aborted) return 0;
-    return this.handleResult(ended, () => undefined);
+    return this.handleResult(result, () => undefined);
   }
 }
--- a/packages/cli/src/exit-codes.ts
+++ b/packages/cli/src/exit-codes.ts
@@ -1,17 +1,17 @@
-/** Exit codes, listed in docs/operators/command-line.md. */
+/** Exit codes, documented in docs/operators/command-line.md. */
 export const exitCodes = {
   success: 0,
-  /** The input is not valid; nothing was applied. */
+  /** The input is invalid; nothing was applied. */
   invalid: 2,
-  /** Another operator's change came first; nothing was applied. */
+  /** A resource was changed concurrently; nothing was applied. */
   conflict: 3,
-  /** The box could not be asked. */
+  /** The box is unreachable or rejected the request. */
   unreachable: 4,
-  /** The log did not answer in time; the change may have been accepted. */
+  /** The log did not respond in time; the change may have been accepted. */
   outcomeUnknown: 5,
-  /** There are differences. */
+  /** The file and the desired state differ. */
   differs: 6,
-  /** There is no such resource. */
+  /** The resource does not exist. */
   notFound: 7,
 } as const;
 export type ExitCode = (typeof exitCodes)[keyof typeof exitCodes];
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The process of the command-line tool. */
+/** Entry point of the command-line tool. */
 import { runLinkfall } from "./run.js";
 
 process.exitCode = await runLinkfall(process.argv.slice(2), {
--- a/packages/cli/src/operator-command.ts
+++ b/packages/cli/src/operator-command.ts
@@ -1,4 +1,4 @@
-/** What all commands that ask a box have in common. */
+/** Base class of the commands that query a box. */
 import { readFileSync } from "node:fs";
 import type { FieldProblem } from "@linkfall/errors";
 import {
@@ -14,20 +14,20 @@
 import { type ExitCode, exitCodes } from "./exit-codes.js";
 import { renderTable, type TableRow } from "./table.js";
 
-const standardUrl = "http://127.0.0.1:7072";
+const defaultUrl = "http://127.0.0.1:7072";
 
-/** A command that asks a box. Subclasses say what to ask. */
+/** A command that queries a box through its operator API. */
 export abstract class OperatorCommand extends Command {
   box = Option.String("--box", {
-    description: "operator address of any box, as a URL; else LINKFALL_BOX",
+    description: "URL of the operator address of any box; default: LINKFALL_BOX",
   });
-  token = Option.String("--token", { description: "operator's token; else LINKFALL_TOKEN" });
-  ca = Option.String("--ca", { description: "PEM file of the authority of the box's certificate" });
-  output = Option.String("--output,-o", "table", { description: "table or json" });
+  token = Option.String("--token", { description: "operator token; default: LINKFALL_TOKEN" });
+  ca = Option.String("--ca", { description: "PEM file of the certificate authority of the box" });
+  output = Option.String("--output,-o", "table", { description: "output format: table or json" });
 
   protected client(): OperatorClient {
     return createOperatorClient({
-      url: this.box ?? process.env.LINKFALL_BOX ?? standardUrl,
+      url: this.box ?? process.env.LINKFALL_BOX ?? defaultUrl,
       token: this.token ?? process.env.LINKFALL_TOKEN ?? "",
       ca: this.ca === undefined ? undefined : readFileSync(this.ca, "utf8"),
     });
@@ -41,27 +41,27 @@
     this.context.stderr.write(`linkfall: ${text}\n`);
   }
 
-  /** Shows a value as JSON, or as the table made from it. */
+  /** Prints a value as JSON or as a table, depending on the output option. */
   protected printValue(
     value: unknown,
-    heads: readonly string[],
+    headers: readonly string[],
     rows: () => readonly TableRow[],
   ): void {
     if (this.output === "json") this.printLine(JSON.stringify(value, undefined, 2));
-    else this.context.stdout.write(renderTable(heads, rows()));
+    else this.context.stdout.write(renderTable(headers, rows()));
   }
 
-  /** Shows an answer, or says why there is none. */
+  /** Passes a successful result to `onSuccess`, or prints the failure. */
   protected handleResult<T>(
-    answer: Either<RequestFailure, T>,
-    show: (value: T) => ExitCode | void,
+    result: Either<RequestFailure, T>,
+    onSuccess: (value: T) => ExitCode | void,
   ): ExitCode {
-    return answer.caseOf<ExitCode>({
+    return result.caseOf<ExitCode>({
       Left: (failure) => {
         this.printError(failure.reason);
         return exitCodes.unreachable;
       },
-      Right: (value) => show(value) ?? exitCodes.success,
+      Right: (value) => onSuccess(value) ?? exitCodes.success,
     });
   }
 
@@ -70,20 +70,20 @@
     return exitCodes.invalid;
   }
 
-  /** Says what became of a write. */
-  protected printWriteResult(written: WriteResponse): ExitCode {
-    if (this.output === "json") this.printLine(JSON.stringify(written));
-    return match(written)
+  /** Prints the outcome of a write. */
+  protected printWriteResult(response: WriteResponse): ExitCode {
+    if (this.output === "json") this.printLine(JSON.stringify(response));
+    return match(response)
       .with({ kind: "accepted" }, ({ revision, boxes, inForceOn }): ExitCode => {
-        const where = `in force on ${inForceOn} of ${boxes} boxes`;
-        if (this.output !== "json") this.printLine(`accepted at revision ${revision}, ${where}`);
+        const progress = `in force on ${inForceOn} of ${boxes} boxes`;
+        if (this.output !== "json") this.printLine(`accepted at revision ${revision}, ${progress}`);
         return exitCodes.success;
       })
       .with({ kind: "revision_conflict" }, ({ subject, base, current, who }): ExitCode => {
-        const by = who === "" ? "" : ` by ${who}`;
+        const author = who === "" ? "" : ` by ${who}`;
         this.printError(
           `conflict on ${resourceKey(subject)}: your change is based on revision ${base}, ` +
-            `the current one is ${current}${by}; nothing was applied`,
+            `the current one is ${current}${author}; nothing was applied`,
         );
         return exitCodes.conflict;
       })
--- a/packages/cli/src/operators.feature
+++ b/packages/cli/src/operators.feature
@@ -1,28 +1,28 @@
-Feature: Operators drive the system by desired state alone
+Feature: Operators manage the deployment through its desired state
 
-  Scenario: Declaring, comparing, conflicts, deleting and the audit trail
+  Scenario: Apply, diff, revision conflicts, delete and the audit trail
     Given two boxes and an engine as processes
     When an operator applies a file with a model
-    Then the tool exits with 0 and the model is in force on both boxes
-    When the operator compares the same file
-    Then the tool exits with 0 and says nothing of "model/notices"
-    When the operator compares the file with another version of the model
-    Then the tool exits with 6 and says "version"
-    When the operator applies that file based on a revision before the model was declared
-    Then the tool exits with 3 and says "conflict on model/notices"
-    When the operator applies a file whose model names an unknown pool and a size of 0
-    Then the tool exits with 2 and says "sizeMb"
+    Then the command exits with 0 and the model is in force on both boxes
+    When the operator compares the same file with the desired state
+    Then the command exits with 0 and its output does not contain "model/notices"
+    When the operator compares a file that contains another version of the model
+    Then the command exits with 6 and its output contains "version"
+    When the operator applies that file based on a revision before the model was created
+    Then the command exits with 3 and its output contains "conflict on model/notices"
+    When the operator applies a file whose model refers to an unknown pool and has a size of 0
+    Then the command exits with 2 and its output contains "sizeMb"
     When the operator deletes the pool
-    Then the tool exits with 2 and says "there is no pool"
+    Then the command exits with 2 and its output contains "there is no pool"
     When the operator deletes the model
-    Then the tool exits with 0 and says "accepted"
-    When the operator asks for the audit trail
-    Then the tool exits with 0 and says "delete"
+    Then the command exits with 0 and its output contains "accepted"
+    When the operator requests the audit trail
+    Then the command exits with 0 and its output contains "delete"
     When the operator lists the boxes
-    Then the tool exits with 0 and says "alive"
-    When somebody with a wrong token asks for the resources
-    Then the tool exits with 4 and says "token"
+    Then the command exits with 0 and its output contains "alive"
+    When a client with an invalid token requests the resources
+    Then the command exits with 4 and its output contains "token"
 
-  Scenario: Settings are checked without a box
+  Scenario: Settings are validated without a box
     When the operator checks a settings file with an unknown key
-    Then the tool exits with 2 and says "lease.colour"
+    Then the command exits with 2 and its output contains "lease.colour"
--- a/packages/cli/src/operators.steps.ts
+++ b/packages/cli/src/operators.steps.ts
@@ -10,38 +10,42 @@
 import { stringify } from "yaml";
 import { runLinkfall } from "./run.js";
 
-interface Office {
+interface TestContext {
   readonly deployment: DeploymentProcesses;
-  readonly folder: string;
-  readonly declared: readonly Resource[];
+  readonly directory: string;
+  readonly resources: readonly Resource[];
 }
 
 const notices = model("notices");
-const officeOf = (world: object) => notes(world).get<Office>("office");
+const contextOf = (world: object) => notes(world).get<TestContext>("context");
 
 Given("two boxes and an engine as processes", async function (this: object) {
   const deployment = new DeploymentProcesses();
-  const folder = mkdtempSync(join(tmpdir(), "linkfall-cli-"));
+  const directory = mkdtempSync(join(tmpdir(), "linkfall-cli-"));
   await deployment.startPlatform();
-  const running = await deployment.startEngine(engine("e1"));
+  const runningEngine = await deployment.startEngine(engine("e1"));
   for (const name of ["box-1", "box-2"]) await deployment.startBox(name, "north");
   await Promise.all(deployment.boxes.map((box) => deployment.untilReady(box)));
   const owner = account("one", { tokenHash: hashToken("one") });
-  notes(this).set("office", { deployment, folder, declared: [owner, pool(), running, notices] });
+  notes(this).set("context", {
+    deployment,
+    directory,
+    resources: [owner, pool(), runningEngine, notices],
+  });
 });
 
 After(async function (this: object) {
-  let office: Office;
+  let context: TestContext;
   try {
-    office = officeOf(this);
+    context = contextOf(this);
   } catch {
     return;
   }
-  await office.deployment.stop();
-  rmSync(office.folder, { recursive: true, force: true });
+  await context.deployment.stop();
+  rmSync(context.directory, { recursive: true, force: true });
 });
 
-async function run(world: object, args: readonly string[]): Promise<void> {
+async function runCommand(world: object, args: readonly string[]): Promise<void> {
   const output = new PassThrough();
   let text = "";
   output.on("data", (chunk) => (text += String(chunk)));
@@ -50,34 +54,34 @@
   notes(world).set("text", text);
 }
 
-function ask(
+function runAsOperator(
   world: object,
   args: readonly string[],
   token = operatorToken,
   box = 0,
 ): Promise<void> {
-  const { operatorAddress } = officeOf(world).deployment.boxes[box];
-  return run(world, [...args, "--box", `http://${operatorAddress}`, "--token", token]);
+  const { operatorAddress } = contextOf(world).deployment.boxes[box];
+  return runCommand(world, [...args, "--box", `http://${operatorAddress}`, "--token", token]);
 }
 
-/** Writes a file as an operator would, one YAML document for each resource. */
-function fileWith(world: object, resources: readonly object[]): string {
-  const path = join(officeOf(world).folder, "desired.yaml");
+/** Writes a YAML file with one document per resource and returns its path. */
+function writeResourceFile(world: object, resources: readonly object[]): string {
+  const path = join(contextOf(world).directory, "desired.yaml");
   writeFileSync(path, resources.map((resource) => stringify(resource)).join("---\n"));
   return path;
 }
 
 When("an operator applies a file with a model", async function (this: object) {
-  await ask(this, ["apply", "-f", fileWith(this, officeOf(this).declared)]);
+  await runAsOperator(this, ["apply", "-f", writeResourceFile(this, contextOf(this).resources)]);
 });
 
 Then(
-  "the tool exits with 0 and the model is in force on both boxes",
+  "the command exits with 0 and the model is in force on both boxes",
   async function (this: object) {
     assert.equal(notes(this).get("code"), 0, notes(this).get("text"));
     for (const box of [0, 1]) {
       const inForce = async () => {
-        await ask(this, ["get", "model", "notices"], operatorToken, box);
+        await runAsOperator(this, ["get", "model", "notices"], operatorToken, box);
         return notes(this).get("code") === 0;
       };
       await until(inForce, () => notes(this).get("text"));
@@ -85,73 +89,87 @@
   },
 );
 
-When("the operator compares the same file", async function (this: object) {
-  await ask(this, ["diff", "-f", fileWith(this, officeOf(this).declared)]);
+When("the operator compares the same file with the desired state", async function (this: object) {
+  await runAsOperator(this, ["diff", "-f", writeResourceFile(this, contextOf(this).resources)]);
 });
 
 When(
-  "the operator compares the file with another version of the model",
+  "the operator compares a file that contains another version of the model",
   async function (this: object) {
-    await ask(this, ["diff", "-f", fileWith(this, [{ ...notices, version: "2" }])]);
+    await runAsOperator(this, [
+      "diff",
+      "-f",
+      writeResourceFile(this, [{ ...notices, version: "2" }]),
+    ]);
   },
 );
 
 When(
-  "the operator applies that file based on a revision before the model was declared",
+  "the operator applies that file based on a revision before the model was created",
   async function (this: object) {
-    await ask(this, ["apply", "-f", fileWith(this, [{ ...notices, version: "2" }]), "--base", "0"]);
+    await runAsOperator(this, [
+      "apply",
+      "-f",
+      writeResourceFile(this, [{ ...notices, version: "2" }]),
+      "--base",
+      "0",
+    ]);
   },
 );
 
 When(
-  "the operator applies a file whose model names an unknown pool and a size of 0",
+  "the operator applies a file whose model refers to an unknown pool and has a size of 0",
   async function (this: object) {
-    await ask(this, ["apply", "-f", fileWith(this, [{ ...notices, pool: "nowhere", sizeMb: 0 }])]);
+    await runAsOperator(this, [
+      "apply",
+      "-f",
+      writeResourceFile(this, [{ ...notices, pool: "nowhere", sizeMb: 0 }]),
+    ]);
   },
 );
 
 When("the operator deletes the pool", async function (this: object) {
-  await ask(this, ["delete", "pool", "p"]);
+  await runAsOperator(this, ["delete", "pool", "p"]);
 });
 
 When("the operator deletes the model", async function (this: object) {
-  await ask(this, ["delete", "model", "notices"]);
+  await runAsOperator(this, ["delete", "model", "notices"]);
 });
 
-When("the operator asks for the audit trail", async function (this: object) {
-  await ask(this, ["audit"]);
+When("the operator requests the audit trail", async function (this: object) {
+  await runAsOperator(this, ["audit"]);
 });
 
 When("the operator lists the boxes", async function (this: object) {
-  await ask(this, ["boxes"]);
+  await runAsOperator(this, ["boxes"]);
 });
 
-When("somebody with a wrong token asks for the resources", async function (this: object) {
-  await ask(this, ["get"], "wrong");
+When("a client with an invalid token requests the resources", async function (this: object) {
+  await runAsOperator(this, ["get"], "wrong");
 });
 
 When("the operator checks a settings file with an unknown key", async function (this: object) {
-  const folder = mkdtempSync(join(tmpdir(), "linkfall-cli-"));
-  const path = join(folder, "box.ini");
+  const directory = mkdtempSync(join(tmpdir(), "linkfall-cli-"));
+  const path = join(directory, "box.ini");
   writeFileSync(path, "[lease]\ncolour = red\n");
-  await run(this, ["check-settings", path]);
-  rmSync(folder, { recursive: true });
+  await runCommand(this, ["check-settings", path]);
+  rmSync(directory, { recursive: true });
 });
 
 Then(
-  "the tool exits with {int} and says {string}",
-  function (this: object, code: number, words: string) {
+  "the command exits with {int} and its output contains {string}",
+  function (this: object, code: number, expected: string) {
     const text = notes(this).get<string>("text");
     assert.equal(notes(this).get("code"), code, text);
-    assert.ok(text.includes(words), text);
+    assert.ok(text.includes(expected), text);
   },
 );
 
 Then(
-  "the tool exits with {int} and says nothing of {string}",
-  function (this: object, code: number, words: string) {
+  "the command exits with {int} and its output does not contain {string}",
+  function (this: object, code: number, expected: string) {
     const text = notes(this).get<string>("text");
     assert.equal(notes(this).get("code"), code, text);
-    assert.ok(!text.includes(words), text);
+    assert.ok(!text.includes(expected), text);
   },
 );
--- a/packages/cli/src/run.ts
+++ b/packages/cli/src/run.ts
@@ -1,4 +1,4 @@
-/** Registers the commands and runs the one that the arguments name. */
+/** Registers the commands and runs the one given by the arguments. */
 import { Builtins, Cli } from "clipanion";
 import { ApplyCommand } from "./commands/apply/index.js";
 import { AuditCommand } from "./commands/audit/index.js";
@@ -14,7 +14,7 @@
 import { StatusCommand } from "./commands/status/index.js";
 import { WatchCommand } from "./commands/watch/index.js";
 
-/** Streams of the process, or of a test. */
+/** Standard streams of the tool; tests inject their own. */
 export interface CliStreams {
   readonly stdin: NodeJS.ReadableStream;
   readonly stdout: NodeJS.WritableStream;
@@ -38,7 +38,7 @@
   WatchCommand,
 ];
 
-/** Runs the tool; answers with its exit code. */
+/** Runs the tool and resolves to its exit code. */
 export function runLinkfall(args: readonly string[], streams: CliStreams): Promise<number> {
   const cli = new Cli({ binaryName: "linkfall", binaryLabel: "linkfall", binaryVersion: "0.1.0" });
   cli.register(Builtins.HelpCommand);
--- a/packages/cli/src/table.ts
+++ b/packages/cli/src/table.ts
@@ -1,17 +1,17 @@
-/** Plain tables with aligned columns. */
+/** Plain-text tables with aligned columns. */
 
 export type TableRow = readonly (string | number)[];
 
-const gap = "  ";
+const columnSeparator = "  ";
 
-/** Lays rows out under their heads. */
-export function renderTable(heads: readonly string[], rows: readonly TableRow[]): string {
-  const lines = [heads, ...rows].map((row) => row.map(String));
-  const widths = heads.map((_, column) => Math.max(...lines.map((line) => line[column].length)));
-  const pad = (line: readonly string[]) =>
+/** Renders rows below their headers, one line each. */
+export function renderTable(headers: readonly string[], rows: readonly TableRow[]): string {
+  const lines = [headers, ...rows].map((row) => row.map(String));
+  const widths = headers.map((_, column) => Math.max(...lines.map((line) => line[column].length)));
+  const formatLine = (line: readonly string[]) =>
     line
       .map((cell, column) => cell.padEnd(widths[column]))
-      .join(gap)
+      .join(columnSeparator)
       .trimEnd();
-  return `${lines.map(pad).join("\n")}\n`;
+  return `${lines.map(formatLine).join("\n")}\n`;
 }
