--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -8,7 +8,7 @@
 import type { Logger } from "@linkfall/logger";
 import { changedKeys, followSettings } from "@linkfall/settings-watch";
 import type { Milliseconds } from "@linkfall/types";
-import { loggerFor, startDaemon } from "./run-daemon.js";
+import { createDaemonLogger, startDaemon } from "./run-daemon.js";
 
 const usage = `linkfalld: the daemon of a linkfall entry box
 
@@ -103,7 +103,7 @@
 async function main(): Promise<void> {
   const file = settingsFromArguments();
   const { settings } = file;
-  const logger = loggerFor(settings);
+  const logger = createDaemonLogger(settings);
   await tellOfChanges(file, logger);
   const defect = stopOnDefect(logger);
   process.on("uncaughtException", defect);
--- a/packages/daemon/src/run-daemon.ts
+++ b/packages/daemon/src/run-daemon.ts
@@ -109,6 +109,6 @@
 }
 
 /** The logger that the settings ask for. */
-export function loggerFor(settings: Settings): Logger {
+export function createDaemonLogger(settings: Settings): Logger {
   return createLogger(settings.box.name, settings.log.level);
 }
--- a/packages/explain-request/src/explain-request.steps.ts
+++ b/packages/explain-request/src/explain-request.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { notes } from "@linkfall/test-support";
-import { explainRequest, type LogLine, parseLine, showLine } from "./index.js";
+import { explainRequest, type LogLine, parseLogLine, formatLogLine } from "./index.js";
 
 const start = Date.UTC(2026, 0, 1);
 
@@ -52,12 +52,12 @@
 When("the story of {string} is told", function (this: object, request: string) {
   const lines = notes(this)
     .get<string[]>("lines")
-    .flatMap((text) => parseLine(text) ?? []);
+    .flatMap((text) => parseLogLine(text) ?? []);
   notes(this).set("story", explainRequest(lines.reverse(), request));
 });
 
 Then("it reads {string}", function (this: object, names: string) {
   const story = notes(this).get<readonly LogLine[]>("story");
   assert.equal(story.map((told) => told.name).join(" "), names);
-  for (const told of story) assert.ok(showLine(told).startsWith(told.time));
+  for (const told of story) assert.ok(formatLogLine(told).startsWith(told.time));
 });
