--- a/packages/cli/src/commands/explain/index.ts
+++ b/packages/cli/src/commands/explain/index.ts
@@ -1,7 +1,12 @@
 /** `linkfall explain REQUEST FILE...` */
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
-import { explainRequest, type LogLine, parseLogLine, formatLogLine } from "@linkfall/explain-request";
+import {
+  explainRequest,
+  type LogLine,
+  parseLogLine,
+  formatLogLine,
+} from "@linkfall/explain-request";
 import { Command, Option } from "clipanion";
 import { type ExitCode, exitCodes } from "../../exit-codes.js";
 
--- a/packages/daemon/bin/linkfalld.js
+++ b/packages/daemon/bin/linkfalld.js
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
-// Committed, so that installing can link it before anything is built.
+// Checked in, since package managers link executables at installation, before the build.
 import process from "node:process";
 
-// Until the daemon listens for it, the signal of changed settings would end the process.
+// SIGHUP would terminate the process until the daemon installs its own handler.
 process.on("SIGHUP", () => undefined);
 await import("../dist/main.js");
--- a/packages/daemon/src/addresses.feature
+++ b/packages/daemon/src/addresses.feature
@@ -1,9 +1,9 @@
-Feature: A box that may not listen says so and ends
+Feature: A box reports an address on which it cannot listen and exits
 
-  Scenario Outline: Another process has the <which> address
+  Scenario Outline: Another process listens on the <which> address
     Given a platform, and a process that listens on the <which> address of a box
     When the box starts
-    Then it ends with exit code 69 and names the address, not a broken invariant
+    Then it exits with code 69 and logs the unavailable address, not a broken invariant
 
     Examples:
       | which    |
--- a/packages/daemon/src/addresses.steps.ts
+++ b/packages/daemon/src/addresses.steps.ts
@@ -4,19 +4,19 @@
 import { DeploymentProcesses, freeAddresses, loopback, type RunningBox } from "@linkfall/stand-ins";
 import { notes } from "@linkfall/test-support";
 
-interface Taken {
+interface TestContext {
   readonly deployment: DeploymentProcesses;
-  readonly occupant: Server;
-  /** The box section of the settings. */
-  readonly section: Readonly<Record<string, string>>;
+  readonly portHolder: Server;
+  /** The `box` section of the settings. */
+  readonly boxSection: Readonly<Record<string, string>>;
   readonly address: string;
 }
 
-const takenOf = (world: object) => notes(world).get<Taken>("taken");
+const contextOf = (world: object) => notes(world).get<TestContext>("addressContext");
 
 Given(
   "a platform, and a process that listens on the {word} address of a box",
-  async function (this: object, which: string) {
+  async function (this: object, addressKind: string) {
     const deployment = new DeploymentProcesses();
     await deployment.startPlatform();
     const [peer, operator, caller] = await freeAddresses(3);
@@ -25,37 +25,37 @@
       operator_address: operator,
       caller_address: caller,
     };
-    const address = addresses[`${which}_address`];
-    const occupant = createServer();
+    const address = addresses[`${addressKind}_address`];
+    const portHolder = createServer();
     const port = Number(address.split(":")[1]);
-    await new Promise<void>((resolve) => occupant.listen(port, loopback, resolve));
-    const section = { name: "box-1", domain: "north", ...addresses };
-    notes(this).set("taken", { deployment, occupant, section, address });
+    await new Promise<void>((resolve) => portHolder.listen(port, loopback, resolve));
+    const boxSection = { name: "box-1", domain: "north", ...addresses };
+    notes(this).set("addressContext", { deployment, portHolder, boxSection, address });
   },
 );
 
 When("the box starts", async function (this: object) {
-  const { deployment, section } = takenOf(this);
-  notes(this).set("box", await deployment.startBox("box-1", "north", { box: section }));
+  const { deployment, boxSection } = contextOf(this);
+  notes(this).set("box", await deployment.startBox("box-1", "north", { box: boxSection }));
 });
 
 Then(
-  "it ends with exit code {int} and names the address, not a broken invariant",
+  "it exits with code {int} and logs the unavailable address, not a broken invariant",
   async function (this: object, code: number) {
     const box = notes(this).get<RunningBox>("box");
     assert.equal(await box.exited, code, box.errors());
-    assert.match(box.errors(), new RegExp(`cannot listen on ${takenOf(this).address}`));
+    assert.match(box.errors(), new RegExp(`cannot listen on ${contextOf(this).address}`));
     assert.doesNotMatch(box.errors(), /invariantBroken/);
   },
 );
 
 After({ name: "addresses" }, async function (this: object) {
-  let taken: Taken;
+  let context: TestContext;
   try {
-    taken = takenOf(this);
+    context = contextOf(this);
   } catch {
     return;
   }
-  await taken.deployment.stop();
-  await new Promise((resolve) => taken.occupant.close(resolve));
+  await context.deployment.stop();
+  await new Promise((resolve) => context.portHolder.close(resolve));
 });
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -14,18 +14,18 @@
 
 usage: linkfalld --settings FILE.ini
 
-SIGTERM and SIGINT begin a planned stop; a second signal stops at once.
-The settings file is looked at every second; a change holds from the next start on. SIGHUP asks for a look at once.
-The settings are described in docs/SETTINGS.md and checked by: linkfall check-settings FILE.ini
+SIGTERM and SIGINT start a planned stop; a second signal exits immediately.
+The settings file is polled every second; changes take effect at the next start. SIGHUP checks it immediately.
+The settings are documented in docs/SETTINGS.md and validated by: linkfall check-settings FILE.ini
 `;
 
-/** Exit codes, as sysexits.h numbers them. */
+/** Exit codes of sysexits.h. */
 const exitCodes = { usage: 64, noInput: 66, unavailable: 69, defect: 70, settings: 78 } as const;
 
-/** The settings file is looked at this often. */
-const settingsCheckMs: Milliseconds = 1_000;
+/** Interval between checks of the settings file. */
+const settingsPollIntervalMs: Milliseconds = 1_000;
 
-function leave(code: number, text: string): never {
+function exitWith(code: number, text: string): never {
   process.stderr.write(text);
   process.exit(code);
 }
@@ -33,49 +33,51 @@
 function readFile(path: string): string {
   try {
     return readFileSync(path, "utf8");
-  } catch (problem) {
-    leave(exitCodes.noInput, `linkfalld: cannot read ${path}: ${String(problem)}\n`);
+  } catch (error) {
+    exitWith(exitCodes.noInput, `linkfalld: cannot read ${path}: ${String(error)}\n`);
   }
 }
 
-function leaveOverSettings(path: string, invalid: InvalidInput): never {
+function exitOnInvalidSettings(path: string, invalid: InvalidInput): never {
   const lines = invalid.problems.map((problem) => `  ${problem.field}: ${problem.reason}\n`);
-  leave(exitCodes.settings, `linkfalld: ${path} is not valid\n${lines.join("")}`);
+  exitWith(exitCodes.settings, `linkfalld: ${path} is invalid\n${lines.join("")}`);
 }
 
-/** Settings with the file that they were read from. */
+/** A settings file and its parsed content. */
 interface SettingsFile {
   readonly path: string;
   readonly text: string;
   readonly settings: Settings;
 }
 
-function settingsFromArguments(): SettingsFile {
+function readSettingsFile(): SettingsFile {
   const { values } = parseArgs({
     options: { settings: { type: "string" }, help: { type: "boolean", short: "h" } },
   });
-  if (values.help) leave(0, usage);
-  if (values.settings === undefined) leave(exitCodes.usage, usage);
+  if (values.help) exitWith(0, usage);
+  if (values.settings === undefined) exitWith(exitCodes.usage, usage);
   const path = values.settings;
   const text = readFile(path);
   return readSettings(text).caseOf({
-    Left: (invalid) => leaveOverSettings(path, invalid),
+    Left: (invalid) => exitOnInvalidSettings(path, invalid),
     Right: (settings) => ({ path, text, settings }),
   });
 }
 
-/** Tells operators which changes of the settings file wait for the next start. */
-async function tellOfChanges({ path, text, settings }: SettingsFile, logger: Logger) {
+/** Logs changes of the settings file, which take effect at the next start. */
+async function watchSettingsFile({ path, text, settings }: SettingsFile, logger: Logger) {
   const watch = followSettings({
     clock: systemClock(),
     random: systemRandom(),
     logger,
     path,
     text,
-    intervalMs: settingsCheckMs,
+    intervalMs: settingsPollIntervalMs,
     check: readSettings,
-    take: (read) =>
-      logger.event("settingsChanged", { atNextStart: changedKeys(settings, read).join(" ") }),
+    take: (newSettings) =>
+      logger.event("settingsChanged", {
+        atNextStart: changedKeys(settings, newSettings).join(" "),
+      }),
   });
   process.on("SIGHUP", () => {
     logger.event("settingsSignalled");
@@ -84,8 +86,8 @@
   await watch.start();
 }
 
-/** A defect is logged and stops the process; nothing is repaired after a broken invariant. */
-function stopOnDefect(logger: Logger): (problem: unknown) => void {
+/** Creates a handler that logs a defect and exits: no recovery is attempted after a broken invariant. */
+function createDefectHandler(logger: Logger): (problem: unknown) => void {
   return (problem) => {
     const text = problem instanceof Error ? (problem.stack ?? problem.message) : String(problem);
     logger.event("invariantBroken", { problem: text });
@@ -94,34 +96,34 @@
   };
 }
 
-/** Another process has the address: a fault of the deployment, not of this program. */
-function leaveOverAddress(logger: Logger, { address, reason }: AddressUnavailable): never {
+/** Exits without reporting a defect: an address in use is an error of the deployment. */
+function exitOnUnavailableAddress(logger: Logger, { address, reason }: AddressUnavailable): never {
   logger.event("addressUnavailable", { address, reason });
-  leave(exitCodes.unavailable, `linkfalld: cannot listen on ${address}: ${reason}\n`);
+  exitWith(exitCodes.unavailable, `linkfalld: cannot listen on ${address}: ${reason}\n`);
 }
 
 async function main(): Promise<void> {
-  const file = settingsFromArguments();
+  const file = readSettingsFile();
   const { settings } = file;
   const logger = createDaemonLogger(settings);
-  await tellOfChanges(file, logger);
-  const defect = stopOnDefect(logger);
-  process.on("uncaughtException", defect);
-  process.on("unhandledRejection", defect);
-  // Callers can connect before the start is done: a stop that comes meanwhile is a planned one as well.
-  const starting = startDaemon(settings, logger, defect);
+  await watchSettingsFile(file, logger);
+  const onDefect = createDefectHandler(logger);
+  process.on("uncaughtException", onDefect);
+  process.on("unhandledRejection", onDefect);
+  // Callers can connect before startup has finished, so signals during startup drain the box too.
+  const starting = startDaemon(settings, logger, onDefect);
   let stopping = false;
-  const stop = () => {
+  const onStopSignal = () => {
     if (stopping) process.exit(1);
     stopping = true;
     void starting
       .then((started) => started.map((daemon) => daemon.drain()).orDefault(Promise.resolve()))
       .then(() => process.exit(0));
   };
-  process.on("SIGTERM", stop);
-  process.on("SIGINT", stop);
+  process.on("SIGTERM", onStopSignal);
+  process.on("SIGINT", onStopSignal);
   const started = await starting;
-  started.ifLeft((unavailable) => leaveOverAddress(logger, unavailable));
+  started.ifLeft((unavailable) => exitOnUnavailableAddress(logger, unavailable));
 }
 
 void main();
--- a/packages/daemon/src/processes.feature
+++ b/packages/daemon/src/processes.feature
@@ -1,35 +1,34 @@
-Feature: Real processes keep the promises when they are killed, frozen and stopped
+Feature: Guarantees hold for real processes that are killed, suspended and stopped
 
   Background:
-    Given a deployment of 3 boxes and 4 engines as processes, with every model placed
+    Given a deployment of 3 boxes and 4 engines as processes, with all models loaded
 
-  Scenario: A box is killed in the middle of a request that may run once
-    When the owner of such a request is killed while it runs, and the request is repeated through another box
-    Then the repeat is told "outcome_unknown" and the request ran once
+  Scenario: A box is killed while it runs a non-repeatable request
+    When the owner of a non-repeatable request is killed while it runs, and the request is retried through another box
+    Then the retry receives the outcome "outcome_unknown" and the request ran once
 
-  Scenario: The holder of the pool is frozen past its lease and wakes up
-    When the holder is frozen until another box holds the pool, then woken, and a model changes its version
-    Then the new version becomes ready and no stand-in saw a violation
+  Scenario: The lease holder of the pool is suspended beyond its lease and resumes
+    When the lease holder is suspended until another box holds the lease, then resumed, and a model is updated to a new version
+    Then the new version becomes ready and no stand-in recorded a violation
 
-  Scenario: The log is out, and a box starts meanwhile
-    When the log goes down and a new box starts
-    Then the new box becomes ready and answers, and after the outage a change is in force on every box
+  Scenario: A box starts during an outage of the log
+    When the log becomes unreachable and a new box starts
+    Then the new box becomes ready and serves, and after the outage a change is in force on all boxes
 
-  Scenario: Every box is killed at the same moment, and others start in their place
-    When every box is killed and three new ones start
-    Then each of the new boxes serves, with every copy where it was, and no stand-in saw a violation
+  Scenario: All boxes are killed at the same time and replaced
+    When all boxes are killed and three new ones start
+    Then each new box serves, the replicas are unchanged, and no stand-in recorded a violation
 
   Scenario: A box is stopped under load
-    When a box is stopped while streams run through it
-    Then every stream ends whole and the box exits with 0
+    When a box is stopped while it serves streams
+    Then all streams complete and the box exits with 0
 
-  Scenario: A box is told under load that its settings have changed
-    A box of this line had no handler for the signal that says so. Its default effect ended the process in the middle of all
-    streams through it.
+  Scenario: A box receives SIGHUP under load
+    Guards against a missing signal handler: the default action would end the process and all streams through it.
 
-    When a box is told so while streams run through it
-    Then every stream ends whole and the box goes on serving
+    When a box receives SIGHUP while it serves streams
+    Then all streams complete and the box continues to serve
 
-  Scenario: An engine is killed in the middle of a stream
-    When the engine of a repeatable stream is killed
-    Then the stream ends whole
+  Scenario: An engine is killed during a stream
+    When the engine that runs a repeatable stream is killed
+    Then the stream completes
--- a/packages/daemon/src/processes.steps.ts
+++ b/packages/daemon/src/processes.steps.ts
@@ -14,16 +14,16 @@
 import type { Change, Resource } from "@linkfall/types";
 
 const token = "token-of-one";
-const longAnswer = 80;
+const maxTokens = 80;
 const modelNames = ["a", "b", "c"];
-const times = {
+const timingSettings = {
   lease: { lease_ms: 3_000, renew_ms: 800, margin_ms: 400 },
   callers: { entries_lifetime_ms: 1_000, ticket_lifetime_ms: 2_000 },
   membership: { heartbeat_ms: 200, suspect_ms: 1_200 },
   placement: { plan_ms: 300 },
 };
 
-const shapes: readonly EngineShape[] = [1, 2, 3, 4].map((number) => ({
+const engineShapes: readonly EngineShape[] = [1, 2, 3, 4].map((number) => ({
   name: `e${number}`,
   pool: "p",
   domain: number % 2 === 0 ? "north" : "south",
@@ -37,13 +37,13 @@
 
 const deploymentOf = (world: object) => notes(world).get<DeploymentProcesses>("deployment");
 
-async function operatorAsk<T>(box: RunningBox, path: string, body?: unknown): Promise<T> {
-  const answer = await fetch(`http://${box.operatorAddress}${path}`, {
+async function operatorRequest<T>(box: RunningBox, path: string, body?: unknown): Promise<T> {
+  const response = await fetch(`http://${box.operatorAddress}${path}`, {
     method: body === undefined ? "GET" : "POST",
     headers: { authorization: `Bearer ${operatorToken}` },
     body: body === undefined ? undefined : JSON.stringify(body),
   });
-  return (await answer.json()) as T;
+  return (await response.json()) as T;
 }
 
 interface Status {
@@ -55,7 +55,7 @@
     readonly ready: number;
   }[];
 }
-const statusOf = (box: RunningBox) => operatorAsk<Status>(box, "/v1/status");
+const fetchStatus = (box: RunningBox) => operatorRequest<Status>(box, "/v1/status");
 
 async function write(
   box: RunningBox,
@@ -64,42 +64,44 @@
 ): Promise<number> {
   const changes: Change[] = resources.map((resource) => ({ action: "put", resource, base }));
   let revision = 0;
-  const accepted = async () => {
-    const answer = await operatorAsk<{ kind: string; revision: number }>(box, "/v1/writes", {
+  const writeAccepted = async () => {
+    const response = await operatorRequest<{ kind: string; revision: number }>(box, "/v1/writes", {
       changes,
     });
-    revision = answer.revision;
-    return answer.kind === "accepted";
+    revision = response.revision;
+    return response.kind === "accepted";
   };
-  await until(accepted, () => "the write was not accepted");
+  await until(writeAccepted, () => "the write was not accepted");
   return revision;
 }
 
 const isReady = (status: Status, name: string, version = "1") =>
-  status.models.some((each) => each.model === name && each.version === version && each.ready > 0);
+  status.models.some(
+    (entry) => entry.model === name && entry.version === version && entry.ready > 0,
+  );
 
 Given(
-  "a deployment of 3 boxes and 4 engines as processes, with every model placed",
+  "a deployment of 3 boxes and 4 engines as processes, with all models loaded",
   async function (this: object) {
     const deployment = new DeploymentProcesses();
     notes(this).set("deployment", deployment);
     await deployment.startPlatform();
-    const engines = await Promise.all(shapes.map((shape) => deployment.startEngine(shape)));
+    const engines = await Promise.all(engineShapes.map((shape) => deployment.startEngine(shape)));
     for (const [index, domain] of ["north", "south", "north"].entries()) {
-      await deployment.startBox(`box-${index + 1}`, domain, times);
+      await deployment.startBox(`box-${index + 1}`, domain, timingSettings);
     }
     await Promise.all(deployment.boxes.map((box) => deployment.untilReady(box)));
     const owner = account("one", { tokenHash: hashToken(token) });
-    // Two copies of each, so that a stream can go on elsewhere.
+    // Two replicas of each model allow a stream to fail over.
     const models = modelNames.map((name) => model(name, { sizeMb: 20, minReplicas: 2 }));
     await write(deployment.boxes[0], [owner, pool(), ...engines, ...models], 0);
-    const placed = async () => {
-      const statuses = await Promise.all(deployment.boxes.map(statusOf));
+    const allModelsLoaded = async () => {
+      const statuses = await Promise.all(deployment.boxes.map(fetchStatus));
       return statuses.every(
-        (status) => status.models.length > 0 && status.models.every((each) => each.ready >= 2),
+        (status) => status.models.length > 0 && status.models.every((entry) => entry.ready >= 2),
       );
     };
-    await until(placed, () => "the models were not placed");
+    await until(allModelsLoaded, () => "not all models were loaded");
   },
 );
 
@@ -113,27 +115,30 @@
   await deployment.stop();
 });
 
-interface Complete {
+interface CompletionOptions {
   readonly prompt: string;
   readonly stream?: boolean;
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-function complete(box: RunningBox, { prompt, stream = false, headers = {} }: Complete) {
+function requestCompletion(
+  box: RunningBox,
+  { prompt, stream = false, headers = {} }: CompletionOptions,
+) {
   return fetch(`http://${box.callerAddress}/v1/completions`, {
     method: "POST",
     headers: { authorization: `Bearer ${token}`, ...headers },
-    body: JSON.stringify({ model: "a", prompt, max_tokens: longAnswer, stream }),
+    body: JSON.stringify({ model: "a", prompt, max_tokens: maxTokens, stream }),
   });
 }
 
 function expectedText(prompt: string): string {
-  const asked = { model: "model:a@1", prompt, max_tokens: longAnswer };
-  return Array.from({ length: answerLength(asked) }, (_, at) => tokenAt(asked, at)).join("");
+  const request = { model: "model:a@1", prompt, max_tokens: maxTokens };
+  return Array.from({ length: answerLength(request) }, (_, at) => tokenAt(request, at)).join("");
 }
 
-/** The text of a stream that came to its end marker. */
-async function wholeStream(response: Response): Promise<string> {
+/** Returns the text of a stream; fails unless it ends with the end marker. */
+async function readCompleteStream(response: Response): Promise<string> {
   const events = (await response.text()).split("\n\n").filter((event) => event !== "");
   assert.equal(events.pop(), "data: [DONE]");
   return events
@@ -141,13 +146,13 @@
     .join("");
 }
 
-const runsOf = (deployment: DeploymentProcesses, prompt: string) =>
+const countRuns = (deployment: DeploymentProcesses, prompt: string) =>
   [...deployment.engines.values()].flatMap((engine) =>
     engine.lines.filter((line) => line.prompt === prompt),
   ).length;
 
 When(
-  "the owner of such a request is killed while it runs, and the request is repeated through another box",
+  "the owner of a non-repeatable request is killed while it runs, and the request is retried through another box",
   async function (this: object) {
     const deployment = deploymentOf(this);
     const [owner, other] = deployment.boxes;
@@ -157,17 +162,17 @@
     const { ticket } = (await entries.json()) as { ticket: { id: string } };
     const headers = { "linkfall-repeatable": "false", "linkfall-request-id": `${ticket.id}/1` };
     const prompt = "a notice";
-    const first = complete(owner, { prompt, headers }).then(
+    const first = requestCompletion(owner, { prompt, headers }).then(
       () => "answered",
       () => "broken",
     );
     await until(
-      () => runsOf(deployment, prompt) === 1,
+      () => countRuns(deployment, prompt) === 1,
       () => "the request never started",
     );
     owner.child.kill("SIGKILL");
     assert.equal(await first, "broken");
-    const repeat = await complete(other, { prompt, headers });
+    const repeat = await requestCompletion(other, { prompt, headers });
     notes(this).set(
       "outcome",
       ((await repeat.json()) as { error: { outcome: string } }).error.outcome,
@@ -177,120 +182,121 @@
 );
 
 Then(
-  "the repeat is told {string} and the request ran once",
+  "the retry receives the outcome {string} and the request ran once",
   function (this: object, outcome: string) {
     assert.equal(notes(this).get("outcome"), outcome);
-    assert.equal(runsOf(deploymentOf(this), notes(this).get("prompt")), 1);
+    assert.equal(countRuns(deploymentOf(this), notes(this).get("prompt")), 1);
   },
 );
 
-async function holderAmong(boxes: readonly RunningBox[]): Promise<RunningBox | undefined> {
+async function findLeaseHolder(boxes: readonly RunningBox[]): Promise<RunningBox | undefined> {
   for (const box of boxes) {
-    if ((await statusOf(box)).sessions.length > 0) return box;
+    if ((await fetchStatus(box)).sessions.length > 0) return box;
   }
   return undefined;
 }
 
 When(
-  "the holder is frozen until another box holds the pool, then woken, and a model changes its version",
+  "the lease holder is suspended until another box holds the lease, then resumed, and a model is updated to a new version",
   async function (this: object) {
     const deployment = deploymentOf(this);
-    const holder = await holderAmong(deployment.boxes);
+    const holder = await findLeaseHolder(deployment.boxes);
     assert.ok(holder);
     const others = deployment.boxes.filter((box) => box !== holder);
     holder.child.kill("SIGSTOP");
     await until(
-      async () => (await holderAmong(others)) !== undefined,
-      () => "nobody took over",
+      async () => (await findLeaseHolder(others)) !== undefined,
+      () => "no other box acquired the lease",
     );
     holder.child.kill("SIGCONT");
-    const [changed] = (
-      await operatorAsk<{ resources: { resource: Resource; revision: number }[] }>(
+    const [stored] = (
+      await operatorRequest<{ resources: { resource: Resource; revision: number }[] }>(
         others[0],
         "/v1/resources",
       )
     ).resources.filter(({ resource }) => resource.kind === "model" && resource.name === "a");
-    await write(others[0], [{ ...changed.resource, version: "2" } as Resource], changed.revision);
+    await write(others[0], [{ ...stored.resource, version: "2" } as Resource], stored.revision);
   },
 );
 
 Then(
-  "the new version becomes ready and no stand-in saw a violation",
+  "the new version becomes ready and no stand-in recorded a violation",
   async function (this: object) {
     const deployment = deploymentOf(this);
-    const everywhere = async () => {
-      const statuses = await Promise.all(deployment.boxes.map(statusOf));
+    const readyOnAllBoxes = async () => {
+      const statuses = await Promise.all(deployment.boxes.map(fetchStatus));
       return statuses.every((status) => isReady(status, "a", "2"));
     };
-    await until(everywhere, () => "version 2 did not become ready");
+    await until(readyOnAllBoxes, () => "version 2 did not become ready");
     assert.deepEqual(deployment.violations(), []);
   },
 );
 
-When("the log goes down and a new box starts", async function (this: object) {
+When("the log becomes unreachable and a new box starts", async function (this: object) {
   const deployment = deploymentOf(this);
   await deployment.post(deployment.logAddress, "/faults", { down: true });
-  notes(this).set("box", await deployment.startBox("box-4", "south", times));
+  notes(this).set("box", await deployment.startBox("box-4", "south", timingSettings));
 });
 
 Then(
-  "the new box becomes ready and answers, and after the outage a change is in force on every box",
+  "the new box becomes ready and serves, and after the outage a change is in force on all boxes",
   async function (this: object) {
     const deployment = deploymentOf(this);
     const box = notes(this).get<RunningBox>("box");
     await deployment.untilReady(box);
     const prompt = "during the outage";
-    const answers = async () => (await complete(box, { prompt })).status === 200;
-    await until(answers, () => "the new box did not answer");
+    const serves = async () => (await requestCompletion(box, { prompt })).status === 200;
+    await until(serves, () => "the new box does not serve");
     await deployment.post(deployment.logAddress, "/faults", { down: false });
     const revision = await write(box, [account("two")], 0);
     const inForce = async () => {
-      const statuses = await Promise.all(deployment.boxes.map(statusOf));
+      const statuses = await Promise.all(deployment.boxes.map(fetchStatus));
       return statuses.every((status) => status.offset >= revision);
     };
-    await until(inForce, () => "the change did not reach every box");
+    await until(inForce, () => "the change is not in force on all boxes");
   },
 );
 
-When("every box is killed and three new ones start", async function (this: object) {
+When("all boxes are killed and three new ones start", async function (this: object) {
   const deployment = deploymentOf(this);
   const killed = [...deployment.boxes];
   for (const box of killed) box.child.kill("SIGKILL");
   await Promise.all(killed.map((box) => box.exited));
   const started: RunningBox[] = [];
   for (const name of ["box-1", "box-2", "box-3"]) {
-    started.push(await deployment.startBox(name, "north", times));
+    started.push(await deployment.startBox(name, "north", timingSettings));
   }
   await Promise.all(started.map((box) => deployment.untilReady(box)));
   notes(this).set("started", started);
 });
 
 Then(
-  "each of the new boxes serves, with every copy where it was, and no stand-in saw a violation",
+  "each new box serves, the replicas are unchanged, and no stand-in recorded a violation",
   async function (this: object) {
     const deployment = deploymentOf(this);
     for (const box of notes(this).get<RunningBox[]>("started")) {
-      const serves = async () => (await complete(box, { prompt: "after the kill" })).status === 200;
+      const serves = async () =>
+        (await requestCompletion(box, { prompt: "after the kill" })).status === 200;
       await until(serves, () => "a new box does not serve");
-      const seesBothCopies = async () =>
-        (await statusOf(box)).models.every((each) => each.ready === 2);
-      await until(seesBothCopies, () => "a new box does not see the copies");
+      const reportsBothReplicas = async () =>
+        (await fetchStatus(box)).models.every((entry) => entry.ready === 2);
+      await until(reportsBothReplicas, () => "a new box does not report both replicas");
     }
     assert.deepEqual(deployment.violations(), []);
   },
 );
 
-/** Sends the signal to the first box while streams run through it, and waits for their ends. */
-async function signalUnderStreams(world: object, signal: NodeJS.Signals): Promise<RunningBox> {
+/** Sends a signal to the first box while it serves streams, and waits until the streams have ended. */
+async function sendSignalDuringStreams(world: object, signal: NodeJS.Signals): Promise<RunningBox> {
   const deployment = deploymentOf(world);
   const [box] = deployment.boxes;
   const prompts = Array.from({ length: 10 }, (_, index) => `stream ${index}`);
   const streams = prompts.map((prompt) =>
-    complete(box, { prompt, stream: true }).then(wholeStream),
+    requestCompletion(box, { prompt, stream: true }).then(readCompleteStream),
   );
   await until(
-    () => prompts.every((prompt) => runsOf(deployment, prompt) > 0),
-    () => "not all streams began",
+    () => prompts.every((prompt) => countRuns(deployment, prompt) > 0),
+    () => "not all streams started",
   );
   box.child.kill(signal);
   notes(world).set("texts", await Promise.all(streams));
@@ -298,44 +304,48 @@
   return box;
 }
 
-When("a box is stopped while streams run through it", async function (this: object) {
-  const box = await signalUnderStreams(this, "SIGTERM");
+When("a box is stopped while it serves streams", async function (this: object) {
+  const box = await sendSignalDuringStreams(this, "SIGTERM");
   notes(this).set("exit", await box.exited);
 });
 
-When("a box is told so while streams run through it", async function (this: object) {
-  notes(this).set("box", await signalUnderStreams(this, "SIGHUP"));
+When("a box receives SIGHUP while it serves streams", async function (this: object) {
+  notes(this).set("box", await sendSignalDuringStreams(this, "SIGHUP"));
 });
 
-Then("every stream ends whole and the box goes on serving", async function (this: object) {
+Then("all streams complete and the box continues to serve", async function (this: object) {
   const prompts = notes(this).get<string[]>("prompts");
   assert.deepEqual(notes(this).get("texts"), prompts.map(expectedText));
-  const answer = await complete(notes(this).get<RunningBox>("box"), { prompt: "afterwards" });
-  assert.equal(answer.status, 200);
+  const response = await requestCompletion(notes(this).get<RunningBox>("box"), {
+    prompt: "afterwards",
+  });
+  assert.equal(response.status, 200);
 });
 
-Then("every stream ends whole and the box exits with 0", function (this: object) {
+Then("all streams complete and the box exits with 0", function (this: object) {
   const prompts = notes(this).get<string[]>("prompts");
   assert.deepEqual(notes(this).get("texts"), prompts.map(expectedText));
   assert.equal(notes(this).get("exit"), 0);
 });
 
-When("the engine of a repeatable stream is killed", async function (this: object) {
+When("the engine that runs a repeatable stream is killed", async function (this: object) {
   const deployment = deploymentOf(this);
   const prompt = "a long bulletin";
-  const stream = complete(deployment.boxes[0], { prompt, stream: true }).then(wholeStream);
+  const stream = requestCompletion(deployment.boxes[0], { prompt, stream: true }).then(
+    readCompleteStream,
+  );
   await until(
-    () => runsOf(deployment, prompt) === 1,
-    () => "the stream never began",
+    () => countRuns(deployment, prompt) === 1,
+    () => "the stream did not start",
   );
-  const engine = [...deployment.engines.values()].find((each) =>
-    each.lines.some((line) => line.prompt === prompt),
+  const engine = [...deployment.engines.values()].find((entry) =>
+    entry.lines.some((line) => line.prompt === prompt),
   );
   engine?.child.kill("SIGKILL");
   notes(this).set("text", await stream);
   notes(this).set("prompt", prompt);
 });
 
-Then("the stream ends whole", function (this: object) {
+Then("the stream completes", function (this: object) {
   assert.equal(notes(this).get("text"), expectedText(notes(this).get("prompt")));
 });
--- a/packages/daemon/src/run-daemon.ts
+++ b/packages/daemon/src/run-daemon.ts
@@ -1,4 +1,4 @@
-/** Puts a box on real ports: the system clock, HTTP, gRPC and the platform's addresses. */
+/** Runs a box with production adapters: the system clock, HTTP, gRPC and the platform's services. */
 import { readFileSync } from "node:fs";
 import { type Box, createBox } from "@linkfall/box";
 import type { Settings } from "@linkfall/config";
@@ -15,12 +15,12 @@
 import type { Milliseconds } from "@linkfall/types";
 import { type Either, EitherAsync } from "purify-ts";
 
-/** A target that ended refuses at once; one that is cut off does not answer. */
-const lookMs: Milliseconds = 100;
+/** Timeout of connection checks: a terminated target refuses at once, an unreachable one times out. */
+const connectTimeoutMs: Milliseconds = 100;
 
 export interface Daemon {
   readonly box: Box;
-  /** Planned stop. */
+  /** Performs a planned stop: drains the box and closes its servers. */
   drain(): Promise<void>;
 }
 
@@ -33,38 +33,39 @@
   return { cert, key, ca };
 }
 
-function addressOf(url: string): string {
+function hostAndPort(url: string): string {
   const { hostname, port, protocol } = new URL(url);
   return `${hostname}:${port || (protocol === "https:" ? "443" : "80")}`;
 }
 
 /**
- * Starts a box. The caller addresses of the settings must be those under which others reach it.
+ * Starts a box. The addresses in the settings must be reachable by callers and peers.
  *
- * @returns Left when it may not listen on one of its addresses; nothing of it serves then
+ * @param onDefect receives errors that indicate a bug
+ * @returns Left if it cannot listen on one of its addresses; the box is not started then
  */
 export async function startDaemon(
   settings: Settings,
   logger: Logger,
-  defect: (problem: unknown) => void,
+  onDefect: (problem: unknown) => void,
 ): Promise<Either<AddressUnavailable, Daemon>> {
   const clock = systemClock();
-  const client = createHttpClient();
+  const httpClient = createHttpClient();
   const tls = readTls(settings);
-  const platform = createJsonCaller(clock, client, settings.platform.log_timeout_ms);
-  const engines = createJsonCaller(clock, client, settings.targets.call_timeout_ms);
-  const peers = createPeerClient(clock, settings.targets.call_timeout_ms, tls);
+  const platformCaller = createJsonCaller(clock, httpClient, settings.platform.log_timeout_ms);
+  const engineCaller = createJsonCaller(clock, httpClient, settings.targets.call_timeout_ms);
+  const peerClient = createPeerClient(clock, settings.targets.call_timeout_ms, tls);
   const box = createBox(settings, {
     clock,
     random: systemRandom(),
     logger,
-    log: createLogHttp(platform, addressOf(settings.platform.log_url)),
-    boxList: createBoxListHttp(platform, addressOf(settings.platform.list_url)),
-    peers,
-    engines: createEngineHttp(engines),
+    log: createLogHttp(platformCaller, hostAndPort(settings.platform.log_url)),
+    boxList: createBoxListHttp(platformCaller, hostAndPort(settings.platform.list_url)),
+    peers: peerClient,
+    engines: createEngineHttp(engineCaller),
     targets: {
-      send: client.send,
-      listens: (address) => isListening(clock, address, lookMs),
+      send: httpClient.send,
+      listens: (address) => isListening(clock, address, connectTimeoutMs),
     },
   });
 
@@ -74,41 +75,41 @@
     bodyTimeoutMs: settings.callers.body_timeout_ms,
   };
   const { caller_address, operator_address, peer_address } = settings.box;
-  const front = { clock, limits, tls, defect };
-  const callers = createHttpFront({
-    ...front,
+  const frontOptions = { clock, limits, tls, defect: onDefect };
+  const callerServer = createHttpFront({
+    ...frontOptions,
     address: caller_address,
     handle: box.callers.handle,
   });
-  const operators = createHttpFront({
-    ...front,
+  const operatorServer = createHttpFront({
+    ...frontOptions,
     address: operator_address,
     handle: box.operators.handle,
   });
-  const peerServer = createPeerServer(box.peerHandler, defect, tls);
+  const peerServer = createPeerServer(box.peerHandler, onDefect, tls);
 
   const daemon: Daemon = {
     box,
     async drain() {
       await box.drain();
-      await callers.close();
-      await operators.close();
+      await callerServer.close();
+      await operatorServer.close();
       peerServer.close();
-      peers.close();
-      client.close();
+      peerClient.close();
+      httpClient.close();
     },
   };
   return (
     EitherAsync.fromPromise(() => peerServer.listen(peer_address))
-      .chain(operators.listen)
-      // Callers are refused as not ready until the box is; once it shows that it is, they can connect.
-      .chain(callers.listen)
+      .chain(operatorServer.listen)
+      // Listens for callers before the box starts: they are refused as not ready until it is.
+      .chain(callerServer.listen)
       .map(() => box.start())
       .map(() => daemon)
   );
 }
 
-/** The logger that the settings ask for. */
+/** Creates the logger configured by the settings. */
 export function createDaemonLogger(settings: Settings): Logger {
   return createLogger(settings.box.name, settings.log.level);
 }
--- a/packages/daemon/src/tls.feature
+++ b/packages/daemon/src/tls.feature
@@ -1,5 +1,5 @@
-Feature: Callers, operators and boxes speak TLS where the settings name a certificate
+Feature: TLS for callers, operators and peers when a certificate is configured
 
   Scenario: Two boxes with a certificate
     Given two boxes as processes with a certificate
-    Then they see each other over TLS, callers and operators reach them by https, and plain HTTP is refused
+    Then they exchange heartbeats over TLS, serve callers and operators over HTTPS, and reject plain HTTP
--- a/packages/daemon/src/tls.steps.ts
+++ b/packages/daemon/src/tls.steps.ts
@@ -6,15 +6,19 @@
 import { DeploymentProcesses, operatorToken, until } from "@linkfall/stand-ins";
 import { notes } from "@linkfall/test-support";
 
-const folder = "packages/daemon/test-certificates";
-const certFile = `${folder}/box.cert.pem`;
+const certificateDirectory = "packages/daemon/test-certificates";
+const certFile = `${certificateDirectory}/box.cert.pem`;
 const ca = readFileSync(certFile, "utf8");
 
 Given("two boxes as processes with a certificate", async function (this: object) {
   const deployment = new DeploymentProcesses();
   notes(this).set("tlsDeployment", deployment);
   await deployment.startPlatform();
-  const tls = { cert_file: certFile, key_file: `${folder}/box.key.pem`, ca_file: certFile };
+  const tls = {
+    cert_file: certFile,
+    key_file: `${certificateDirectory}/box.key.pem`,
+    ca_file: certFile,
+  };
   for (const name of ["box-1", "box-2"]) await deployment.startBox(name, "north", { tls });
 });
 
@@ -22,35 +26,35 @@
   try {
     await notes(this).get<DeploymentProcesses>("tlsDeployment").stop();
   } catch {
-    // The scenario has no such deployment.
+    // The scenario did not start this deployment.
   }
 });
 
-function statusOverTls(address: string): Promise<number> {
+function fetchStatusOverTls(address: string): Promise<number> {
   return new Promise((resolve, reject) => {
-    const asked = request(`https://${address}/v1/entries`, { ca }, (answer) => {
-      answer.resume();
-      resolve(answer.statusCode ?? 0);
+    const outgoing = request(`https://${address}/v1/entries`, { ca }, (response) => {
+      response.resume();
+      resolve(response.statusCode ?? 0);
     });
-    asked.on("error", reject);
-    asked.end();
+    outgoing.on("error", reject);
+    outgoing.end();
   });
 }
 
 Then(
-  "they see each other over TLS, callers and operators reach them by https, and plain HTTP is refused",
+  "they exchange heartbeats over TLS, serve callers and operators over HTTPS, and reject plain HTTP",
   async function (this: object) {
     const deployment = notes(this).get<DeploymentProcesses>("tlsDeployment");
     const [box] = deployment.boxes;
     const url = `https://${box.operatorAddress}`;
     const operator = createOperatorClient({ url, token: operatorToken, ca });
-    const bothAlive = async () => {
+    const bothBoxesAlive = async () => {
       const boxes = (await operator.boxes()).orDefault([]);
-      return boxes.filter((line) => line.state === "alive").length === 2;
+      return boxes.filter((entry) => entry.state === "alive").length === 2;
     };
-    await until(bothAlive, () => box.errors().slice(-1_000));
+    await until(bothBoxesAlive, () => box.errors().slice(-1_000));
     const unauthenticated = 401;
-    assert.equal(await statusOverTls(box.callerAddress), unauthenticated);
+    assert.equal(await fetchStatusOverTls(box.callerAddress), unauthenticated);
     await assert.rejects(fetch(`http://${box.callerAddress}/v1/entries`));
   },
 );
