--- a/packages/explain-request/src/index.ts
+++ b/packages/explain-request/src/index.ts
@@ -1,6 +1,6 @@
-/** The story of one request, from the log lines of several boxes. */
+/** Reconstructs the timeline of a request from the logs of several boxes. */
 
-/** One log line that was understood. */
+/** A parsed log line. */
 export interface LogLine {
   /** Wall-clock time, ISO 8601. */
   readonly time: string;
@@ -9,11 +9,11 @@
   readonly detail: Readonly<Record<string, unknown>>;
 }
 
-/** Fields that every line has; the rest is its detail. */
+/** Fields common to all log lines; the others are the line's detail. */
 const commonFields = new Set(["time", "box", "name", "at", "event", "level", "message"]);
 
-/** Beliefs that a request rests on: the newest of each before it is what its box went by. */
-const beliefs: ReadonlySet<string> = new Set([
+/** Events that change the state of a box; the latest of each kind before a request applies to it. */
+const boxStateEvents: ReadonlySet<string> = new Set([
   "configurationInForce",
   "leaseTaken",
   "leaseLost",
@@ -24,7 +24,7 @@
   "connectionChanged",
 ]);
 
-/** Changes of a target that a request was sent to. */
+/** Events of targets and of their models. */
 const targetEvents: ReadonlySet<string> = new Set([
   "targetLeaving",
   "targetMissing",
@@ -35,13 +35,13 @@
   "orderAnswered",
 ]);
 
-/** A limit of which the box let through a part of its own. */
-const quotaEvent = "quotaAlone";
+/** Event of a box that applies only its own part of an account's quota. */
+const quotaEventName = "quotaAlone";
 
-/** How long before a request changes of its targets are shown, in milliseconds. */
-const beforeMs = 5_000;
+/** Time before the request from which on related events are included, in milliseconds. */
+const leadTimeMs = 5_000;
 
-/** Reads one line; lines of other programs, or with a prefix, are read from their first brace on. */
+/** Parses a line from its first brace on, ignoring any prefix; undefined if it is not a log line. */
 export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf("{");
   if (start < 0) return undefined;
@@ -60,55 +60,64 @@
   }
 }
 
-const timeOf = (line: LogLine) => Date.parse(line.time);
+const timestampMs = (line: LogLine) => Date.parse(line.time);
 
-/** Models that the request asked for, by its own lines. */
-function modelsOf(own: readonly LogLine[]): ReadonlySet<unknown> {
+/** Models named in the request's own log lines. */
+function requestedModels(requestLines: readonly LogLine[]): ReadonlySet<unknown> {
   return new Set<unknown>(
-    own.map((line) => line.detail.model).filter((model) => model !== undefined),
+    requestLines.map((line) => line.detail.model).filter((model) => model !== undefined),
   );
 }
 
-/** Whether a line concerns the account of the request, by the request's own lines. */
-function isOfAccount(line: LogLine, own: readonly LogLine[]): boolean {
-  return own.some(({ detail }) => detail.account === line.detail.account);
+/** Whether a line names the same account as one of the request's own log lines. */
+function isSameAccount(line: LogLine, requestLines: readonly LogLine[]): boolean {
+  return requestLines.some(({ detail }) => detail.account === line.detail.account);
 }
 
-/** What the box of the request believed when it came: the newest line of each kind before it. */
-function beliefsBefore(lines: readonly LogLine[], first: LogLine): readonly LogLine[] {
-  const newest = new Map<string, LogLine>();
+/** The state of the request's box when the request arrived: the latest event of each kind. */
+function boxStateBefore(lines: readonly LogLine[], first: LogLine): readonly LogLine[] {
+  const latestByName = new Map<string, LogLine>();
   for (const line of lines) {
-    if (line.box !== first.box || !beliefs.has(line.name)) continue;
-    if (timeOf(line) > timeOf(first)) break;
-    newest.set(line.name, line);
+    if (line.box !== first.box || !boxStateEvents.has(line.name)) continue;
+    if (timestampMs(line) > timestampMs(first)) break;
+    latestByName.set(line.name, line);
   }
-  return [...newest.values()];
+  return [...latestByName.values()];
 }
 
-/** Lines that tell the story of a request, in the order of time; empty where no line names it. */
-export function explainRequest(all: readonly LogLine[], request: string): readonly LogLine[] {
-  const lines = [...all].sort((left, right) => timeOf(left) - timeOf(right));
-  const own = lines.filter((line) => line.detail.request === request);
-  if (own.length === 0) return [];
-  const from = timeOf(own[0]) - beforeMs;
-  const until = timeOf(own[own.length - 1]);
+/**
+ * Returns the log lines that explain a request, in chronological order: its own lines, the state of
+ * its box, and events of its targets, models and account. Empty if no line mentions the request.
+ */
+export function explainRequest(logLines: readonly LogLine[], request: string): readonly LogLine[] {
+  const lines = [...logLines].sort((left, right) => timestampMs(left) - timestampMs(right));
+  const requestLines = lines.filter((line) => line.detail.request === request);
+  if (requestLines.length === 0) return [];
+  const fromMs = timestampMs(requestLines[0]) - leadTimeMs;
+  const untilMs = timestampMs(requestLines[requestLines.length - 1]);
   const targets = new Set<unknown>(
-    own.map((line) => line.detail.target).filter((id) => id !== undefined),
+    requestLines.map((line) => line.detail.target).filter((id) => id !== undefined),
   );
-  const models = modelsOf(own);
-  const around = lines.filter((line) => {
-    if (timeOf(line) < from || timeOf(line) > until || own.includes(line)) return false;
-    if (beliefs.has(line.name)) return line.box === own[0].box;
-    if (line.name === quotaEvent) return line.box === own[0].box && isOfAccount(line, own);
+  const models = requestedModels(requestLines);
+  const relatedLines = lines.filter((line) => {
+    if (timestampMs(line) < fromMs || timestampMs(line) > untilMs || requestLines.includes(line))
+      return false;
+    if (boxStateEvents.has(line.name)) return line.box === requestLines[0].box;
+    if (line.name === quotaEventName)
+      return line.box === requestLines[0].box && isSameAccount(line, requestLines);
     if (!targetEvents.has(line.name)) return false;
     return targets.has(line.detail.target) || models.has(line.detail.model);
   });
-  const story = new Set([...beliefsBefore(lines, own[0]), ...around, ...own]);
-  return [...story].sort((left, right) => timeOf(left) - timeOf(right));
+  const timeline = new Set([
+    ...boxStateBefore(lines, requestLines[0]),
+    ...relatedLines,
+    ...requestLines,
+  ]);
+  return [...timeline].sort((left, right) => timestampMs(left) - timestampMs(right));
 }
 
-/** One line of the story for people. */
+/** Formats a log line for display. */
 export function formatLogLine({ time, box, name, detail }: LogLine): string {
-  const facts = Object.entries(detail).map(([field, value]) => `${field}=${String(value)}`);
-  return `${time} ${box} ${name} ${facts.join(" ")}`;
+  const fields = Object.entries(detail).map(([field, value]) => `${field}=${String(value)}`);
+  return `${time} ${box} ${name} ${fields.join(" ")}`;
 }
