--- a/packages/explain-request/src/index.ts
+++ b/packages/explain-request/src/index.ts
@@ -35,7 +35,7 @@
   "orderAnswered",
 ]);
 
-/** Event of a box that applies only its own part of an account's quota. */
+/** Event of a box that enforces a fallback limit because no box that grants the quota responds. */
 const quotaEventName = "quotaAlone";
 
 /** Time before the request from which on related events are included, in milliseconds. */
