--- a/packages/audit/src/index.ts
+++ b/packages/audit/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * The audit trail of what the system did by itself. Entries are sent in batches, so that its stream
- * stays within the log's budget. Changes by operators need no entry of their own: the records of the
- * state stream name who wrote what, and when.
+ * Audit trail of actions taken by the system. Entries are appended in batches to stay within the
+ * append rate of the log. Operators' changes are not recorded here: the records of the state stream
+ * contain their author and time.
  */
 import { settingsName } from "@linkfall/config";
 import {
@@ -16,45 +16,49 @@
 import { logPortName, streams } from "@linkfall/ports";
 import type { AuditEntry, Milliseconds } from "@linkfall/types";
 
-const flushMs: Milliseconds = 2_000;
-const entriesPerRecord = 100;
-/** While the log is down the oldest entries beyond this are dropped and counted. */
-const keptEntries = 5_000;
+const flushIntervalMs: Milliseconds = 2_000;
+const maxEntriesPerRecord = 100;
+/** While the log is unreachable, the oldest entries beyond this number are dropped. */
+const maxPendingEntries = 5_000;
 
 export interface Audit {
+  /** Queues an entry, with the current time and the name of this box. */
   record(entry: Omit<AuditEntry, "at" | "box">): void;
-  /** Sends what is waiting, at a planned stop. */
+  /** Appends the next batch of pending entries to the log. */
   flush(): Promise<void>;
 }
 
 export const auditName = serviceName<Audit>("audit");
 
-/** Creates the audit trail of one box; its life cycle is the sending. */
+/** Creates the audit trail of this box. While started, it appends pending entries periodically. */
 export function createAudit(kernel: Kernel): Audit & Service {
   const clock = kernel.find(clockName);
   const metrics = kernel.find(metricsName);
-  const port = kernel.find(logPortName);
+  const log = kernel.find(logPortName);
   const box = kernel.find(settingsName).box.name;
-  let waiting: AuditEntry[] = [];
+  let pending: AuditEntry[] = [];
 
   const flush = async () => {
-    if (waiting.length === 0) return;
-    const batch = waiting.slice(0, entriesPerRecord);
+    if (pending.length === 0) return;
+    const batch = pending.slice(0, maxEntriesPerRecord);
     metrics.count("linkfall_log_appends_total", "Appends sent to the log", { stream: "audit" });
-    const sent = await port.append(streams.audit, JSON.stringify(batch));
-    // A lost reply sends a batch twice; whoever reads the trail sees the same entries again.
-    sent.ifRight(() => {
-      waiting = waiting.slice(batch.length);
+    const appended = await log.append(streams.audit, JSON.stringify(batch));
+    // Delivery is at least once: if a reply is lost, the batch is appended again.
+    appended.ifRight(() => {
+      pending = pending.slice(batch.length);
     });
   };
 
-  const loop = repeatEvery(clock, kernel.find(randomName), flushMs, flush);
+  const loop = repeatEvery(clock, kernel.find(randomName), flushIntervalMs, flush);
   return {
     record(entry) {
-      waiting.push({ ...entry, at: clock.wallTime(), box });
-      if (waiting.length <= keptEntries) return;
-      waiting = waiting.slice(-keptEntries);
-      metrics.count("linkfall_audit_dropped_total", "Audit entries dropped while the log was down");
+      pending.push({ ...entry, at: clock.wallTime(), box });
+      if (pending.length <= maxPendingEntries) return;
+      pending = pending.slice(-maxPendingEntries);
+      metrics.count(
+        "linkfall_audit_dropped_total",
+        "Audit entries dropped while the log was unreachable",
+      );
     },
     flush,
     start: loop.start,
