--- a/packages/box/src/create-box.ts
+++ b/packages/box/src/create-box.ts
@@ -1,4 +1,4 @@
-/** Registers the services of one box in the order in which they need each other. */
+/** Assembles a box: registers its services in the order of their dependencies. */
 import { auditName, createAudit } from "@linkfall/audit";
 import {
   type CallerService,
@@ -51,10 +51,10 @@
 import { createUsageReports, usageReportsName } from "@linkfall/usage-report";
 import type { BoxPorts } from "./ports.js";
 
-const drainStepMs: Milliseconds = 100;
-const readyCheckMs: Milliseconds = 100;
+const drainPollMs: Milliseconds = 100;
+const readyPollMs: Milliseconds = 100;
 
-/** A box that runs. */
+/** A box and its entry points for callers, operators and peers. */
 export interface Box {
   readonly incarnation: Incarnation;
   readonly kernel: Kernel;
@@ -62,9 +62,12 @@
   readonly operators: OperatorService;
   readonly peerHandler: PeerHandler;
   start(): Promise<void>;
-  /** Planned stop: resolves when nothing depends on this box any more and it has stopped. */
+  /**
+   * Performs a planned stop: announces it, waits until entries and tickets of this box have expired
+   * and its requests have completed, then stops the services.
+   */
   drain(): Promise<void>;
-  /** Stops at once; for tests and for a second signal. */
+  /** Stops immediately, without draining. */
   stop(): Promise<void>;
 }
 
@@ -84,38 +87,43 @@
   return incarnation;
 }
 
-/** Services that agree with the other boxes and give orders. */
-function provideControl(kernel: Kernel): void {
+/** Registers the services that coordinate with other boxes and control engines. */
+function provideControlServices(kernel: Kernel): void {
   kernel.provide(stateStoreName, createStateStore());
   provideCrashBlame(kernel);
-  const follower = createLogFollower(kernel);
-  kernel.provide(logFollowerName, follower, follower);
+  const logFollower = createLogFollower(kernel);
+  kernel.provide(logFollowerName, logFollower, logFollower);
   kernel.provide(logWriterName, createLogWriter(kernel));
   keepInLog(kernel);
   const membership = createMembership(kernel);
   kernel.provide(membershipName, membership, membership);
-  const leases = createLeaseHolder(kernel);
-  kernel.provide(leaseHolderName, leases, leases);
-  const watch = createTargetWatch(kernel);
-  kernel.provide(targetWatchName, watch, watch);
-  const relay = createReportRelay(kernel);
-  kernel.provide(reportRelayName, relay, relay);
+  const leaseHolder = createLeaseHolder(kernel);
+  kernel.provide(leaseHolderName, leaseHolder, leaseHolder);
+  const targetWatch = createTargetWatch(kernel);
+  kernel.provide(targetWatchName, targetWatch, targetWatch);
+  const reportRelay = createReportRelay(kernel);
+  kernel.provide(reportRelayName, reportRelay, reportRelay);
   const audit = createAudit(kernel);
   kernel.provide(auditName, audit, audit);
-  const usage = createUsageReports(kernel);
-  kernel.provide(usageReportsName, usage, usage);
-  const control = createPoolControl(kernel);
-  kernel.provide(poolControlName, control, control);
+  const usageReports = createUsageReports(kernel);
+  kernel.provide(usageReportsName, usageReports, usageReports);
+  const poolControl = createPoolControl(kernel);
+  kernel.provide(poolControlName, poolControl, poolControl);
   kernel.provide({ name: "snapshot-writer" }, undefined, createSnapshotWriter(kernel));
 }
 
-/** Services that answer callers. */
-function provideServing(kernel: Kernel, settings: Settings, ports: BoxPorts): void {
+/** Registers the services that handle callers' requests. */
+function provideCallerServices(kernel: Kernel, settings: Settings, ports: BoxPorts): void {
   const { callers } = settings;
-  const self = kernel.find(incarnationName);
-  const secret = ports.random.identifier() + ports.random.identifier();
-  const office = createTicketOffice(ports.clock, self, secret, callers.ticket_lifetime_ms);
-  kernel.provide(ticketIssuerName, office);
+  const incarnation = kernel.find(incarnationName);
+  const ticketSecret = ports.random.identifier() + ports.random.identifier();
+  const ticketIssuer = createTicketOffice(
+    ports.clock,
+    incarnation,
+    ticketSecret,
+    callers.ticket_lifetime_ms,
+  );
+  kernel.provide(ticketIssuerName, ticketIssuer);
   kernel.provide(inFlightLimiterName, createInFlightLimiter(callers.max_in_flight));
   kernel.provide(targetLoadName, createTargetLoad(kernel));
   kernel.provide(replicasName, createReplicas(kernel));
@@ -137,26 +145,26 @@
   };
 }
 
-/** Creates a box; it does nothing before it is started. */
+/** Creates a box, which is inactive until it is started. */
 export function createBox(settings: Settings, ports: BoxPorts): Box {
   const kernel = createKernel();
   const incarnation = providePorts(kernel, settings, ports);
-  provideControl(kernel);
-  provideServing(kernel, settings, ports);
+  provideControlServices(kernel);
+  provideCallerServices(kernel, settings, ports);
 
   const { clock, logger } = ports;
   const store = kernel.find(stateStoreName);
   const membership = kernel.find(membershipName);
   const callers = kernel.find(callerServiceName);
-  const office = kernel.find(ticketIssuerName);
+  const ticketIssuer = kernel.find(ticketIssuerName);
   let phase: DrainStatus["phase"] = "serving";
-  let leftAt = 0;
+  let leavingSinceMs = 0;
 
-  /** Time until no caller can hold an address or a ticket of this box any more. */
+  /** Time until all lists of entries and all tickets that name this box have expired. */
   const answersEndInMs = () => {
     if (phase === "serving") return settings.callers.entries_lifetime_ms;
-    const entriesEnd = leftAt + settings.callers.entries_lifetime_ms;
-    return Math.max(0, entriesEnd - clock.now(), office.longestLeft());
+    const entriesExpireAt = leavingSinceMs + settings.callers.entries_lifetime_ms;
+    return Math.max(0, entriesExpireAt - clock.now(), ticketIssuer.longestLeft());
   };
   kernel.provide(drainStatusName, () => ({
     phase,
@@ -166,21 +174,21 @@
   const operators = createOperatorService(kernel);
   kernel.provide(operatorServiceName, operators, operators);
 
-  const announceReady = () => {
+  const logWhenReady = () => {
     if (store.ready()) logger.event("boxReady", { offset: store.state().offset });
-    else clock.after(readyCheckMs, announceReady);
+    else clock.after(readyPollMs, logWhenReady);
   };
 
   const drain = async () => {
     logger.event("boxDraining", { inFlight: callers.open() });
     membership.leave();
     phase = "leaving_answers";
-    leftAt = clock.now();
-    const released = kernel.find(leaseHolderName).releaseAll();
-    while (answersEndInMs() > 0) await sleep(clock, drainStepMs);
+    leavingSinceMs = clock.now();
+    const leasesReleased = kernel.find(leaseHolderName).releaseAll();
+    while (answersEndInMs() > 0) await sleep(clock, drainPollMs);
     phase = "finishing_requests";
-    while (callers.open() > 0) await sleep(clock, drainStepMs);
-    await released;
+    while (callers.open() > 0) await sleep(clock, drainPollMs);
+    await leasesReleased;
     await kernel.find(auditName).flush();
     await kernel.stop();
     phase = "stopped";
@@ -196,7 +204,7 @@
     async start() {
       logger.event("boxStarted", { incarnation });
       await kernel.start();
-      announceReady();
+      logWhenReady();
     },
     drain,
     stop: kernel.stop,
--- a/packages/box/src/ports.ts
+++ b/packages/box/src/ports.ts
@@ -1,4 +1,4 @@
-/** Everything that a box reaches the world through. */
+/** Adapters through which a box accesses the clock, the network and its platform. */
 import type { Clock, Random } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
 import type { BoxListPort, EnginePort, LogPort, PeerPort, TargetPort } from "@linkfall/ports";
