--- a/packages/operator-service/src/operator-service.ts
+++ b/packages/operator-service/src/operator-service.ts
@@ -28,7 +28,7 @@
 
 export const operatorServiceName = serviceName<OperatorService>("operator-service");
 
-function jsonResponse(status: number, value: unknown): CallerResponse {
+function respondWithJson(status: number, value: unknown): CallerResponse {
   const headers = { "content-type": "application/json" };
   return { status, headers, body: Buffer.from(`${JSON.stringify(value)}\n`) };
 }
@@ -135,10 +135,10 @@
   });
 
   const handlePublicRequest = (path: string): CallerResponse | undefined => {
-    if (path === "/health/live") return jsonResponse(200, { live: true });
+    if (path === "/health/live") return respondWithJson(200, { live: true });
     if (path === "/health/ready") {
       const ready = store.ready() && !membership.isolated() && !membership.self().leaving;
-      return jsonResponse(ready ? 200 : 503, { ready });
+      return respondWithJson(ready ? 200 : 503, { ready });
     }
     if (path !== "/metrics") return undefined;
     const headers = { "content-type": "text/plain; version=0.0.4" };
@@ -154,27 +154,34 @@
     match([request.method, path])
       .with(["POST", "/v1/writes"], async () => {
         const written = await handleWrite(operator, request.body);
-        return jsonResponse(writeStatusCode(written), written);
+        return respondWithJson(writeStatusCode(written), written);
       })
       .with(["GET", "/v1/resources"], async () =>
-        jsonResponse(200, {
+        respondWithJson(200, {
           offset: store.state().offset,
           resources: [...store.state().resources.values()],
         }),
       )
-      .with(["GET", "/v1/status"], async () => jsonResponse(200, statusResponse()))
-      .with(["GET", "/v1/boxes"], async () => jsonResponse(200, { boxes: boxSummaries() }))
+      .with(["GET", "/v1/status"], async () => respondWithJson(200, statusResponse()))
+      .with(["GET", "/v1/boxes"], async () => respondWithJson(200, { boxes: boxSummaries() }))
       .with(["GET", "/v1/leases"], async () =>
-        jsonResponse(200, { leases: [...store.state().leases.values()], held: leases.heldPools() }),
+        respondWithJson(200, {
+          leases: [...store.state().leases.values()],
+          held: leases.heldPools(),
+        }),
+      )
+      .with(["GET", "/v1/audit"], async () => respondWithJson(200, await auditResponse()))
+      .with(["GET", heldRequestsPath], async () =>
+        respondWithJson(200, { held: crashBlame.held() }),
       )
-      .with(["GET", "/v1/audit"], async () => jsonResponse(200, await auditResponse()))
-      .with(["GET", heldRequestsPath], async () => jsonResponse(200, { held: crashBlame.held() }))
       .with(["DELETE", heldRequestsPath], async () => {
         const released = crashBlame.release(query.get("request") ?? "");
-        return jsonResponse(released ? 200 : 404, { released });
+        return respondWithJson(released ? 200 : 404, { released });
       })
       .with(["GET", "/v1/watch"], async () => watch(query, request.gone))
-      .with(P._, async () => jsonResponse(404, { error: { code: "unknown_path", reason: path } }))
+      .with(P._, async () =>
+        respondWithJson(404, { error: { code: "unknown_path", reason: path } }),
+      )
       .exhaustive();
 
   return {
@@ -184,7 +191,7 @@
       if (publicResponse) return publicResponse;
       const operator = authenticate(request);
       if (operator === undefined) {
-        return jsonResponse(401, {
+        return respondWithJson(401, {
           error: { code: "unauthenticated", reason: "an operator token is required" },
         });
       }
