--- a/packages/cli/src/operator-command.ts
+++ b/packages/cli/src/operator-command.ts
@@ -51,17 +51,17 @@
     else this.context.stdout.write(renderTable(headers, rows()));
   }
 
-  /** Passes a successful result to `onSuccess`, or prints the failure. */
+  /** Prints a successful result with `printValue`, or the reason of a failure. */
   protected handleResult<T>(
     result: Either<RequestFailure, T>,
-    onSuccess: (value: T) => ExitCode | void,
+    printValue: (value: T) => ExitCode | void,
   ): ExitCode {
     return result.caseOf<ExitCode>({
       Left: (failure) => {
         this.printError(failure.reason);
         return exitCodes.unreachable;
       },
-      Right: (value) => onSuccess(value) ?? exitCodes.success,
+      Right: (value) => printValue(value) ?? exitCodes.success,
     });
   }
 
