--- a/packages/caller-service/src/caller-service.ts
+++ b/packages/caller-service/src/caller-service.ts
@@ -10,7 +10,7 @@
 import type { Account, Milliseconds, Refusal } from "@linkfall/types";
 import { createAuthentication } from "./authentication.js";
 import { createEntriesHandler } from "./entries.js";
-import { createPrepareRequest } from "./prepare-request.js";
+import { createRequestPreparer } from "./prepare-request.js";
 import { parseRequestOptions } from "./request-options.js";
 import { withBodyEnd } from "./response-end.js";
 import { retryAfterMs, createRequestRunner } from "./run-request.js";
@@ -56,14 +56,13 @@
   const settings = kernel.find(settingsName).callers;
   const authenticate = createAuthentication(kernel);
   const handleEntries = createEntriesHandler(kernel);
-  const prepare = createPrepareRequest(kernel);
+  const prepare = createRequestPreparer(kernel);
   const runner = createRequestRunner(kernel);
   const recordOutcome = createOutcomeRecorder(kernel);
   let open = 0;
 
   const serviceRefusal = (): Refusal | undefined => {
-    if (!store.ready())
-      return notRun("not_ready", "this box has not loaded its state yet", retryAfterMs);
+    if (!store.ready()) return notRun("not_ready", "this box is still starting", retryAfterMs);
     if (!membership.isolated()) return undefined;
     return notRun(
       "isolated",
--- a/packages/caller-service/src/chunk-queue.ts
+++ b/packages/caller-service/src/chunk-queue.ts
@@ -3,7 +3,7 @@
 import { Right } from "purify-ts";
 
 /** Queue length from which on the writer is paused. */
-const maxPendingParts = 64;
+const maxPending = 64;
 
 export interface ChunkQueue {
   /** Adds a part. A returned promise resolves when the writer may continue. */
@@ -11,7 +11,7 @@
   /** Marks the queue as complete. */
   end(): void;
   /** Resolves when the first part has been added. */
-  readonly hasPart: Promise<undefined>;
+  readonly firstPartAdded: Promise<undefined>;
   /** Yields the parts in order. Stopping before the end cancels the queue. */
   read(): AsyncGenerator<BodyPart>;
 }
@@ -30,8 +30,8 @@
   let ended = false;
   let resumeReader: () => void = () => undefined;
   let resumeWriter: (() => void) | undefined;
-  let resolveHasPart: (value: undefined) => void = () => undefined;
-  const hasPart = new Promise<undefined>((resolve) => (resolveHasPart = resolve));
+  let resolveFirstPartAdded: (value: undefined) => void = () => undefined;
+  const firstPartAdded = new Promise<undefined>((resolve) => (resolveFirstPartAdded = resolve));
 
   const takeAll = () => {
     const parts = pending;
@@ -42,13 +42,12 @@
   };
 
   return {
-    hasPart,
+    firstPartAdded,
     push(part) {
       pending.push(part);
-      resolveHasPart(undefined);
+      resolveFirstPartAdded(undefined);
       resumeReader();
-      if (pending.length >= maxPendingParts)
-        return new Promise((resolve) => (resumeWriter = resolve));
+      if (pending.length >= maxPending) return new Promise((resolve) => (resumeWriter = resolve));
     },
     end() {
       ended = true;
--- a/packages/caller-service/src/completion-endpoint.ts
+++ b/packages/caller-service/src/completion-endpoint.ts
@@ -124,11 +124,11 @@
 
   /** Waits for the first token before the headers are sent: an earlier refusal has its own status. */
   const streamResponse = async (job: CompletionJob, name: string): Promise<CallerResponse> => {
-    const abort = new AbortController();
-    const onAbort = () => abort.abort();
+    const controller = new AbortController();
+    const onAbort = () => controller.abort();
     job.gone.addEventListener("abort", onAbort, { once: true });
-    const parts = createChunkQueue(() => abort.abort());
-    const running = completions.run({ ...job, gone: abort.signal }, (token) =>
+    const parts = createChunkQueue(() => controller.abort());
+    const running = completions.run({ ...job, gone: controller.signal }, (token) =>
       parts.push(Right(Buffer.from(formatChunk(job.id, name, token)))),
     );
     const ended = running.then((end) => {
@@ -137,7 +137,7 @@
       parts.end();
       return end;
     });
-    const first = await Promise.race([parts.hasPart, ended]);
+    const first = await Promise.race([parts.firstPartAdded, ended]);
     if (first?.kind === "refused") return refusalResponse(first.refusal);
     return {
       status: 200,
--- a/packages/caller-service/src/in-flight.ts
+++ b/packages/caller-service/src/in-flight.ts
@@ -21,7 +21,7 @@
   let total = 0;
 
   /** The account's share of the limit among the accounts with requests in flight. */
-  const fairShareOf = (account: Account) => {
+  const fairShare = (account: Account) => {
     shares.set(account.name, account.share);
     const active = [...counts.keys(), account.name];
     const totalShares = [...new Set(active)].reduce(
@@ -35,8 +35,7 @@
     tryAcquire(account) {
       if (total >= maxInFlight) return false;
       const current = counts.get(account.name) ?? 0;
-      if (total >= maxInFlight * fairShareThreshold && current >= fairShareOf(account))
-        return false;
+      if (total >= maxInFlight * fairShareThreshold && current >= fairShare(account)) return false;
       counts.set(account.name, current + 1);
       total += 1;
       return true;
--- a/packages/caller-service/src/prepare-request.ts
+++ b/packages/caller-service/src/prepare-request.ts
@@ -17,14 +17,14 @@
   run(signal: AbortSignal): Promise<CallerResponse>;
 }
 
-export type PrepareRequest = (
+export type RequestPreparer = (
   request: CallerRequest,
   account: Account,
   options: RequestOptions,
 ) => Either<Refusal, PreparedRequest>;
 
 /** Creates the endpoints of this box. */
-export function createPrepareRequest(kernel: Kernel): PrepareRequest {
+export function createRequestPreparer(kernel: Kernel): RequestPreparer {
   const completions = createCompletionEndpoint(kernel);
   const services = createServiceEndpoint(kernel);
   return (request, account, options) => {
--- a/packages/caller-service/src/run-request.ts
+++ b/packages/caller-service/src/run-request.ts
@@ -23,26 +23,26 @@
 }
 
 export interface RequestRunner {
-  run(input: RequestContext, prepared: PreparedRequest): Promise<CallerResponse>;
+  run(context: RequestContext, prepared: PreparedRequest): Promise<CallerResponse>;
   readonly retainedResults: OwnerRouter["retainedResults"];
 }
 
 /** Creates the request runner of this box. */
 export function createRequestRunner(kernel: Kernel): RequestRunner {
-  const inFlight = kernel.find(inFlightLimiterName);
+  const inFlightLimiter = kernel.find(inFlightLimiterName);
   const usage = kernel.find(usageReportsName);
   const limits = createAccountLimits(kernel);
   const ownerRouter = createOwnerRouter(kernel);
 
   /** Counts the request as in flight until its response body has been read or abandoned. */
   const runInFlight = async (account: Account, prepared: PreparedRequest, signal: AbortSignal) => {
-    if (!inFlight.tryAcquire(account)) {
+    if (!inFlightLimiter.tryAcquire(account)) {
       return refusalResponse(
         notRun("overloaded", "this box has reached its limit of requests in flight", retryAfterMs),
       );
     }
     const response = await prepared.run(signal);
-    return withBodyEnd(response, () => inFlight.release(account));
+    return withBodyEnd(response, () => inFlightLimiter.release(account));
   };
 
   const admitAndRun = async (account: Account, prepared: PreparedRequest, signal: AbortSignal) => {
--- a/packages/explain-request/src/index.ts
+++ b/packages/explain-request/src/index.ts
@@ -36,7 +36,7 @@
 ]);
 
 /** Event of a box that enforces a fallback limit because no box that grants the quota responds. */
-const quotaEventName = "quotaAlone";
+const quotaEvent = "quotaAlone";
 
 /** Time before the request from which on related events are included, in milliseconds. */
 const leadTimeMs = 5_000;
@@ -60,18 +60,18 @@
   }
 }
 
-const timestampMs = (line: LogLine) => Date.parse(line.time);
+const timeMs = (line: LogLine) => Date.parse(line.time);
 
 /** Models named in the request's own log lines. */
-function requestedModels(requestLines: readonly LogLine[]): ReadonlySet<unknown> {
+function requestedModels(ownLines: readonly LogLine[]): ReadonlySet<unknown> {
   return new Set<unknown>(
-    requestLines.map((line) => line.detail.model).filter((model) => model !== undefined),
+    ownLines.map((line) => line.detail.model).filter((model) => model !== undefined),
   );
 }
 
 /** Whether a line names the same account as one of the request's own log lines. */
-function isSameAccount(line: LogLine, requestLines: readonly LogLine[]): boolean {
-  return requestLines.some(({ detail }) => detail.account === line.detail.account);
+function sameAccount(line: LogLine, ownLines: readonly LogLine[]): boolean {
+  return ownLines.some(({ detail }) => detail.account === line.detail.account);
 }
 
 /** The state of the request's box when the request arrived: the latest event of each kind. */
@@ -79,7 +79,7 @@
   const latestByName = new Map<string, LogLine>();
   for (const line of lines) {
     if (line.box !== first.box || !boxStateEvents.has(line.name)) continue;
-    if (timestampMs(line) > timestampMs(first)) break;
+    if (timeMs(line) > timeMs(first)) break;
     latestByName.set(line.name, line);
   }
   return [...latestByName.values()];
@@ -90,30 +90,25 @@
  * its box, and events of its targets, models and account. Empty if no line mentions the request.
  */
 export function explainRequest(logLines: readonly LogLine[], request: string): readonly LogLine[] {
-  const lines = [...logLines].sort((left, right) => timestampMs(left) - timestampMs(right));
-  const requestLines = lines.filter((line) => line.detail.request === request);
-  if (requestLines.length === 0) return [];
-  const fromMs = timestampMs(requestLines[0]) - leadTimeMs;
-  const untilMs = timestampMs(requestLines[requestLines.length - 1]);
+  const lines = [...logLines].sort((left, right) => timeMs(left) - timeMs(right));
+  const ownLines = lines.filter((line) => line.detail.request === request);
+  if (ownLines.length === 0) return [];
+  const fromMs = timeMs(ownLines[0]) - leadTimeMs;
+  const untilMs = timeMs(ownLines[ownLines.length - 1]);
   const targets = new Set<unknown>(
-    requestLines.map((line) => line.detail.target).filter((id) => id !== undefined),
+    ownLines.map((line) => line.detail.target).filter((id) => id !== undefined),
   );
-  const models = requestedModels(requestLines);
+  const models = requestedModels(ownLines);
   const relatedLines = lines.filter((line) => {
-    if (timestampMs(line) < fromMs || timestampMs(line) > untilMs || requestLines.includes(line))
-      return false;
-    if (boxStateEvents.has(line.name)) return line.box === requestLines[0].box;
-    if (line.name === quotaEventName)
-      return line.box === requestLines[0].box && isSameAccount(line, requestLines);
+    if (timeMs(line) < fromMs || timeMs(line) > untilMs || ownLines.includes(line)) return false;
+    if (boxStateEvents.has(line.name)) return line.box === ownLines[0].box;
+    if (line.name === quotaEvent)
+      return line.box === ownLines[0].box && sameAccount(line, ownLines);
     if (!targetEvents.has(line.name)) return false;
     return targets.has(line.detail.target) || models.has(line.detail.model);
   });
-  const timeline = new Set([
-    ...boxStateBefore(lines, requestLines[0]),
-    ...relatedLines,
-    ...requestLines,
-  ]);
-  return [...timeline].sort((left, right) => timestampMs(left) - timestampMs(right));
+  const timeline = new Set([...boxStateBefore(lines, ownLines[0]), ...relatedLines, ...ownLines]);
+  return [...timeline].sort((left, right) => timeMs(left) - timeMs(right));
 }
 
 /** Formats a log line for display. */
--- a/packages/operator-service/src/watchers.ts
+++ b/packages/operator-service/src/watchers.ts
@@ -7,7 +7,7 @@
 import type { WatchEvent } from "./api-types.js";
 import type { StatusView } from "./status-view.js";
 
-const compareIntervalMs: Milliseconds = 500;
+const statusPollIntervalMs: Milliseconds = 500;
 /** Maximum number of events queued for a watcher. A slower one is disconnected and has to reconnect. */
 const maxPendingEvents = 1_000;
 
@@ -62,7 +62,7 @@
   const loop = repeatEvery(
     kernel.find(clockName),
     kernel.find(randomName),
-    compareIntervalMs,
+    statusPollIntervalMs,
     publishChangedModels,
   );
   return {
