--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -65,7 +65,7 @@
 }
 
 /** Logs changes of the settings file, which take effect at the next start. */
-async function watchSettingsFile({ path, text, settings }: SettingsFile, logger: Logger) {
+async function logSettingsChanges({ path, text, settings }: SettingsFile, logger: Logger) {
   const watch = followSettings({
     clock: systemClock(),
     random: systemRandom(),
@@ -106,7 +106,7 @@
   const file = readSettingsFile();
   const { settings } = file;
   const logger = createDaemonLogger(settings);
-  await watchSettingsFile(file, logger);
+  await logSettingsChanges(file, logger);
   const onDefect = createDefectHandler(logger);
   process.on("uncaughtException", onDefect);
   process.on("unhandledRejection", onDefect);
