--- a/packages/box/src/create-box.ts
+++ b/packages/box/src/create-box.ts
@@ -13,7 +13,7 @@
 import {
   crashGuardName,
   createCrashGuard,
-  keepInLog,
+  persistHeldRequests,
   provideCrashBlame,
 } from "@linkfall/crash-guard";
 import { clockName, createKernel, type Kernel, randomName, sleep } from "@linkfall/kernel";
@@ -23,7 +23,7 @@
 import { loggerName } from "@linkfall/logger";
 import { createMembership, membershipName } from "@linkfall/membership";
 import { createMetrics, metricsName } from "@linkfall/metrics";
-import { createTicketOffice } from "@linkfall/once";
+import { createTicketIssuer } from "@linkfall/once";
 import {
   createOperatorService,
   type DrainStatus,
@@ -41,7 +41,7 @@
   peerPortName,
   targetPortName,
 } from "@linkfall/ports";
-import { createReplicas, replicasName } from "@linkfall/replicas";
+import { createReplicaFinder, replicaFinderName } from "@linkfall/replicas";
 import { createReportRelay, reportRelayName } from "@linkfall/report-relay";
 import { createSnapshotWriter } from "@linkfall/snapshot-writer";
 import { createStateStore, stateStoreName } from "@linkfall/state-store";
@@ -94,7 +94,7 @@
   const logFollower = createLogFollower(kernel);
   kernel.provide(logFollowerName, logFollower, logFollower);
   kernel.provide(logWriterName, createLogWriter(kernel));
-  keepInLog(kernel);
+  persistHeldRequests(kernel);
   const membership = createMembership(kernel);
   kernel.provide(membershipName, membership, membership);
   const leaseHolder = createLeaseHolder(kernel);
@@ -117,7 +117,7 @@
   const { callers } = settings;
   const incarnation = kernel.find(incarnationName);
   const ticketSecret = ports.random.identifier() + ports.random.identifier();
-  const ticketIssuer = createTicketOffice(
+  const ticketIssuer = createTicketIssuer(
     ports.clock,
     incarnation,
     ticketSecret,
@@ -126,7 +126,7 @@
   kernel.provide(ticketIssuerName, ticketIssuer);
   kernel.provide(inFlightLimiterName, createInFlightLimiter(callers.max_in_flight));
   kernel.provide(targetLoadName, createTargetLoad(kernel));
-  kernel.provide(replicasName, createReplicas(kernel));
+  kernel.provide(replicaFinderName, createReplicaFinder(kernel));
   kernel.provide(crashGuardName, createCrashGuard(kernel));
   kernel.provide(completionsName, createCompletions(kernel));
   kernel.provide(plainCallsName, createPlainCalls(kernel));
@@ -140,7 +140,7 @@
     heartbeat: membership.receive,
     fetchState: membership.stateForPeer,
     reportUsage: kernel.find(usageReportsName).receive,
-    readReports: kernel.find(reportRelayName).receive,
+    readReports: kernel.find(reportRelayName).answerRequest,
     forward: (request) => callers.handle(request, true),
   };
 }
@@ -164,7 +164,7 @@
   const answersEndInMs = () => {
     if (phase === "serving") return settings.callers.entries_lifetime_ms;
     const entriesExpireAt = leavingSinceMs + settings.callers.entries_lifetime_ms;
-    return Math.max(0, entriesExpireAt - clock.now(), ticketIssuer.longestLeft());
+    return Math.max(0, entriesExpireAt - clock.now(), ticketIssuer.maxRemainingMs());
   };
   kernel.provide(drainStatusName, () => ({
     phase,
--- a/packages/caller-service/src/account-limits.ts
+++ b/packages/caller-service/src/account-limits.ts
@@ -59,9 +59,9 @@
       const limits = bucketLimitsFor(account);
       const bucket = buckets.get(account.name) ?? createTokenBucket(clock, limits);
       buckets.set(account.name, bucket);
-      bucket.limit(limits);
+      bucket.setLimits(limits);
       if (bucket.take()) return undefined;
-      return notRun("rate_limited", "the account's rate limit is reached", bucket.waitFor());
+      return notRun("rate_limited", "the account's rate limit is reached", bucket.msUntil());
     },
   };
 }
--- a/packages/caller-service/src/completion-endpoint.ts
+++ b/packages/caller-service/src/completion-endpoint.ts
@@ -1,6 +1,6 @@
 /** `POST /v1/completions`, compatible with the OpenAI API. */
 import {
-  type CompletionEnd,
+  type CompletionResult,
   type CompletionJob,
   completionsName,
   type CompletionToken,
@@ -71,7 +71,7 @@
  * Parts sent after the last token: the end marker, or an error event and an abort of the connection,
  * which lets callers detect a truncated response.
  */
-function finalParts(end: CompletionEnd): readonly BodyPart[] {
+function finalParts(end: CompletionResult): readonly BodyPart[] {
   if (end.kind === "answered") return [Right(Buffer.from("data: [DONE]\n\n"))];
   const truncation: TargetUnreachable = {
     kind: "target_unreachable",
@@ -126,13 +126,13 @@
   const streamResponse = async (job: CompletionJob, name: string): Promise<CallerResponse> => {
     const controller = new AbortController();
     const onAbort = () => controller.abort();
-    job.gone.addEventListener("abort", onAbort, { once: true });
+    job.callerGone.addEventListener("abort", onAbort, { once: true });
     const parts = createChunkQueue(() => controller.abort());
-    const running = completions.run({ ...job, gone: controller.signal }, (token) =>
+    const running = completions.run({ ...job, callerGone: controller.signal }, (token) =>
       parts.push(Right(Buffer.from(formatChunk(job.id, name, token)))),
     );
     const ended = running.then((end) => {
-      job.gone.removeEventListener("abort", onAbort);
+      job.callerGone.removeEventListener("abort", onAbort);
       for (const part of finalParts(end)) void parts.push(part);
       parts.end();
       return end;
@@ -170,7 +170,7 @@
         priority: options.priority,
         deadlineAt: clock.now() + options.deadlineMs,
         repeatable: options.repeatable ?? true,
-        gone: signal,
+        callerGone: signal,
       };
       return body.stream ? streamResponse(job, body.model) : collectResponse(job, body.model);
     },
--- a/packages/caller-service/src/entries.ts
+++ b/packages/caller-service/src/entries.ts
@@ -2,7 +2,7 @@
 import { settingsName } from "@linkfall/config";
 import { type Kernel, randomName, serviceName } from "@linkfall/kernel";
 import { membershipName } from "@linkfall/membership";
-import type { TicketOffice } from "@linkfall/once";
+import type { TicketIssuer } from "@linkfall/once";
 import type { CallerResponse } from "@linkfall/ports";
 import { jsonResponse } from "@linkfall/refusals";
 import { topNodes } from "@linkfall/rendezvous";
@@ -12,7 +12,7 @@
 /** Maximum number of addresses in a response. */
 const maxEntries = 8;
 
-export const ticketIssuerName = serviceName<TicketOffice>("ticket-issuer");
+export const ticketIssuerName = serviceName<TicketIssuer>("ticket-issuer");
 
 export type EntriesHandler = (account: Account, query: URLSearchParams) => CallerResponse;
 
@@ -36,7 +36,7 @@
   /** Shuffles the boxes to spread callers, those in the caller's failure domain first. */
   const orderByDomain = (boxes: readonly MemberEntry[], domain: string | null) => {
     const shuffled = boxes
-      .map((entry) => ({ entry, sortKey: random.fraction() }))
+      .map((entry) => ({ entry, sortKey: random.nextFloat() }))
       .sort((a, b) => a.sortKey - b.sortKey)
       .map(({ entry }) => entry);
     const sameDomain = shuffled.filter((entry) => entry.domain === domain);
--- a/packages/caller-service/src/owner-route.ts
+++ b/packages/caller-service/src/owner-route.ts
@@ -41,8 +41,8 @@
   const settings = kernel.find(settingsName).callers;
   const results = createOnceMemory(clock, kernel.find(ticketIssuerName), {
     retentionMs: settings.once_retention_ms,
-    entries: settings.once_entries,
-    answerBytes: settings.once_answer_bytes,
+    maxEntries: settings.once_entries,
+    maxAnswerBytes: settings.once_answer_bytes,
   });
 
   const ownerGone = (reason: string) =>
--- a/packages/caller-service/src/run-request.ts
+++ b/packages/caller-service/src/run-request.ts
@@ -46,14 +46,14 @@
   };
 
   const admitAndRun = async (account: Account, prepared: PreparedRequest, signal: AbortSignal) => {
-    usage.note(account.name, prepared.model, prepared.maxTokens);
+    usage.recordRequest(account.name, prepared.model, prepared.maxTokens);
     const overRate = limits.admit(account);
     return overRate ? refusalResponse(overRate) : runInFlight(account, prepared, signal);
   };
 
   return {
     run({ request, account, options, forwarded }, prepared) {
-      if (prepared.repeatable) return admitAndRun(account, prepared, request.gone);
+      if (prepared.repeatable) return admitAndRun(account, prepared, request.signal);
       // Not aborted when the caller disconnects: a retry receives the retained result.
       const neverAborted = new AbortController().signal;
       return ownerRouter.handle(request, account, options, forwarded, () =>
--- a/packages/caller-service/src/service-endpoint.ts
+++ b/packages/caller-service/src/service-endpoint.ts
@@ -75,7 +75,7 @@
         body: request.body,
         deadlineAt: clock.now() + options.deadlineMs,
         repeatable: repeatable && !call.declaredNotRepeatable,
-        gone: signal,
+        callerGone: signal,
       });
     },
   };
--- a/packages/cli/src/operators.steps.ts
+++ b/packages/cli/src/operators.steps.ts
@@ -5,7 +5,7 @@
 import { PassThrough } from "node:stream";
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import { DeploymentProcesses, hashToken, operatorToken, until } from "@linkfall/stand-ins";
-import { account, engine, model, notes, pool } from "@linkfall/test-support";
+import { account, engine, model, scenarioState, pool } from "@linkfall/test-support";
 import type { Resource } from "@linkfall/types";
 import { stringify } from "yaml";
 import { runLinkfall } from "./run.js";
@@ -17,7 +17,7 @@
 }
 
 const notices = model("notices");
-const contextOf = (world: object) => notes(world).get<TestContext>("context");
+const contextOf = (world: object) => scenarioState(world).get<TestContext>("context");
 
 Given("two boxes and an engine as processes", async function (this: object) {
   const deployment = new DeploymentProcesses();
@@ -27,7 +27,7 @@
   for (const name of ["box-1", "box-2"]) await deployment.startBox(name, "north");
   await Promise.all(deployment.boxes.map((box) => deployment.untilReady(box)));
   const owner = account("one", { tokenHash: hashToken("one") });
-  notes(this).set("context", {
+  scenarioState(this).set("context", {
     deployment,
     directory,
     resources: [owner, pool(), runningEngine, notices],
@@ -50,8 +50,8 @@
   let text = "";
   output.on("data", (chunk) => (text += String(chunk)));
   const code = await runLinkfall(args, { stdin: process.stdin, stdout: output, stderr: output });
-  notes(world).set("code", code);
-  notes(world).set("text", text);
+  scenarioState(world).set("code", code);
+  scenarioState(world).set("text", text);
 }
 
 function runAsOperator(
@@ -78,13 +78,13 @@
 Then(
   "the command exits with 0 and the model is in force on both boxes",
   async function (this: object) {
-    assert.equal(notes(this).get("code"), 0, notes(this).get("text"));
+    assert.equal(scenarioState(this).get("code"), 0, scenarioState(this).get("text"));
     for (const box of [0, 1]) {
       const inForce = async () => {
         await runAsOperator(this, ["get", "model", "notices"], operatorToken, box);
-        return notes(this).get("code") === 0;
+        return scenarioState(this).get("code") === 0;
       };
-      await until(inForce, () => notes(this).get("text"));
+      await until(inForce, () => scenarioState(this).get("text"));
     }
   },
 );
@@ -159,8 +159,8 @@
 Then(
   "the command exits with {int} and its output contains {string}",
   function (this: object, code: number, expected: string) {
-    const text = notes(this).get<string>("text");
-    assert.equal(notes(this).get("code"), code, text);
+    const text = scenarioState(this).get<string>("text");
+    assert.equal(scenarioState(this).get("code"), code, text);
     assert.ok(text.includes(expected), text);
   },
 );
@@ -168,8 +168,8 @@
 Then(
   "the command exits with {int} and its output does not contain {string}",
   function (this: object, code: number, expected: string) {
-    const text = notes(this).get<string>("text");
-    assert.equal(notes(this).get("code"), code, text);
+    const text = scenarioState(this).get<string>("text");
+    assert.equal(scenarioState(this).get("code"), code, text);
     assert.ok(!text.includes(expected), text);
   },
 );
--- a/packages/daemon/src/addresses.steps.ts
+++ b/packages/daemon/src/addresses.steps.ts
@@ -2,7 +2,7 @@
 import { createServer, type Server } from "node:net";
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import { DeploymentProcesses, freeAddresses, loopback, type RunningBox } from "@linkfall/stand-ins";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 
 interface TestContext {
   readonly deployment: DeploymentProcesses;
@@ -12,7 +12,7 @@
   readonly address: string;
 }
 
-const contextOf = (world: object) => notes(world).get<TestContext>("addressContext");
+const contextOf = (world: object) => scenarioState(world).get<TestContext>("addressContext");
 
 Given(
   "a platform, and a process that listens on the {word} address of a box",
@@ -30,19 +30,19 @@
     const port = Number(address.split(":")[1]);
     await new Promise<void>((resolve) => portHolder.listen(port, loopback, resolve));
     const boxSection = { name: "box-1", domain: "north", ...addresses };
-    notes(this).set("addressContext", { deployment, portHolder, boxSection, address });
+    scenarioState(this).set("addressContext", { deployment, portHolder, boxSection, address });
   },
 );
 
 When("the box starts", async function (this: object) {
   const { deployment, boxSection } = contextOf(this);
-  notes(this).set("box", await deployment.startBox("box-1", "north", { box: boxSection }));
+  scenarioState(this).set("box", await deployment.startBox("box-1", "north", { box: boxSection }));
 });
 
 Then(
   "it exits with code {int} and logs the unavailable address, not a broken invariant",
   async function (this: object, code: number) {
-    const box = notes(this).get<RunningBox>("box");
+    const box = scenarioState(this).get<RunningBox>("box");
     assert.equal(await box.exited, code, box.errors());
     assert.match(box.errors(), new RegExp(`cannot listen on ${contextOf(this).address}`));
     assert.doesNotMatch(box.errors(), /invariantBroken/);
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -6,7 +6,7 @@
 import type { AddressUnavailable, InvalidInput } from "@linkfall/errors";
 import { systemClock, systemRandom } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
-import { changedKeys, followSettings } from "@linkfall/settings-watch";
+import { changedKeys, watchSettingsFile } from "@linkfall/settings-watch";
 import type { Milliseconds } from "@linkfall/types";
 import { createDaemonLogger, startDaemon } from "./run-daemon.js";
 
@@ -66,22 +66,22 @@
 
 /** Logs changes of the settings file, which take effect at the next start. */
 async function logSettingsChanges({ path, text, settings }: SettingsFile, logger: Logger) {
-  const watch = followSettings({
+  const watch = watchSettingsFile({
     clock: systemClock(),
     random: systemRandom(),
     logger,
     path,
     text,
     intervalMs: settingsPollIntervalMs,
-    check: readSettings,
-    take: (newSettings) =>
+    parse: readSettings,
+    onChange: (newSettings) =>
       logger.event("settingsChanged", {
         atNextStart: changedKeys(settings, newSettings).join(" "),
       }),
   });
   process.on("SIGHUP", () => {
     logger.event("settingsSignalled");
-    watch.look();
+    watch.checkNow();
   });
   await watch.start();
 }
--- a/packages/daemon/src/processes.steps.ts
+++ b/packages/daemon/src/processes.steps.ts
@@ -10,7 +10,7 @@
   tokenAt,
   until,
 } from "@linkfall/stand-ins";
-import { account, model, notes, pool } from "@linkfall/test-support";
+import { account, model, scenarioState, pool } from "@linkfall/test-support";
 import type { Change, Resource } from "@linkfall/types";
 
 const token = "token-of-one";
@@ -35,7 +35,7 @@
   leaving: false,
 }));
 
-const deploymentOf = (world: object) => notes(world).get<DeploymentProcesses>("deployment");
+const deploymentOf = (world: object) => scenarioState(world).get<DeploymentProcesses>("deployment");
 
 async function operatorRequest<T>(box: RunningBox, path: string, body?: unknown): Promise<T> {
   const response = await fetch(`http://${box.operatorAddress}${path}`, {
@@ -84,7 +84,7 @@
   "a deployment of 3 boxes and 4 engines as processes, with all models loaded",
   async function (this: object) {
     const deployment = new DeploymentProcesses();
-    notes(this).set("deployment", deployment);
+    scenarioState(this).set("deployment", deployment);
     await deployment.startPlatform();
     const engines = await Promise.all(engineShapes.map((shape) => deployment.startEngine(shape)));
     for (const [index, domain] of ["north", "south", "north"].entries()) {
@@ -173,19 +173,19 @@
     owner.child.kill("SIGKILL");
     assert.equal(await first, "broken");
     const repeat = await requestCompletion(other, { prompt, headers });
-    notes(this).set(
+    scenarioState(this).set(
       "outcome",
       ((await repeat.json()) as { error: { outcome: string } }).error.outcome,
     );
-    notes(this).set("prompt", prompt);
+    scenarioState(this).set("prompt", prompt);
   },
 );
 
 Then(
   "the retry receives the outcome {string} and the request ran once",
   function (this: object, outcome: string) {
-    assert.equal(notes(this).get("outcome"), outcome);
-    assert.equal(countRuns(deploymentOf(this), notes(this).get("prompt")), 1);
+    assert.equal(scenarioState(this).get("outcome"), outcome);
+    assert.equal(countRuns(deploymentOf(this), scenarioState(this).get("prompt")), 1);
   },
 );
 
@@ -235,14 +235,14 @@
 When("the log becomes unreachable and a new box starts", async function (this: object) {
   const deployment = deploymentOf(this);
   await deployment.post(deployment.logAddress, "/faults", { down: true });
-  notes(this).set("box", await deployment.startBox("box-4", "south", timingSettings));
+  scenarioState(this).set("box", await deployment.startBox("box-4", "south", timingSettings));
 });
 
 Then(
   "the new box becomes ready and serves, and after the outage a change is in force on all boxes",
   async function (this: object) {
     const deployment = deploymentOf(this);
-    const box = notes(this).get<RunningBox>("box");
+    const box = scenarioState(this).get<RunningBox>("box");
     await deployment.untilReady(box);
     const prompt = "during the outage";
     const serves = async () => (await requestCompletion(box, { prompt })).status === 200;
@@ -267,14 +267,14 @@
     started.push(await deployment.startBox(name, "north", timingSettings));
   }
   await Promise.all(started.map((box) => deployment.untilReady(box)));
-  notes(this).set("started", started);
+  scenarioState(this).set("started", started);
 });
 
 Then(
   "each new box serves, the replicas are unchanged, and no stand-in recorded a violation",
   async function (this: object) {
     const deployment = deploymentOf(this);
-    for (const box of notes(this).get<RunningBox[]>("started")) {
+    for (const box of scenarioState(this).get<RunningBox[]>("started")) {
       const serves = async () =>
         (await requestCompletion(box, { prompt: "after the kill" })).status === 200;
       await until(serves, () => "a new box does not serve");
@@ -299,33 +299,33 @@
     () => "not all streams started",
   );
   box.child.kill(signal);
-  notes(world).set("texts", await Promise.all(streams));
-  notes(world).set("prompts", prompts);
+  scenarioState(world).set("texts", await Promise.all(streams));
+  scenarioState(world).set("prompts", prompts);
   return box;
 }
 
 When("a box is stopped while it serves streams", async function (this: object) {
   const box = await sendSignalDuringStreams(this, "SIGTERM");
-  notes(this).set("exit", await box.exited);
+  scenarioState(this).set("exit", await box.exited);
 });
 
 When("a box receives SIGHUP while it serves streams", async function (this: object) {
-  notes(this).set("box", await sendSignalDuringStreams(this, "SIGHUP"));
+  scenarioState(this).set("box", await sendSignalDuringStreams(this, "SIGHUP"));
 });
 
 Then("all streams complete and the box continues to serve", async function (this: object) {
-  const prompts = notes(this).get<string[]>("prompts");
-  assert.deepEqual(notes(this).get("texts"), prompts.map(expectedText));
-  const response = await requestCompletion(notes(this).get<RunningBox>("box"), {
+  const prompts = scenarioState(this).get<string[]>("prompts");
+  assert.deepEqual(scenarioState(this).get("texts"), prompts.map(expectedText));
+  const response = await requestCompletion(scenarioState(this).get<RunningBox>("box"), {
     prompt: "afterwards",
   });
   assert.equal(response.status, 200);
 });
 
 Then("all streams complete and the box exits with 0", function (this: object) {
-  const prompts = notes(this).get<string[]>("prompts");
-  assert.deepEqual(notes(this).get("texts"), prompts.map(expectedText));
-  assert.equal(notes(this).get("exit"), 0);
+  const prompts = scenarioState(this).get<string[]>("prompts");
+  assert.deepEqual(scenarioState(this).get("texts"), prompts.map(expectedText));
+  assert.equal(scenarioState(this).get("exit"), 0);
 });
 
 When("the engine that runs a repeatable stream is killed", async function (this: object) {
@@ -342,10 +342,10 @@
     entry.lines.some((line) => line.prompt === prompt),
   );
   engine?.child.kill("SIGKILL");
-  notes(this).set("text", await stream);
-  notes(this).set("prompt", prompt);
+  scenarioState(this).set("text", await stream);
+  scenarioState(this).set("prompt", prompt);
 });
 
 Then("the stream completes", function (this: object) {
-  assert.equal(notes(this).get("text"), expectedText(notes(this).get("prompt")));
+  assert.equal(scenarioState(this).get("text"), expectedText(scenarioState(this).get("prompt")));
 });
--- a/packages/daemon/src/run-daemon.ts
+++ b/packages/daemon/src/run-daemon.ts
@@ -65,7 +65,7 @@
     engines: createEngineHttp(engineCaller),
     targets: {
       send: httpClient.send,
-      listens: (address) => isListening(clock, address, connectTimeoutMs),
+      probeListener: (address) => isListening(clock, address, connectTimeoutMs),
     },
   });
 
@@ -75,7 +75,7 @@
     bodyTimeoutMs: settings.callers.body_timeout_ms,
   };
   const { caller_address, operator_address, peer_address } = settings.box;
-  const frontOptions = { clock, limits, tls, defect: onDefect };
+  const frontOptions = { clock, limits, tls, onDefect: onDefect };
   const callerServer = createHttpFront({
     ...frontOptions,
     address: caller_address,
--- a/packages/explain-request/src/explain-request.steps.ts
+++ b/packages/explain-request/src/explain-request.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { explainRequest, type LogLine, parseLogLine, formatLogLine } from "./index.js";
 
 const startMs = Date.UTC(2026, 0, 1);
@@ -25,7 +25,7 @@
       logLine(2_100, "b1", "sendEnded", { request, target, end: "lost" }),
       logLine(2_200, "b1", "requestEnded", { request, outcome: "cut" }),
     ];
-    notes(this).set("lines", lines);
+    scenarioState(this).set("lines", lines);
   },
 );
 
@@ -41,23 +41,23 @@
       logLine(960, "b2", "quotaAlone", { account }),
       logLine(1_000, "b1", "requestRejected", { request, account, status: 429, version: 4 }),
     ];
-    notes(this).set("lines", lines);
+    scenarioState(this).set("lines", lines);
   },
 );
 
 Given("the log line {string}", function (this: object, text: string) {
-  notes(this).get<string[]>("lines").push(text);
+  scenarioState(this).get<string[]>("lines").push(text);
 });
 
 When("the timeline of {string} is reconstructed", function (this: object, request: string) {
-  const lines = notes(this)
+  const lines = scenarioState(this)
     .get<string[]>("lines")
     .flatMap((text) => parseLogLine(text) ?? []);
-  notes(this).set("timeline", explainRequest(lines.reverse(), request));
+  scenarioState(this).set("timeline", explainRequest(lines.reverse(), request));
 });
 
 Then("it consists of the events {string}", function (this: object, expectedNames: string) {
-  const timeline = notes(this).get<readonly LogLine[]>("timeline");
+  const timeline = scenarioState(this).get<readonly LogLine[]>("timeline");
   assert.equal(timeline.map((line) => line.name).join(" "), expectedNames);
   for (const line of timeline) assert.ok(formatLogLine(line).startsWith(line.time));
 });
--- a/packages/operator-service/src/operator-service.ts
+++ b/packages/operator-service/src/operator-service.ts
@@ -167,18 +167,18 @@
       .with(["GET", "/v1/leases"], async () =>
         respondWithJson(200, {
           leases: [...store.state().leases.values()],
-          held: leases.heldPools(),
+          held: leases.heldLeases(),
         }),
       )
       .with(["GET", "/v1/audit"], async () => respondWithJson(200, await auditResponse()))
       .with(["GET", heldRequestsPath], async () =>
-        respondWithJson(200, { held: crashBlame.held() }),
+        respondWithJson(200, { held: crashBlame.heldRequests() }),
       )
       .with(["DELETE", heldRequestsPath], async () => {
         const released = crashBlame.release(query.get("request") ?? "");
         return respondWithJson(released ? 200 : 404, { released });
       })
-      .with(["GET", "/v1/watch"], async () => watch(query, request.gone))
+      .with(["GET", "/v1/watch"], async () => watch(query, request.signal))
       .with(P._, async () =>
         respondWithJson(404, { error: { code: "unknown_path", reason: path } }),
       )
--- a/packages/operator-service/src/status-view.ts
+++ b/packages/operator-service/src/status-view.ts
@@ -2,7 +2,7 @@
 import type { Kernel } from "@linkfall/kernel";
 import { stateStoreName } from "@linkfall/state-store";
 import { targetWatchName } from "@linkfall/target-watch";
-import { replicasName } from "@linkfall/replicas";
+import { replicaFinderName } from "@linkfall/replicas";
 import { modelArtifact, type Resident } from "@linkfall/types";
 import type { EngineStatus, ModelStatus } from "./api-types.js";
 
@@ -15,7 +15,7 @@
 export function createStatusView(kernel: Kernel): StatusView {
   const store = kernel.find(stateStoreName);
   const targetWatch = kernel.find(targetWatchName);
-  const replicaIndex = kernel.find(replicasName);
+  const replicaIndex = kernel.find(replicaFinderName);
 
   const residents = (): readonly Resident[] =>
     [...store.desired().engines.keys()].flatMap(
@@ -35,7 +35,7 @@
           (adapter) => adapter.model === model.name,
         );
         const readyAdapters = adapters.filter(
-          (adapter) => replicaIndex.serving(model, adapter).length > 0,
+          (adapter) => replicaIndex.findServing(model, adapter).length > 0,
         );
         const count = (matches: (replica: Resident) => boolean) =>
           replicasOfModel.filter(matches).length;
--- a/packages/operator-service/src/write-handler.ts
+++ b/packages/operator-service/src/write-handler.ts
@@ -4,7 +4,7 @@
 import { logWriterName } from "@linkfall/log-writer";
 import { loggerName } from "@linkfall/logger";
 import { membershipName } from "@linkfall/membership";
-import { changeSchema, judgeWrite } from "@linkfall/state-fold";
+import { changeSchema, checkWrite } from "@linkfall/state-fold";
 import { stateStoreName } from "@linkfall/state-store";
 import type { Change, Milliseconds, Revision } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
@@ -55,12 +55,12 @@
   const awaitInForce = async (revision: Revision): Promise<WriteResponse> => {
     const deadlineAt = clock.now() + inForceTimeoutMs;
     for (;;) {
-      const { boxes, reached } = membership.readTo(revision);
+      const { boxes, reached } = membership.readProgress(revision);
       if (reached === boxes || clock.now() >= deadlineAt) {
         return { kind: "accepted", revision, boxes, inForceOn: reached };
       }
       // Polls the boxes that lag behind, which is faster than waiting for their next heartbeat.
-      membership.askBehind(revision);
+      membership.pollLaggingPeers(revision);
       await sleep(clock, inForcePollMs);
     }
   };
@@ -102,6 +102,6 @@
     }
     const changes = parsed.unsafeCoerce();
     // Rejects writes that are already invalid without an append; the state fold validates the others.
-    return judgeWrite(store.state(), changes) ?? appendWrite(who, changes);
+    return checkWrite(store.state(), changes) ?? appendWrite(who, changes);
   };
 }
