--- a/packages/caller-service/src/run-request.ts
+++ b/packages/caller-service/src/run-request.ts
@@ -1,63 +1,65 @@
-/** Runs a prepared request within the limits of its account, at its owner where it may run once only. */
+/** Runs prepared requests within the limits of their accounts; non-repeatable ones run at their owner. */
 import type { Kernel } from "@linkfall/kernel";
 import type { CallerRequest, CallerResponse } from "@linkfall/ports";
 import { notRun, refusalResponse } from "@linkfall/refusals";
 import type { Account, Milliseconds } from "@linkfall/types";
 import { usageReportsName } from "@linkfall/usage-report";
 import { createAccountLimits } from "./account-limits.js";
-import { inFlightName } from "./in-flight.js";
-import { createOwnerRoute, type OwnerRoute } from "./owner-route.js";
+import { inFlightLimiterName } from "./in-flight.js";
+import { createOwnerRouter, type OwnerRouter } from "./owner-route.js";
 import type { PreparedRequest } from "./prepare-request.js";
-import type { RequestTerms } from "./request-terms.js";
-import { whenRead } from "./response-end.js";
+import type { RequestOptions } from "./request-options.js";
+import { withBodyEnd } from "./response-end.js";
 
-export const comeBackSoonMs: Milliseconds = 1_000;
+export const retryAfterMs: Milliseconds = 1_000;
 
-/** One request on its way to its endpoint. */
-export interface RunInput {
+/** A request with its account and options. */
+export interface RequestContext {
   readonly request: CallerRequest;
   readonly account: Account;
-  readonly terms: RequestTerms;
-  /** Another box has passed it on. */
+  readonly options: RequestOptions;
+  /** Whether another box forwarded it. */
   readonly forwarded: boolean;
 }
 
 export interface RequestRunner {
-  run(input: RunInput, prepared: PreparedRequest): Promise<CallerResponse>;
-  readonly remembered: OwnerRoute["remembered"];
+  run(context: RequestContext, prepared: PreparedRequest): Promise<CallerResponse>;
+  readonly retainedResults: OwnerRouter["retainedResults"];
 }
 
-/** Creates the runner of one box. */
+/** Creates the request runner of this box. */
 export function createRequestRunner(kernel: Kernel): RequestRunner {
-  const inFlight = kernel.find(inFlightName);
+  const inFlightLimiter = kernel.find(inFlightLimiterName);
   const usage = kernel.find(usageReportsName);
   const limits = createAccountLimits(kernel);
-  const owners = createOwnerRoute(kernel);
+  const ownerRouter = createOwnerRouter(kernel);
 
-  /** Counts the request as in flight until its answer has been read, or dropped. */
-  const runCounted = async (account: Account, prepared: PreparedRequest, gone: AbortSignal) => {
-    if (!inFlight.enter(account)) {
-      return refusalResponse(notRun("overloaded", "this box is full", comeBackSoonMs));
+  /** Counts the request as in flight until its response body has been read or abandoned. */
+  const runInFlight = async (account: Account, prepared: PreparedRequest, signal: AbortSignal) => {
+    if (!inFlightLimiter.tryAcquire(account)) {
+      return refusalResponse(
+        notRun("overloaded", "this box has reached its limit of requests in flight", retryAfterMs),
+      );
     }
-    const response = await prepared.run(gone);
-    return whenRead(response, () => inFlight.leave(account));
+    const response = await prepared.run(signal);
+    return withBodyEnd(response, () => inFlightLimiter.release(account));
   };
 
-  const admitAndRun = async (account: Account, prepared: PreparedRequest, gone: AbortSignal) => {
-    usage.recordRequest(account.name, prepared.model, prepared.tokens);
+  const admitAndRun = async (account: Account, prepared: PreparedRequest, signal: AbortSignal) => {
+    usage.recordRequest(account.name, prepared.model, prepared.maxTokens);
     const overRate = limits.admit(account);
-    return overRate ? refusalResponse(overRate) : runCounted(account, prepared, gone);
+    return overRate ? refusalResponse(overRate) : runInFlight(account, prepared, signal);
   };
 
   return {
-    run({ request, account, terms, forwarded }, prepared) {
-      if (prepared.mayBeRepeated) return admitAndRun(account, prepared, request.signal);
-      // It runs to its end even when its caller goes, so that a repeat finds its answer.
-      const never = new AbortController().signal;
-      return owners.handle(request, account, terms, forwarded, () =>
-        admitAndRun(account, prepared, never),
+    run({ request, account, options, forwarded }, prepared) {
+      if (prepared.repeatable) return admitAndRun(account, prepared, request.signal);
+      // Not aborted when the caller disconnects: a retry receives the retained result.
+      const neverAborted = new AbortController().signal;
+      return ownerRouter.handle(request, account, options, forwarded, () =>
+        admitAndRun(account, prepared, neverAborted),
       );
     },
-    remembered: owners.remembered,
+    retainedResults: ownerRouter.retainedResults,
   };
 }
--- a/packages/explain-request/src/index.ts
+++ b/packages/explain-request/src/index.ts
@@ -1,6 +1,6 @@
-/** The story of one request, from the log lines of several boxes. */
+/** Reconstructs the timeline of a request from the logs of several boxes. */
 
-/** One log line that was understood. */
+/** A parsed log line. */
 export interface LogLine {
   /** Wall-clock time, ISO 8601. */
   readonly time: string;
@@ -9,11 +9,11 @@
   readonly detail: Readonly<Record<string, unknown>>;
 }
 
-/** Fields that every line has; the rest is its detail. */
+/** Fields common to all log lines; the others are the line's detail. */
 const commonFields = new Set(["time", "box", "name", "at", "event", "level", "message"]);
 
-/** Beliefs that a request rests on: the newest of each before it is what its box went by. */
-const beliefs: ReadonlySet<string> = new Set([
+/** Events that change the state of a box; the latest of each kind before a request applies to it. */
+const boxStateEvents: ReadonlySet<string> = new Set([
   "configurationInForce",
   "leaseTaken",
   "leaseLost",
@@ -24,7 +24,7 @@
   "connectionChanged",
 ]);
 
-/** Changes of a target that a request was sent to. */
+/** Events of targets and of their models. */
 const targetEvents: ReadonlySet<string> = new Set([
   "targetLeaving",
   "targetMissing",
@@ -35,14 +35,14 @@
   "orderAnswered",
 ]);
 
-/** A limit of which the box let through a part of its own. */
+/** Event of a box that enforces a fallback limit because no box that grants the quota responds. */
 const quotaEvent = "quotaAlone";
 
-/** How long before a request changes of its targets are shown, in milliseconds. */
-const beforeMs = 5_000;
+/** Time before the request from which on related events are included, in milliseconds. */
+const leadTimeMs = 5_000;
 
-/** Reads one line; lines of other programs, or with a prefix, are read from their first brace on. */
-export function parseLine(text: string): LogLine | undefined {
+/** Parses a line from its first brace on, ignoring any prefix; undefined if it is not a log line. */
+export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf("{");
   if (start < 0) return undefined;
   try {
@@ -60,55 +60,59 @@
   }
 }
 
-const timeOf = (line: LogLine) => Date.parse(line.time);
+const timeMs = (line: LogLine) => Date.parse(line.time);
 
-/** Models that the request asked for, by its own lines. */
-function modelsOf(own: readonly LogLine[]): ReadonlySet<unknown> {
+/** Models named in the request's own log lines. */
+function requestedModels(ownLines: readonly LogLine[]): ReadonlySet<unknown> {
   return new Set<unknown>(
-    own.map((line) => line.detail.model).filter((model) => model !== undefined),
+    ownLines.map((line) => line.detail.model).filter((model) => model !== undefined),
   );
 }
 
-/** Whether a line concerns the account of the request, by the request's own lines. */
-function isOfAccount(line: LogLine, own: readonly LogLine[]): boolean {
-  return own.some(({ detail }) => detail.account === line.detail.account);
+/** Whether a line names the same account as one of the request's own log lines. */
+function sameAccount(line: LogLine, ownLines: readonly LogLine[]): boolean {
+  return ownLines.some(({ detail }) => detail.account === line.detail.account);
 }
 
-/** What the box of the request believed when it came: the newest line of each kind before it. */
-function beliefsBefore(lines: readonly LogLine[], first: LogLine): readonly LogLine[] {
-  const newest = new Map<string, LogLine>();
+/** The state of the request's box when the request arrived: the latest event of each kind. */
+function boxStateBefore(lines: readonly LogLine[], first: LogLine): readonly LogLine[] {
+  const latestByName = new Map<string, LogLine>();
   for (const line of lines) {
-    if (line.box !== first.box || !beliefs.has(line.name)) continue;
-    if (timeOf(line) > timeOf(first)) break;
-    newest.set(line.name, line);
+    if (line.box !== first.box || !boxStateEvents.has(line.name)) continue;
+    if (timeMs(line) > timeMs(first)) break;
+    latestByName.set(line.name, line);
   }
-  return [...newest.values()];
+  return [...latestByName.values()];
 }
 
-/** Lines that tell the story of a request, in the order of time; empty where no line names it. */
-export function explainRequest(all: readonly LogLine[], request: string): readonly LogLine[] {
-  const lines = [...all].sort((left, right) => timeOf(left) - timeOf(right));
-  const own = lines.filter((line) => line.detail.request === request);
-  if (own.length === 0) return [];
-  const from = timeOf(own[0]) - beforeMs;
-  const until = timeOf(own[own.length - 1]);
+/**
+ * Returns the log lines that explain a request, in chronological order: its own lines, the state of
+ * its box, and events of its targets, models and account. Empty if no line mentions the request.
+ */
+export function explainRequest(logLines: readonly LogLine[], request: string): readonly LogLine[] {
+  const lines = [...logLines].sort((left, right) => timeMs(left) - timeMs(right));
+  const ownLines = lines.filter((line) => line.detail.request === request);
+  if (ownLines.length === 0) return [];
+  const fromMs = timeMs(ownLines[0]) - leadTimeMs;
+  const untilMs = timeMs(ownLines[ownLines.length - 1]);
   const targets = new Set<unknown>(
-    own.map((line) => line.detail.target).filter((id) => id !== undefined),
+    ownLines.map((line) => line.detail.target).filter((id) => id !== undefined),
   );
-  const models = modelsOf(own);
-  const around = lines.filter((line) => {
-    if (timeOf(line) < from || timeOf(line) > until || own.includes(line)) return false;
-    if (beliefs.has(line.name)) return line.box === own[0].box;
-    if (line.name === quotaEvent) return line.box === own[0].box && isOfAccount(line, own);
+  const models = requestedModels(ownLines);
+  const relatedLines = lines.filter((line) => {
+    if (timeMs(line) < fromMs || timeMs(line) > untilMs || ownLines.includes(line)) return false;
+    if (boxStateEvents.has(line.name)) return line.box === ownLines[0].box;
+    if (line.name === quotaEvent)
+      return line.box === ownLines[0].box && sameAccount(line, ownLines);
     if (!targetEvents.has(line.name)) return false;
     return targets.has(line.detail.target) || models.has(line.detail.model);
   });
-  const story = new Set([...beliefsBefore(lines, own[0]), ...around, ...own]);
-  return [...story].sort((left, right) => timeOf(left) - timeOf(right));
+  const timeline = new Set([...boxStateBefore(lines, ownLines[0]), ...relatedLines, ...ownLines]);
+  return [...timeline].sort((left, right) => timeMs(left) - timeMs(right));
 }
 
-/** One line of the story for people. */
-export function showLine({ time, box, name, detail }: LogLine): string {
-  const facts = Object.entries(detail).map(([field, value]) => `${field}=${String(value)}`);
-  return `${time} ${box} ${name} ${facts.join(" ")}`;
+/** Formats a log line for display. */
+export function formatLogLine({ time, box, name, detail }: LogLine): string {
+  const fields = Object.entries(detail).map(([field, value]) => `${field}=${String(value)}`);
+  return `${time} ${box} ${name} ${fields.join(" ")}`;
 }
