--- a/packages/account-keys/src/account-keys.steps.ts
+++ b/packages/account-keys/src/account-keys.steps.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import fc from "fast-check";
-import { createKeyTable, fingerprint, type KeyTable } from "./index.js";
+import { createKeyTable, keyFingerprint, type KeyTable } from "./index.js";
 
 Given(
   "client accounts {string} with keys {string} and {string} with keys {string}",
@@ -11,12 +11,12 @@
       { name: one, keys: keys.split(" ") },
       { name: other, keys: otherKeys.split(" ") },
     ];
-    notes(this).set("table", createKeyTable(accounts));
+    scenarioState(this).set("table", createKeyTable(accounts));
   },
 );
 
 Then("the key {string} belongs to {string}", function (this: object, key: string, name: string) {
-  const found = notes(this).get<KeyTable>("table").find(key);
+  const found = scenarioState(this).get<KeyTable>("table").find(key);
   assert.equal(found?.name ?? "nobody", name);
 });
 
@@ -26,7 +26,7 @@
     const keys = fc.string({ minLength: 20, maxLength: 20, unit: "grapheme-ascii" });
     fc.assert(
       fc.property(keys, (key) => {
-        const shown = fingerprint(key);
+        const shown = keyFingerprint(key);
         for (let at = 0; at + length <= key.length; at++) {
           assert.ok(!shown.includes(key.slice(at, at + length)));
         }
--- a/packages/account-keys/src/index.ts
+++ b/packages/account-keys/src/index.ts
@@ -18,7 +18,7 @@
 }
 
 /** A short name of a key for logs, from which the key cannot be told. */
-export function fingerprint(key: string): string {
+export function keyFingerprint(key: string): string {
   return digestOf(key).slice(0, fingerprintDigits);
 }
 
--- a/packages/account-quota/src/account-quota.steps.ts
+++ b/packages/account-quota/src/account-quota.steps.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
-import type { AccountLimit, ClientAccount, RequestTerms } from "@linkfall/types";
+import { scenarioState } from "@linkfall/test-support";
+import type { AccountLimit, ClientAccount, RequestMetadata } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
 import {
-  type AllottedUnits,
+  type GrantSummary,
   type AccountQuota,
   createAccountQuota,
   createQuotaAllocator,
@@ -24,12 +24,17 @@
   grants: readonly QuotaGrant[];
 }
 
-const sceneOf = (world: object) => notes(world).get<AllocatorScene>("allocator");
+const sceneOf = (world: object) => scenarioState(world).get<AllocatorScene>("allocator");
 
 function setUp(world: object, rate: QuotaRate, firstLevel: number): void {
   const clock = createVirtualClock();
   const allocator = createQuotaAllocator(clock, () => firstLevel);
-  notes(world).set("allocator", { clock, allocator, rate, grants: [] } satisfies AllocatorScene);
+  scenarioState(world).set("allocator", {
+    clock,
+    allocator,
+    rate,
+    grants: [],
+  } satisfies AllocatorScene);
 }
 
 function request(world: object, count: number, needed: number, version = 1): void {
@@ -131,23 +136,33 @@
   readonly quota: AccountQuota;
   readonly decisions: QuotaDecision[];
   /** What the box has told of limits that run short. */
-  readonly told: AllottedUnits[];
+  readonly told: GrantSummary[];
   readonly tookMs: number[];
 }
 
-const boxOf = (world: object) => notes(world).get<BoxScene>("box");
+const boxOf = (world: object) => scenarioState(world).get<BoxScene>("box");
 const alike = { connected: () => true, ownPart: () => 1, silentPart: () => 0 };
 const tolerance = { windowSeconds: 8, overage: 0.1, slack: 0 };
 
 function setUpBox(world: object, peers: Omit<QuotaPeers, "self">, clock: VirtualClock): void {
-  const told: AllottedUnits[] = [];
-  const onShort = (allotted: AllottedUnits) => void told.push(allotted);
-  const quota = createAccountQuota(clock, { self: "self", onShort, ...peers }, tolerance);
-  notes(world).set("box", { clock, quota, decisions: [], tookMs: [], told } satisfies BoxScene);
+  const told: GrantSummary[] = [];
+  const onShort = (allotted: GrantSummary) => void told.push(allotted);
+  const quota = createAccountQuota(
+    clock,
+    { self: "self", onExhausted: onShort, ...peers },
+    tolerance,
+  );
+  scenarioState(world).set("box", {
+    clock,
+    quota,
+    decisions: [],
+    tookMs: [],
+    told,
+  } satisfies BoxScene);
 }
 
 function accountOf(perSecond: number): ClientAccount {
-  const limit: AccountLimit = { unit: "tokens", perSecond, burst: perSecond, plainTokens: 200 };
+  const limit: AccountLimit = { unit: "tokens", perSecond, burst: perSecond, defaultTokens: 200 };
   return { name: "a", keys: [], limit };
 }
 
@@ -172,7 +187,7 @@
     const silent = async (): Promise<never> => new Promise(() => undefined);
     setUpBox(
       this,
-      { ...alike, allocators: () => ["x", "y", "z"], ask: silent, ownPart: () => 0.1 },
+      { ...alike, allocators: () => ["x", "y", "z"], sendRequest: silent, ownShare: () => 0.1 },
       clock,
     );
   },
@@ -181,13 +196,13 @@
 Given("a box that allocates for itself", function (this: object) {
   const failure = { kind: "peer_unreachable", reason: "none", mayHaveArrived: false } as const;
   const ask = async () => Left(failure);
-  setUpBox(this, { ...alike, allocators: () => ["self"], ask }, createVirtualClock());
+  setUpBox(this, { ...alike, allocators: () => ["self"], sendRequest: ask }, createVirtualClock());
 });
 
 Given("a box that is cut off from most others", function (this: object) {
   const ask = async () => Right({ granted: 0, waitMs: 0, declined: true });
   const peers = { ...alike, allocators: () => ["x", "self"], ask, connected: () => false };
-  setUpBox(this, { ...peers, ownPart: () => 0.1 }, createVirtualClock());
+  setUpBox(this, { ...peers, ownShare: () => 0.1 }, createVirtualClock());
 });
 
 Then("it declines to allocate for others", async function (this: object) {
@@ -236,7 +251,7 @@
 );
 
 When("{int} units are given back", function (this: object, units: number) {
-  boxOf(this).quota.giveBack({ account: accountOf(1000), units, version: 1 });
+  boxOf(this).quota.refund({ account: accountOf(1000), units, version: 1 });
 });
 
 Then("a request of {int} units is let through", async function (this: object, units: number) {
@@ -275,14 +290,14 @@
   (told: string, units: number, unit: AccountLimit["unit"]) => {
     const [prompt, output] = told.split(" and ").map(Number);
     const tokensTold = Number.isFinite(prompt);
-    const terms: RequestTerms = {
+    const terms: RequestMetadata = {
       id: "r",
-      tokensTold,
+      tokensDeclared: tokensTold,
       promptTokens: tokensTold ? prompt : 0,
       maxOutputTokens: tokensTold ? output : 0,
       parts: [],
     };
-    const limit = { unit, perSecond: 1, burst: 1, plainTokens: 200 };
+    const limit = { unit, perSecond: 1, burst: 1, defaultTokens: 200 };
     assert.equal(unitsOf(limit, terms), units);
   },
 );
--- a/packages/account-quota/src/account-quota.ts
+++ b/packages/account-quota/src/account-quota.ts
@@ -4,18 +4,18 @@
  */
 import type { Clock } from "@linkfall/kernel";
 import type { ClientAccount, Milliseconds } from "@linkfall/types";
-import type { QuotaAsk, QuotaGrant } from "./messages.js";
+import type { QuotaRequest, QuotaGrant } from "./messages.js";
 import { createQuotaSource, type QuotaPeers, type QuotaTolerance } from "./quota-source.js";
 import {
-  addTo,
-  createStock,
-  noteRefusal,
-  noteUse,
-  type QuotaStock,
-  refusedForMs,
-  runsLow,
-  takeFrom,
-  wantedAhead,
+  addUnits,
+  createLocalBudget,
+  recordRefusal,
+  recordDemand,
+  type LocalBudget,
+  cachedRetryAfterMs,
+  needsRefill,
+  takeUnits,
+  prefetchUnits,
 } from "./stock.js";
 
 export type QuotaDecision =
@@ -24,7 +24,7 @@
   | { readonly kind: "refused"; readonly retryAfterMs: Milliseconds };
 
 /** What a request counts, and under which configuration. */
-export interface QuotaUse {
+export interface QuotaCharge {
   readonly account: ClientAccount;
   readonly units: number;
   readonly version: number;
@@ -32,18 +32,18 @@
 
 export interface AccountQuota {
   /** Decides on a request, at once or after one call to another box. */
-  admit(use: QuotaUse): Promise<QuotaDecision>;
+  admit(use: QuotaCharge): Promise<QuotaDecision>;
   /** Gives back what was taken for a request that did not run. */
-  giveBack(use: QuotaUse): void;
+  refund(use: QuotaCharge): void;
   /** Takes what ran beside what was admitted, such as a repeated send. */
-  ranToo(use: QuotaUse): void;
+  chargeExtra(use: QuotaCharge): void;
   /** Allocates for another box that has asked. */
-  allocate(ask: QuotaAsk): Promise<QuotaGrant>;
+  allocate(ask: QuotaRequest): Promise<QuotaGrant>;
 }
 
 const admitted: QuotaDecision = { kind: "admitted" };
 
-function toAsk({ account, version }: QuotaUse, needed: number, ahead: number): QuotaAsk {
+function toAsk({ account, version }: QuotaCharge, needed: number, ahead: number): QuotaRequest {
   const { perSecond = 0, burst = 0 } = account.limit ?? {};
   return { account: account.name, version, rate: { perSecond, burst }, needed, ahead };
 }
@@ -54,36 +54,36 @@
   peers: QuotaPeers,
   tolerance: QuotaTolerance,
 ): AccountQuota {
-  const stocks = new Map<string, QuotaStock>();
+  const stocks = new Map<string, LocalBudget>();
   const source = createQuotaSource(clock, peers, tolerance);
 
-  const stockOf = (account: string): QuotaStock => {
+  const stockOf = (account: string): LocalBudget => {
     const known = stocks.get(account);
     if (known) return known;
-    const created = createStock(clock.now());
+    const created = createLocalBudget(clock.now());
     stocks.set(account, created);
     return created;
   };
 
-  const refill = async (use: QuotaUse, stock: QuotaStock): Promise<void> => {
+  const refill = async (use: QuotaCharge, stock: LocalBudget): Promise<void> => {
     stock.refilling = true;
-    const { granted } = await source.obtain(toAsk(use, 0, wantedAhead(stock, use.units)));
+    const { granted } = await source.acquire(toAsk(use, 0, prefetchUnits(stock, use.units)));
     stock.refilling = false;
-    if (granted > 0) addTo(stock, granted, clock.now());
+    if (granted > 0) addUnits(stock, granted, clock.now());
   };
 
-  const askFor = async (use: QuotaUse, stock: QuotaStock): Promise<QuotaDecision> => {
+  const askFor = async (use: QuotaCharge, stock: LocalBudget): Promise<QuotaDecision> => {
     const owed = Math.max(0, -stock.units);
     stock.units += owed;
     const needed = use.units + owed;
-    const grant = await source.obtain(toAsk(use, needed, wantedAhead(stock, use.units)));
+    const grant = await source.acquire(toAsk(use, needed, prefetchUnits(stock, use.units)));
     const now = clock.now();
     if (grant.granted >= needed) {
-      addTo(stock, grant.granted - needed, now);
+      addUnits(stock, grant.granted - needed, now);
       return admitted;
     }
     stock.units -= owed;
-    noteRefusal(stock, use.units, grant.waitMs, now);
+    recordRefusal(stock, use.units, grant.waitMs, now);
     return { kind: "refused", retryAfterMs: grant.waitMs };
   };
 
@@ -93,19 +93,19 @@
       if (!account.limit) return admitted;
       const now = clock.now();
       const stock = stockOf(account.name);
-      noteUse(stock, units, now);
-      if (takeFrom(stock, units, now)) {
-        if (runsLow(stock, units)) void refill(use, stock);
+      recordDemand(stock, units, now);
+      if (takeUnits(stock, units, now)) {
+        if (needsRefill(stock, units)) void refill(use, stock);
         return admitted;
       }
-      const retryAfterMs = refusedForMs(stock, units, account.limit.perSecond, now);
+      const retryAfterMs = cachedRetryAfterMs(stock, units, account.limit.perSecond, now);
       if (retryAfterMs !== undefined) return { kind: "refused", retryAfterMs };
       return askFor(use, stock);
     },
-    giveBack({ account, units }) {
-      if (account.limit) addTo(stockOf(account.name), units, clock.now());
+    refund({ account, units }) {
+      if (account.limit) addUnits(stockOf(account.name), units, clock.now());
     },
-    ranToo({ account, units }) {
+    chargeExtra({ account, units }) {
       if (account.limit) stockOf(account.name).units -= units;
     },
     allocate: source.allocate,
--- a/packages/account-quota/src/allocator.ts
+++ b/packages/account-quota/src/allocator.ts
@@ -7,7 +7,7 @@
  */
 import type { Clock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
-import type { QuotaAsk, QuotaGrant, QuotaRate } from "./messages.js";
+import type { QuotaRequest, QuotaGrant, QuotaRate } from "./messages.js";
 
 /** What one account may still have. */
 interface Allowance {
@@ -22,9 +22,9 @@
 }
 
 export interface QuotaAllocator {
-  grant(ask: QuotaAsk): QuotaGrant;
+  grant(ask: QuotaRequest): QuotaGrant;
   /** Begins again with first levels: others have let requests through meanwhile, by parts of their own. */
-  restart(): void;
+  reset(): void;
 }
 
 const millisecondsPerSecond = 1000;
@@ -44,7 +44,7 @@
 }
 
 /** Takes a limit that is not older; what was saved up stays, up to the new burst. */
-function follow(allowance: Allowance, { rate, version }: QuotaAsk): void {
+function follow(allowance: Allowance, { rate, version }: QuotaRequest): void {
   if (version < allowance.version) return;
   allowance.rate = rate;
   allowance.version = version;
@@ -70,7 +70,7 @@
 ): QuotaAllocator {
   const allowances = new Map<string, Allowance>();
 
-  const allowanceFor = ({ account, rate, version }: QuotaAsk): Allowance => {
+  const allowanceFor = ({ account, rate, version }: QuotaRequest): Allowance => {
     const known = allowances.get(account);
     if (known) return known;
     const level = Math.min(rate.burst, firstLevel(rate));
@@ -96,7 +96,7 @@
       allowance.level -= ahead;
       return { granted: ask.needed + ahead, waitMs: 0 };
     },
-    restart() {
+    reset() {
       for (const allowance of allowances.values()) {
         fill(allowance, clock.now());
         allowance.level = Math.min(allowance.level, firstLevel(allowance.rate));
--- a/packages/account-quota/src/allotments.ts
+++ b/packages/account-quota/src/allotments.ts
@@ -4,7 +4,7 @@
 import type { QuotaGrant } from "./messages.js";
 
 /** What was handed out of one account's limit since the word before. */
-export interface AllottedUnits {
+export interface GrantSummary {
   readonly account: string;
   readonly units: number;
   readonly grants: number;
@@ -13,8 +13,8 @@
   readonly part: number;
 }
 
-export interface Allotments {
-  note(account: string, grant: QuotaGrant, part: number): void;
+export interface GrantSummaries {
+  record(account: string, grant: QuotaGrant, part: number): void;
 }
 
 /** An account is told of this often while requests of it are refused. */
@@ -30,10 +30,10 @@
 }
 
 /** Creates sums of nothing; `tell` hears of each second in which an account was refused. */
-export function createAllotments(
+export function createGrantSummaries(
   clock: Clock,
-  tell: (allotted: AllottedUnits) => void,
-): Allotments {
+  tell: (allotted: GrantSummary) => void,
+): GrantSummaries {
   const sums = new Map<string, Sum>();
   const sumOf = (account: string): Sum => {
     const known = sums.get(account);
@@ -44,7 +44,7 @@
     return created;
   };
   return {
-    note(account, { granted }, part) {
+    record(account, { granted }, part) {
       const sum = sumOf(account);
       sum.units += granted;
       if (granted > 0) sum.grants += 1;
--- a/packages/account-quota/src/messages.ts
+++ b/packages/account-quota/src/messages.ts
@@ -1,5 +1,5 @@
 /** What boxes say to each other of the limits of client accounts. */
-import type { AllocationAsk, AllocationGrant } from "@linkfall/allocation";
+import type { AllocationRequest, AllocationGrant } from "@linkfall/allocation";
 import type { Milliseconds } from "@linkfall/types";
 
 /** How fast an account's allowance grows, in the unit of its limit. */
@@ -11,7 +11,7 @@
 }
 
 /** A box asks the allocator of an account for a part of its limit. */
-export interface QuotaAsk extends AllocationAsk {
+export interface QuotaRequest extends AllocationRequest {
   readonly account: string;
   /** The limit as the asking box has it, and the version of that configuration. */
   readonly rate: QuotaRate;
--- a/packages/account-quota/src/quota-source.ts
+++ b/packages/account-quota/src/quota-source.ts
@@ -1,14 +1,14 @@
 /** Where a box gets units from: the account's allocator, the next in rank, or its own part. */
 import {
-  type Allocation,
+  type DistributedAllocator,
   type AllocationPeers,
-  type Allocators,
-  createAllocation,
+  type LocalAllocator,
+  createDistributedAllocator,
 } from "@linkfall/allocation";
 import type { Clock } from "@linkfall/kernel";
-import { type AllottedUnits, createAllotments } from "./allotments.js";
+import { type GrantSummary, createGrantSummaries } from "./allotments.js";
 import { createQuotaAllocator } from "./allocator.js";
-import type { QuotaAsk, QuotaGrant, QuotaRate } from "./messages.js";
+import type { QuotaRequest, QuotaGrant, QuotaRate } from "./messages.js";
 
 /** What may be let through beyond the limit in one window, over all boxes. */
 export interface QuotaTolerance {
@@ -20,18 +20,18 @@
 }
 
 /** The other boxes, as far as the limits need them. */
-export interface QuotaPeers extends AllocationPeers<QuotaAsk, QuotaGrant> {
+export interface QuotaPeers extends AllocationPeers<QuotaRequest, QuotaGrant> {
   /** Part of each limit that is this box's own while it is cut off. */
-  ownPart(): number;
+  ownShare(): number;
   /** Parts of the boxes that are silent, and may be serving callers by their own parts. */
-  silentPart(): number;
+  silentShare(): number;
   /** Hears of each decision that this box has taken alone, on a part of an account's limit. */
-  onAlone?(account: string, granted: number, part: number): void;
+  onIsolatedDecision?(account: string, granted: number, part: number): void;
   /** Hears, each second at most, what this box has allotted of an account's limit that runs short. */
-  onShort?(allotted: AllottedUnits): void;
+  onExhausted?(allotted: GrantSummary): void;
 }
 
-export type QuotaSource = Allocation<QuotaAsk, QuotaGrant>;
+export type QuotaSource = DistributedAllocator<QuotaRequest, QuotaGrant>;
 
 /**
  * Part of the tolerance that a new allocator starts with: the one before it, units at hand at the boxes, and boxes
@@ -57,32 +57,32 @@
   clock: Clock,
   peers: QuotaPeers,
   tolerance: QuotaTolerance,
-): Allocators<QuotaAsk, QuotaGrant> {
+): LocalAllocator<QuotaRequest, QuotaGrant> {
   const firstLevel = (rate: QuotaRate) => toleranceOf(rate, tolerance) * firstShare;
   const shared = createQuotaAllocator(clock, firstLevel);
   /** Used while this box is cut off; its rates are a part of the limits. */
   const alone = createQuotaAllocator(clock, (rate) => rate.burst);
-  const allotments = createAllotments(clock, (allotted) => peers.onShort?.(allotted));
+  const allotments = createGrantSummaries(clock, (allotted) => peers.onExhausted?.(allotted));
 
   return {
-    alone(ask) {
+    grantIsolated(ask) {
       // The burst itself may have been used by the box that allocated until now.
       const whole = { perSecond: ask.rate.perSecond, burst: firstLevel(ask.rate) };
-      const part = peers.ownPart();
+      const part = peers.ownShare();
       const grant = alone.grant({ ...ask, ahead: 0, rate: partOfRate(whole, part) });
-      peers.onAlone?.(ask.account, grant.granted, part);
+      peers.onIsolatedDecision?.(ask.account, grant.granted, part);
       return grant;
     },
     // Boxes that are silent may serve callers by their own parts, so that these are not to be had here.
-    shared(ask) {
-      const part = Math.max(leastConnectedPart, 1 - peers.silentPart());
+    grantShared(ask) {
+      const part = Math.max(leastConnectedPart, 1 - peers.silentShare());
       const grant = shared.grant({ ...ask, rate: partOfRate(ask.rate, part) });
-      allotments.note(ask.account, grant, part);
+      allotments.record(ask.account, grant, part);
       return grant;
     },
     // What this box knows of before it was cut off says little afterwards.
-    onReconnected: () => shared.restart(),
-    declined,
+    onReconnected: () => shared.reset(),
+    declinedGrant: declined,
   };
 }
 
@@ -93,5 +93,5 @@
   tolerance: QuotaTolerance,
 ): QuotaSource {
   const allocators = createAllocators(clock, peers, tolerance);
-  return createAllocation(clock, peers, allocators, ({ account }) => account);
+  return createDistributedAllocator(clock, peers, allocators, ({ account }) => account);
 }
--- a/packages/account-quota/src/stock.ts
+++ b/packages/account-quota/src/stock.ts
@@ -2,25 +2,25 @@
 import type { Milliseconds } from "@linkfall/types";
 
 /** Changed in place by the functions of this module. */
-export interface QuotaStock {
+export interface LocalBudget {
   /** Units at hand; below 0 where more ran than was granted. */
   units: number;
   /** Units a second that requests of this box have asked for lately. */
-  useRate: number;
-  usedAt: Milliseconds;
-  grantedAt: Milliseconds;
+  demandPerSecond: number;
+  demandUpdatedAt: Milliseconds;
+  lastGrantAt: Milliseconds;
   /** A call for more that no request waits for is under way. */
   refilling: boolean;
   /** Last refusal, while it still tells what the next answer would be. */
-  refusal?: QuotaRefusal;
+  refusal?: CachedRefusal;
 }
 
-interface QuotaRefusal {
+interface CachedRefusal {
   /** Smallest request that was refused. */
-  units: number;
-  readonly until: Milliseconds;
+  minUnits: number;
+  readonly validUntil: Milliseconds;
   /** When a request that is refused now may come back. */
-  comeBackAt: Milliseconds;
+  retryAt: Milliseconds;
 }
 
 const millisecondsPerSecond = 1000;
@@ -37,64 +37,68 @@
 /** A refusal is repeated for this long without asking again. */
 const refusalMs: Milliseconds = 200;
 
-export function createStock(now: Milliseconds): QuotaStock {
-  return { units: 0, useRate: 0, usedAt: now, grantedAt: now, refilling: false };
+export function createLocalBudget(now: Milliseconds): LocalBudget {
+  return { units: 0, demandPerSecond: 0, demandUpdatedAt: now, lastGrantAt: now, refilling: false };
 }
 
 /** Notes that a request asks for units. */
-export function noteUse(stock: QuotaStock, units: number, now: Milliseconds): void {
-  const decay = Math.exp(-(now - stock.usedAt) / useMs);
-  stock.useRate = stock.useRate * decay + (units * millisecondsPerSecond) / useMs;
-  stock.usedAt = now;
+export function recordDemand(stock: LocalBudget, units: number, now: Milliseconds): void {
+  const decay = Math.exp(-(now - stock.demandUpdatedAt) / useMs);
+  stock.demandPerSecond = stock.demandPerSecond * decay + (units * millisecondsPerSecond) / useMs;
+  stock.demandUpdatedAt = now;
 }
 
 /** Takes units if they are at hand. */
-export function takeFrom(stock: QuotaStock, units: number, now: Milliseconds): boolean {
-  if (now - stock.grantedAt > keptMs) stock.units = Math.min(0, stock.units);
+export function takeUnits(stock: LocalBudget, units: number, now: Milliseconds): boolean {
+  if (now - stock.lastGrantAt > keptMs) stock.units = Math.min(0, stock.units);
   if (stock.units < units) return false;
   stock.units -= units;
   return true;
 }
 
-export function addTo(stock: QuotaStock, units: number, now: Milliseconds): void {
+export function addUnits(stock: LocalBudget, units: number, now: Milliseconds): void {
   stock.units += units;
-  stock.grantedAt = now;
+  stock.lastGrantAt = now;
   stock.refusal = undefined;
 }
 
 /** Units to ask for ahead; 0 where requests are so rare that each asks for itself. */
-export function wantedAhead({ useRate }: QuotaStock, units: number): number {
+export function prefetchUnits({ demandPerSecond: useRate }: LocalBudget, units: number): number {
   const ahead = (useRate * aheadMs) / millisecondsPerSecond;
   return ahead >= 2 * units ? Math.round(ahead) : 0;
 }
 
 /** Whether less than half of what is wanted ahead is left. */
-export function runsLow(stock: QuotaStock, units: number): boolean {
-  const ahead = wantedAhead(stock, units);
+export function needsRefill(stock: LocalBudget, units: number): boolean {
+  const ahead = prefetchUnits(stock, units);
   return !stock.refilling && ahead > 0 && stock.units < ahead / 2;
 }
 
 /** Keeps a refusal; `waitMs` is when the request would have been let through. */
-export function noteRefusal(
-  stock: QuotaStock,
+export function recordRefusal(
+  stock: LocalBudget,
   units: number,
   waitMs: Milliseconds,
   now: Milliseconds,
 ): void {
-  stock.refusal = { units, until: now + Math.min(waitMs, refusalMs), comeBackAt: now + waitMs };
+  stock.refusal = {
+    minUnits: units,
+    validUntil: now + Math.min(waitMs, refusalMs),
+    retryAt: now + waitMs,
+  };
 }
 
 /**
  * Time after which a request may come back that a kept refusal covers; undefined where there is none. Each one
  * that is refused so is sent behind the one before it.
  */
-export function refusedForMs(
-  { refusal }: QuotaStock,
+export function cachedRetryAfterMs(
+  { refusal }: LocalBudget,
   units: number,
   perSecond: number,
   now: Milliseconds,
 ): Milliseconds | undefined {
-  if (!refusal || now >= refusal.until || units < refusal.units) return undefined;
-  refusal.comeBackAt += (units * millisecondsPerSecond) / perSecond;
-  return Math.ceil(refusal.comeBackAt - now);
+  if (!refusal || now >= refusal.validUntil || units < refusal.minUnits) return undefined;
+  refusal.retryAt += (units * millisecondsPerSecond) / perSecond;
+  return Math.ceil(refusal.retryAt - now);
 }
--- a/packages/allocation/src/index.ts
+++ b/packages/allocation/src/index.ts
@@ -7,7 +7,7 @@
 import type { Milliseconds } from "@linkfall/types";
 import type { Either } from "purify-ts";
 
-export interface AllocationAsk {
+export interface AllocationRequest {
   /** A box that was asked in place of the allocator passes it on: it is answered or declined, not passed on again. */
   readonly passedOn?: boolean;
 }
@@ -24,28 +24,28 @@
   /** Address of this box among them. */
   readonly self: string;
   /** Resolves with a failure where the box does not answer. */
-  ask(address: string, ask: Ask): Promise<Either<PeerUnreachable, Grant>>;
+  sendRequest(address: string, ask: Ask): Promise<Either<PeerUnreachable, Grant>>;
   /** Whether this box belongs to the better part of all boxes, which allocates together. */
   connected(): boolean;
 }
 
 /** What this box hands out itself. */
-export interface Allocators<Ask, Grant> {
+export interface LocalAllocator<Ask, Grant> {
   /** For all boxes. */
-  shared(ask: Ask): Grant;
+  grantShared(ask: Ask): Grant;
   /** For this box, from its own part. */
-  alone(ask: Ask): Grant;
+  grantIsolated(ask: Ask): Grant;
   /** This box has been cut off from most others. */
-  onCutOff?(): void;
+  onDisconnected?(): void;
   /** This box is connected again: others have allocated meanwhile. */
   onReconnected(): void;
   /** Answer of a box that may not allocate. */
-  readonly declined: Grant;
+  readonly declinedGrant: Grant;
 }
 
-export interface Allocation<Ask, Grant> {
+export interface DistributedAllocator<Ask, Grant> {
   /** Asks the first allocator that answers; this box decides alone where none does. */
-  obtain(ask: Ask): Promise<Grant>;
+  acquire(ask: Ask): Promise<Grant>;
   /** Allocates for another box that has asked, or asks the allocator for it. */
   allocate(ask: Ask): Promise<Grant>;
 }
@@ -82,19 +82,22 @@
  *
  * @param nameOf what an ask is for; each name has an allocator of its own
  */
-export function createAllocation<Ask extends AllocationAsk, Grant extends AllocationGrant>(
+export function createDistributedAllocator<
+  Ask extends AllocationRequest,
+  Grant extends AllocationGrant,
+>(
   clock: Clock,
   peers: AllocationPeers<Ask, Grant>,
-  allocators: Allocators<Ask, Grant>,
+  allocators: LocalAllocator<Ask, Grant>,
   nameOf: (ask: Ask) => string,
-): Allocation<Ask, Grant> {
+): DistributedAllocator<Ask, Grant> {
   const silentUntil = new Map<string, Milliseconds>();
   let wasConnected = true;
 
   const isConnected = (): boolean => {
     const connected = peers.connected();
     if (connected && !wasConnected) allocators.onReconnected();
-    if (!connected && wasConnected) allocators.onCutOff?.();
+    if (!connected && wasConnected) allocators.onDisconnected?.();
     wasConnected = connected;
     return connected;
   };
@@ -104,7 +107,7 @@
     ask: Ask,
     limitMs: Milliseconds,
   ): Promise<Grant | undefined> => {
-    const answer = await within(clock, limitMs, peers.ask(address, ask));
+    const answer = await within(clock, limitMs, peers.sendRequest(address, ask));
     const grant = answer?.toMaybe().extract();
     if (!grant || grant.declined) silentUntil.set(address, clock.now() + passOverMs);
     return grant?.declined ? undefined : grant;
@@ -115,14 +118,14 @@
     peers.allocators(name).filter((address) => (silentUntil.get(address) ?? 0) <= clock.now());
 
   const obtain = async (ask: Ask): Promise<Grant> => {
-    if (!isConnected()) return allocators.alone(ask);
+    if (!isConnected()) return allocators.grantIsolated(ask);
     const answering = answeringFor(nameOf(ask));
     for (const [index, address] of answering.slice(0, mostAsked).entries()) {
-      if (address === peers.self) return allocators.shared(ask);
+      if (address === peers.self) return allocators.grantShared(ask);
       const grant = await askOther(address, ask, index === 0 ? answerMs : passedOnAnswerMs);
       if (grant) return grant;
     }
-    return allocators.alone(ask);
+    return allocators.grantIsolated(ask);
   };
 
   /**
@@ -131,12 +134,13 @@
    * out one limit under partial cuts.
    */
   const allocate = async (ask: Ask): Promise<Grant> => {
-    if (!isConnected()) return allocators.declined;
+    if (!isConnected()) return allocators.declinedGrant;
     const [first] = answeringFor(nameOf(ask));
-    if (first === undefined || first === peers.self || ask.passedOn) return allocators.shared(ask);
+    if (first === undefined || first === peers.self || ask.passedOn)
+      return allocators.grantShared(ask);
     const grant = await askOther(first, { ...ask, passedOn: true }, answerMs);
-    return grant ?? allocators.shared(ask);
+    return grant ?? allocators.grantShared(ask);
   };
 
-  return { obtain, allocate };
+  return { acquire: obtain, allocate };
 }
--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -6,8 +6,8 @@
 import { createHttpClient } from "@linkfall/http-client";
 import { createJsonCaller } from "@linkfall/json-call";
 import { createVirtualClock, seededRandom, systemClock } from "@linkfall/kernel";
-import { ledgersOf } from "@linkfall/ledger";
-import { createOnceMemory, createTicketOffice, parseOnceId } from "@linkfall/once";
+import { computeLedgers } from "@linkfall/ledger";
+import { createOnceMemory, createTicketIssuer, parseOnceId } from "@linkfall/once";
 import { type PoolView, planPool } from "@linkfall/placement";
 import { createLogHttp } from "@linkfall/platform-http";
 import { streams } from "@linkfall/ports";
@@ -91,11 +91,11 @@
       }));
       return {
         engine,
-        accelerators: ledgersOf(engine, { ...reportWith(engine, 0), residents }, []),
+        accelerators: computeLedgers(engine, { ...reportWith(engine, 0), residents }, []),
         role: "mixed",
-        roleOrdered: false,
-        orderable: true,
-        counted: true,
+        roleChangePending: false,
+        acceptsOrders: true,
+        available: true,
         utilisation: 0.4 + (index % 5) / 10,
       };
     }),
@@ -104,7 +104,7 @@
       if (model.kind !== "model") throw new Error("not a model");
       return { model, adapters: [], demandShare: 1 / models, coolingDown: false };
     }),
-    limits: { attainmentWeight: 1, movesWeight: 1, mayUnload: true, spareMoves: 1 },
+    limits: { attainmentWeight: 1, movesWeight: 1, mayUnload: true, demandMoveBudget: 1 },
   };
 }
 
@@ -136,11 +136,11 @@
 
 async function measureOnce(): Promise<void> {
   const clock = createVirtualClock();
-  const office = createTicketOffice(clock, "box-1@0123456789ab", "secret", 30_000);
+  const office = createTicketIssuer(clock, "box-1@0123456789ab", "secret", 30_000);
   const memory = createOnceMemory(clock, office, {
     retentionMs: 300_000,
-    entries: 100_000,
-    answerBytes: 0,
+    maxEntries: 100_000,
+    maxAnswerBytes: 0,
   });
   const { id: ticket } = office.issue("account");
   const count = 20_000;
--- a/packages/bench/src/permit-ways.ts
+++ b/packages/bench/src/permit-ways.ts
@@ -74,7 +74,7 @@
           boxesOf(load)
             .filter((other) => !isApart(box, other) || !cutFor(Math.min(box, other), noticedMs))
             .map(String),
-        async ask(address, ask) {
+        async sendRequest(address, ask) {
           sent += 2;
           const other = Number(address);
           await wait(clock, wireMs);
@@ -86,9 +86,9 @@
           return Right(grant);
         },
         connected: () => !cutFor(box, cutOffMs),
-        ownPart: () => 1 / load.boxes,
-        silentPart: () => (cutFor(0, noticedMs) ? (load.cut?.boxes ?? 0) / load.boxes : 0),
-        boxes: () => load.boxes,
+        ownShare: () => 1 / load.boxes,
+        silentShare: () => (cutFor(0, noticedMs) ? (load.cut?.boxes ?? 0) / load.boxes : 0),
+        boxCount: () => load.boxes,
       },
       () => undefined,
     );
@@ -98,7 +98,10 @@
   /** What box `from` knows and `to` does not. */
   const tell = (from: number, to: number) => {
     if (isApart(from, to)) return;
-    boxes[to].take(nameOf(from), boxes[from].tell(boxes[to].followed(nameOf(from))));
+    boxes[to].applyChanges(
+      nameOf(from),
+      boxes[from].changesSince(boxes[to].appliedSequence(nameOf(from))),
+    );
   };
   const hub = load.boxes - 1;
   for (const box of boxesOf(load)) {
@@ -110,10 +113,10 @@
     clock.after((roundMs * box) / load.boxes, round);
   }
   return {
-    takePermit: (box) => boxes[box].takePermit(target, withinMs),
+    takePermit: (box) => boxes[box].acquirePermit(target, withinMs),
     hear(box) {
       const notice = { kind: "limited", perSecond: load.perSecond } as const;
-      boxes[box].hear({ target, notice, sentMsAgo: 0, served: true });
+      boxes[box].recordAnswer({ target, notice, sentMsAgo: 0, served: true });
     },
     restart(count) {
       for (const box of boxesOf(load).slice(0, count)) {
--- a/packages/bench/src/quota-ways.ts
+++ b/packages/bench/src/quota-ways.ts
@@ -76,7 +76,7 @@
       own.used = rateOf(box) + units * (millisecondsPerSecond / useMs);
       own.usedAt = clock.now();
       const rate = localRate(load.perSecond, own.used, own.total, load.boxes);
-      own.bucket.limit({ rate, burst: Math.max(rate, units) });
+      own.bucket.setLimits({ rate, burst: Math.max(rate, units) });
       return own.bucket.take(units);
     },
     restart: () => void (boxes = create()),
@@ -140,7 +140,7 @@
             boxesOf(load)
               .filter((other) => !isApart(box, other) || !cutFor(Math.min(box, other), noticedMs))
               .map(String),
-          async ask(address, ask) {
+          async sendRequest(address, ask) {
             sent += 2;
             const other = Number(address);
             await wait(clock, wireMs);
@@ -152,8 +152,8 @@
             return Right(grant);
           },
           connected: () => !cutFor(box, cutOffMs) && !isUnled(load, clock.now()),
-          ownPart: () => 1 / load.boxes,
-          silentPart: () => (cutFor(0, noticedMs) ? (load.cut?.boxes ?? 0) / load.boxes : 0),
+          ownShare: () => 1 / load.boxes,
+          silentShare: () => (cutFor(0, noticedMs) ? (load.cut?.boxes ?? 0) / load.boxes : 0),
         },
         tolerance,
       ),
@@ -163,7 +163,7 @@
     unit: "tokens",
     perSecond: load.perSecond,
     burst: load.perSecond,
-    plainTokens: 200,
+    defaultTokens: 200,
   } as const;
   const account = { name: "a", keys: [], limit };
   return {
--- a/packages/box/src/create-box.ts
+++ b/packages/box/src/create-box.ts
@@ -4,16 +4,16 @@
   type CallerService,
   callerServiceName,
   createCallerService,
-  createInFlight,
-  inFlightName,
-  ticketOfficeName,
+  createInFlightLimiter,
+  inFlightLimiterName,
+  ticketIssuerName,
 } from "@linkfall/caller-service";
 import { completionsName, createCompletions } from "@linkfall/completion";
 import { type Settings, settingsName } from "@linkfall/config";
 import {
   crashGuardName,
   createCrashGuard,
-  keepInLog,
+  persistHeldRequests,
   provideCrashBlame,
 } from "@linkfall/crash-guard";
 import { clockName, createKernel, type Kernel, randomName, sleep } from "@linkfall/kernel";
@@ -23,7 +23,7 @@
 import { loggerName } from "@linkfall/logger";
 import { createMembership, membershipName } from "@linkfall/membership";
 import { createMetrics, metricsName } from "@linkfall/metrics";
-import { createTicketOffice } from "@linkfall/once";
+import { createTicketIssuer } from "@linkfall/once";
 import {
   createOperatorService,
   type DrainStatus,
@@ -41,7 +41,7 @@
   peerPortName,
   targetPortName,
 } from "@linkfall/ports";
-import { createReplicas, replicasName } from "@linkfall/replicas";
+import { createReplicaFinder, replicaFinderName } from "@linkfall/replicas";
 import { createReportRelay, reportRelayName } from "@linkfall/report-relay";
 import { createSnapshotWriter } from "@linkfall/snapshot-writer";
 import { createStateStore, stateStoreName } from "@linkfall/state-store";
@@ -91,7 +91,7 @@
   const follower = createLogFollower(kernel);
   kernel.provide(logFollowerName, follower, follower);
   kernel.provide(logWriterName, createLogWriter(kernel));
-  keepInLog(kernel);
+  persistHeldRequests(kernel);
   const membership = createMembership(kernel);
   kernel.provide(membershipName, membership, membership);
   const leases = createLeaseHolder(kernel);
@@ -114,11 +114,11 @@
   const { callers } = settings;
   const self = kernel.find(incarnationName);
   const secret = ports.random.identifier() + ports.random.identifier();
-  const office = createTicketOffice(ports.clock, self, secret, callers.ticket_lifetime_ms);
-  kernel.provide(ticketOfficeName, office);
-  kernel.provide(inFlightName, createInFlight(callers.max_in_flight));
+  const office = createTicketIssuer(ports.clock, self, secret, callers.ticket_lifetime_ms);
+  kernel.provide(ticketIssuerName, office);
+  kernel.provide(inFlightLimiterName, createInFlightLimiter(callers.max_in_flight));
   kernel.provide(targetLoadName, createTargetLoad(kernel));
-  kernel.provide(replicasName, createReplicas(kernel));
+  kernel.provide(replicaFinderName, createReplicaFinder(kernel));
   kernel.provide(crashGuardName, createCrashGuard(kernel));
   kernel.provide(completionsName, createCompletions(kernel));
   kernel.provide(plainCallsName, createPlainCalls(kernel));
@@ -132,7 +132,7 @@
     heartbeat: membership.receive,
     fetchState: membership.stateForPeer,
     reportUsage: kernel.find(usageReportsName).receive,
-    readReports: kernel.find(reportRelayName).receive,
+    readReports: kernel.find(reportRelayName).answerRequest,
     forward: (request) => callers.handle(request, true),
   };
 }
@@ -148,7 +148,7 @@
   const store = kernel.find(stateStoreName);
   const membership = kernel.find(membershipName);
   const callers = kernel.find(callerServiceName);
-  const office = kernel.find(ticketOfficeName);
+  const office = kernel.find(ticketIssuerName);
   let phase: DrainStatus["phase"] = "serving";
   let leftAt = 0;
 
@@ -156,7 +156,7 @@
   const answersEndInMs = () => {
     if (phase === "serving") return settings.callers.entries_lifetime_ms;
     const entriesEnd = leftAt + settings.callers.entries_lifetime_ms;
-    return Math.max(0, entriesEnd - clock.now(), office.longestLeft());
+    return Math.max(0, entriesEnd - clock.now(), office.maxRemainingMs());
   };
   kernel.provide(drainStatusName, () => ({
     phase,
--- a/packages/caller-service/src/account-limits.ts
+++ b/packages/caller-service/src/account-limits.ts
@@ -54,9 +54,9 @@
       const limits = limitsFor(account);
       const bucket = buckets.get(account.name) ?? createTokenBucket(clock, limits);
       buckets.set(account.name, bucket);
-      bucket.limit(limits);
+      bucket.setLimits(limits);
       if (bucket.take()) return undefined;
-      return notRun("rate_limited", "the account's rate is used up", bucket.waitFor());
+      return notRun("rate_limited", "the account's rate is used up", bucket.msUntil());
     },
   };
 }
--- a/packages/crash-blame/src/blame-state.ts
+++ b/packages/crash-blame/src/blame-state.ts
@@ -1,6 +1,6 @@
 /** The state of a box's blame book, and how records change it. */
 import type { BlameRecord, Fingerprint, HeldRequest, Milliseconds } from "@linkfall/types";
-import type { TargetEnd } from "./words.js";
+import type { TargetEnd } from "./target-crash.js";
 
 /** A record with the number of its last change. */
 export interface Numbered<Value> {
--- a/packages/crash-blame/src/crash-blame.steps.ts
+++ b/packages/crash-blame/src/crash-blame.steps.ts
@@ -1,7 +1,12 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, pick, seededRandom, type VirtualClock } from "@linkfall/kernel";
-import { createCrashBlame, type CrashBlame, type RequestFacts, type Verdict } from "./index.js";
+import {
+  createCrashBlame,
+  type CrashBlame,
+  type RequestAttributes,
+  type Verdict,
+} from "./index.js";
 
 interface Scene {
   readonly clock: VirtualClock;
@@ -19,7 +24,7 @@
   return scene;
 }
 
-const facts = (request: string, account?: string): RequestFacts => ({
+const facts = (request: string, account?: string): RequestAttributes => ({
   request,
   service: "engines",
   route: "r",
@@ -31,7 +36,8 @@
 function exchange({ boxes }: Scene): void {
   for (const [name, book] of boxes) {
     for (const [other, reader] of boxes) {
-      if (other !== name) reader.take(name, book.tell(reader.followed(name)));
+      if (other !== name)
+        reader.applyChanges(name, book.changesSince(reader.appliedSequence(name)));
     }
   }
 }
@@ -52,13 +58,13 @@
 }
 
 function judgeAt(scene: Scene, box: string, request: string): Verdict {
-  return bookOf(scene, box).judge(facts(request), scene.targets);
+  return bookOf(scene, box).classify(facts(request), scene.targets);
 }
 
 /** A target ends: its box notes each request, and judges whether to repeat it as a send would. */
 function endAt(scene: Scene, box: string, target: string, requests: readonly string[]): void {
   const book = bookOf(scene, box);
-  for (const request of requests) book.targetEnded(target, facts(request));
+  for (const request of requests) book.recordCrash(target, facts(request));
   for (const request of requests) judgeAt(scene, box, request);
 }
 
@@ -90,7 +96,7 @@
 When(
   "{string} is answered well at box {string}",
   function (this: object, request: string, box: string) {
-    bookOf(sceneOf(this), box).served(request);
+    bookOf(sceneOf(this), box).recordServed(request);
   },
 );
 
@@ -155,14 +161,14 @@
     for (let index = 0; index < count; index++) {
       const request = `loud ${index}`;
       const word = { ...facts(request, account), revision: 1, held: true, targets: [], since: "" };
-      bookOf(scene, "a").takeKept(word);
+      bookOf(scene, "a").restore(word);
     }
     await pass(scene, wordMs);
   },
 );
 
 Then("no box holds back more than {int} requests", function (this: object, most: number) {
-  for (const book of sceneOf(this).boxes.values()) assert.ok(book.held().length <= most);
+  for (const book of sceneOf(this).boxes.values()) assert.ok(book.heldRequests().length <= most);
 });
 
 Then(
@@ -179,7 +185,7 @@
     assert.equal(judgeAt(scene, box, request), "guilty");
     exchange(scene);
     for (const book of scene.boxes.values()) {
-      assert.ok(book.held().some((word) => word.request === request));
+      assert.ok(book.heldRequests().some((word) => word.request === request));
     }
   },
 );
@@ -260,7 +266,7 @@
     if (verdict === "guilty") load.heldBack.add(request);
     if (verdict === "unsettled") load.coming.push({ request, at: now + 500, returns });
     if (verdict === "guilty" || verdict === "unsettled" || up.length === 0) continue;
-    const ends = now + (request === poison ? poisonAfterMs : workMs * (0.5 + random.fraction()));
+    const ends = now + (request === poison ? poisonAfterMs : workMs * (0.5 + random.nextFloat()));
     atWork.get(pick(random, up))?.push({ request, box, ends });
   }
 }
@@ -276,7 +282,7 @@
     endAt(scene, box, target, [request]);
     const left = returnsLeft.get(load)?.get(request) ?? 0;
     if (left === 0) continue;
-    load.coming.push({ request, at: now + 50 + random.below(400), returns: left - 1 });
+    load.coming.push({ request, at: now + 50 + random.nextInt(400), returns: left - 1 });
   }
   exchange(scene);
 }
@@ -290,7 +296,7 @@
       crash(load, target);
       continue;
     }
-    for (const { request, box } of done) bookOf(load.scene, box).served(request);
+    for (const { request, box } of done) bookOf(load.scene, box).recordServed(request);
     load.atWork.set(
       target,
       work.filter(({ ends }) => ends > now),
@@ -317,7 +323,7 @@
       await play(load, (now) => {
         if (now === 0 || now % (everyS * 1_000) !== 0) return;
         const targets = [...load.atWork.keys()];
-        const from = load.random.below(targets.length);
+        const from = load.random.nextInt(targets.length);
         for (let index = 0; index < count; index++) {
           crash(load, targets[(from + index) % targets.length]);
         }
--- a/packages/crash-blame/src/held-store.ts
+++ b/packages/crash-blame/src/held-store.ts
@@ -15,7 +15,7 @@
  */
 const longestWaitMs: Milliseconds = 1_000;
 
-export interface HeldStore extends Service {
+export interface HeldRequestStore extends Service {
   /** Whether the stream has been read, or waited for long enough. */
   ready(): boolean;
 }
@@ -30,11 +30,11 @@
 }
 
 /** Reads what is kept when it starts, and writes what this box decides on. */
-export function createHeldStore(
+export function createHeldRequestStore(
   blame: CrashBlame,
   stream: KeyedStreamPort,
   { clock, logger }: { readonly clock: Clock; readonly logger: Logger },
-): HeldStore {
+): HeldRequestStore {
   /** Words that are not written yet, by request; a newer word takes the place of an older one. */
   const unwritten = new Map<string, HeldRequest>();
   let ready = false;
@@ -44,11 +44,11 @@
   const takeRecord = (key: string, value: string) =>
     parseWord(value)
       .ifLeft((problem) => logger.event("badRecord", { key, problem }))
-      .ifRight(blame.takeKept);
+      .ifRight(blame.restore);
 
   const read = async () => {
     while (!stopped) {
-      const answered = await stream.newest();
+      const answered = await stream.readNewest();
       answered.ifRight(({ records }) => {
         for (const { key, value } of records) if (value !== undefined) takeRecord(key, value);
         ready = true;
@@ -78,7 +78,7 @@
     writing = false;
   };
 
-  blame.onDecided((word) => {
+  blame.onDecision((word) => {
     unwritten.set(word.request, word);
     void write();
   });
--- a/packages/crash-blame/src/index.ts
+++ b/packages/crash-blame/src/index.ts
@@ -2,9 +2,9 @@
  * Finds requests that end the targets that run them, by what all boxes have lost, and holds them back: such a
  * request returns at any box, and without a memory that all share it takes target after target with all their work.
  */
-import { createFollowedNews } from "@linkfall/followed-news";
+import { createReceivedUpdates } from "@linkfall/followed-news";
 import { type Clock, serviceName } from "@linkfall/kernel";
-import type { BlameWord, Fingerprint, HeldRequest, Incarnation } from "@linkfall/types";
+import type { BlameMessage, Fingerprint, HeldRequest, Incarnation } from "@linkfall/types";
 import {
   createBlameState,
   isSuspect,
@@ -18,13 +18,13 @@
 import { judge, type Verdict } from "./judge.js";
 
 export { heldRequestSchema } from "./held-request-schema.js";
-export { createHeldStore, type HeldStore } from "./held-store.js";
-export { settleMs, type Verdict } from "./judge.js";
+export { createHeldRequestStore, type HeldRequestStore } from "./held-store.js";
+export { settlingMs, type Verdict } from "./judge.js";
 export { reportDecisions } from "./report-decisions.js";
-export { heldRequestsPath } from "./words.js";
+export { heldRequestsPath } from "./target-crash.js";
 
 /** A request as operators are told of it. */
-export interface RequestFacts {
+export interface RequestAttributes {
   readonly request: Fingerprint;
   readonly service: string;
   readonly route: string;
@@ -33,29 +33,29 @@
 
 export interface CrashBlame {
   /** Whether nothing speaks against any request, so that no fingerprint is needed. */
-  quiet(): boolean;
+  isEmpty(): boolean;
   /** What to make of a request; one that is found guilty here is held back from then on. */
-  judge(facts: RequestFacts, targets: number): Verdict;
+  classify(facts: RequestAttributes, targets: number): Verdict;
   /** Notes that a target ended while it ran the request. */
-  targetEnded(target: string, { request, service }: RequestFacts): void;
+  recordCrash(target: string, { request, service }: RequestAttributes): void;
   /** Notes that the request was answered well: nothing before counts against it. */
-  served(request: Fingerprint): void;
+  recordServed(request: Fingerprint): void;
   /** Requests that are held back. */
-  held(): readonly HeldRequest[];
+  heldRequests(): readonly HeldRequest[];
   /** Lets a request through again; false where it is not held back. */
   release(request: Fingerprint): boolean;
   /** Takes a word that was kept for boxes that start. */
-  takeKept(word: HeldRequest): void;
+  restore(word: HeldRequest): void;
   /** What another box lacks that has followed this one to `number`. */
-  tell(number: number): BlameWord;
+  changesSince(number: number): BlameMessage;
   /** Takes the word of another box. */
-  take(from: Incarnation, word: BlameWord): void;
+  applyChanges(from: Incarnation, word: BlameMessage): void;
   /** How far this box has followed another one. */
-  followed(other: Incarnation): number;
+  appliedSequence(other: Incarnation): number;
   /** Calls the listener when this box has found something to tell. */
-  onNews(listener: () => void): void;
+  onChange(listener: () => void): void;
   /** Calls the listener with each word that this box has decided on itself. */
-  onDecided(listener: (word: HeldRequest) => void): void;
+  onDecision(listener: (word: HeldRequest) => void): void;
 }
 
 export const crashBlameName = serviceName<CrashBlame>("crash-blame");
@@ -63,7 +63,7 @@
 /** Creates a book in which nothing is known. */
 export function createCrashBlame(clock: Clock): CrashBlame {
   const state = createBlameState();
-  const followed = createFollowedNews();
+  const followed = createReceivedUpdates();
   const newsListeners: (() => void)[] = [];
   const decidedListeners: ((word: HeldRequest) => void)[] = [];
 
@@ -77,7 +77,7 @@
   };
   const isHeld = (request: Fingerprint) => state.held.get(request)?.value.held === true;
 
-  const hold = (facts: RequestFacts) => {
+  const hold = (facts: RequestAttributes) => {
     const ends = openEnds(state, facts.request).filter((end) => end.requests.has(facts.request));
     decide({
       ...facts,
@@ -89,8 +89,8 @@
   };
 
   return {
-    quiet: () => state.ends.length === 0 && state.held.size === 0,
-    judge(facts, targets) {
+    isEmpty: () => state.ends.length === 0 && state.held.size === 0,
+    classify(facts, targets) {
       const { request } = facts;
       if (isHeld(request)) return "guilty";
       if (!isSuspect(state, request)) return "clear";
@@ -103,15 +103,16 @@
       if (verdict === "guilty") hold(facts);
       return verdict;
     },
-    targetEnded(target, { request, service }) {
+    recordCrash(target, { request, service }) {
       const now = clock.now();
       const end = { target, service, at: now, requests: new Set([request]) };
       if (takeEnd(state, end, now)) tellNews();
     },
-    served(request) {
+    recordServed(request) {
       if (takeServed(state, request, clock.now())) tellNews();
     },
-    held: () => [...state.held.values()].map(({ value }) => value).filter(({ held }) => held),
+    heldRequests: () =>
+      [...state.held.values()].map(({ value }) => value).filter(({ held }) => held),
     release(request) {
       const word = state.held.get(request)?.value;
       if (!word?.held) return false;
@@ -120,18 +121,18 @@
       decide({ ...word, revision: word.revision + 1, held: false, since: clock.wallTime() });
       return true;
     },
-    takeKept: (word) => void takeHeld(state, word),
-    tell: (number) => ({
+    restore: (word) => void takeHeld(state, word),
+    changesSince: (number) => ({
       number: state.newest,
       records: recordsAfter(state, number, clock.now()),
     }),
-    take(from, word) {
+    applyChanges(from, word) {
       const now = clock.now();
       for (const record of word.records) takeRecord(state, record, now);
-      followed.note(from, word.number);
+      followed.record(from, word.number);
     },
-    followed: followed.of,
-    onNews: (listener) => void newsListeners.push(listener),
-    onDecided: (listener) => void decidedListeners.push(listener),
+    appliedSequence: followed.latestFrom,
+    onChange: (listener) => void newsListeners.push(listener),
+    onDecision: (listener) => void decidedListeners.push(listener),
   };
 }
--- a/packages/crash-blame/src/judge.ts
+++ b/packages/crash-blame/src/judge.ts
@@ -1,6 +1,6 @@
 /** Whether the ends of targets are a request's doing: a pure function of what boxes have told. */
 import type { Fingerprint, Milliseconds } from "@linkfall/types";
-import type { TargetEnd } from "./words.js";
+import type { TargetEnd } from "./target-crash.js";
 
 /** What a box makes of a request that comes. */
 export type Verdict =
@@ -33,7 +33,7 @@
 /** Targets that end without a request, so shortly before or after those that end with it, make it one suspect of several. */
 const unrelatedMs: Milliseconds = 10_000;
 /** In which other boxes have told of what they lost at the same moment. */
-export const settleMs: Milliseconds = 500;
+export const settlingMs: Milliseconds = 500;
 /** Ends that are enough where they are the only ones, and nothing else was there each time. */
 const fewestEnds = 2;
 /** Ends that are enough in any case. */
@@ -79,7 +79,7 @@
   const others = ends.filter((end) => !end.requests.has(request));
   const telling = own.filter((end) => !isOneOfMany(evidence, end));
   if (telling.length < fewestEnds) return "suspect";
-  if (telling.some((end) => now - end.at < settleMs)) return "unsettled";
+  if (telling.some((end) => now - end.at < settlingMs)) return "unsettled";
   if (telling.length >= enoughEnds) return "guilty";
   return isClear(request, telling, others) ? "guilty" : "last_try";
 }
--- a/packages/crash-blame/src/report-decisions.ts
+++ b/packages/crash-blame/src/report-decisions.ts
@@ -15,10 +15,10 @@
   blame: CrashBlame,
   { logger, metrics }: { readonly logger: Logger; readonly metrics: Metrics },
 ): void {
-  blame.onDecided((word) => logDecision(logger, word));
+  blame.onDecision((word) => logDecision(logger, word));
   metrics.gauge(
     "linkfall_held_requests",
     "Requests that are held back since targets ended under them.",
-    () => blame.held().length,
+    () => blame.heldRequests().length,
   );
 }
--- a/packages/crash-guard/src/index.ts
+++ b/packages/crash-guard/src/index.ts
@@ -7,8 +7,8 @@
   crashBlameName,
   createCrashBlame,
   reportDecisions,
-  type RequestFacts,
-  settleMs,
+  type RequestAttributes,
+  settlingMs,
 } from "@linkfall/crash-blame";
 import { clockName, type Kernel, serviceName } from "@linkfall/kernel";
 import { logWriterName } from "@linkfall/log-writer";
@@ -24,9 +24,9 @@
 
 /** A request as the guard knows it. */
 export interface GuardedRequest {
-  readonly facts: RequestFacts;
+  readonly attributes: RequestAttributes;
   /** Number of targets that could run it, whether they are open now or not; counted only where something speaks against it. */
-  targets(): number;
+  countTargets(): number;
 }
 
 /** A target whose answer was lost. */
@@ -40,9 +40,9 @@
   /** Why the request may not run now; undefined where it may. */
   refusal(request: GuardedRequest): Refusal | undefined;
   /** Looks at a target whose answer was lost, and tells whether the request may go on at another one. */
-  mayGoOn(request: GuardedRequest, lost: LostTarget): Promise<boolean>;
+  mayRetryElsewhere(request: GuardedRequest, lost: LostTarget): Promise<boolean>;
   /** Notes that a target answered the request well. */
-  served(request: GuardedRequest): void;
+  recordServed(request: GuardedRequest): void;
 }
 
 export const crashGuardName = serviceName<CrashGuard>("crash-guard");
@@ -56,7 +56,7 @@
 }
 
 /** Keeps what is decided in the log, from which boxes that start anew learn it. */
-export function keepInLog(kernel: Kernel): void {
+export function persistHeldRequests(kernel: Kernel): void {
   const store = kernel.find(stateStoreName);
   const writer = kernel.find(logWriterName);
   const logger = kernel.find(loggerName);
@@ -67,12 +67,12 @@
       logger.event("heldNotKept", { fingerprint: word.request, reason: kind }),
     );
   };
-  blame.onDecided((word) => void keep(word));
+  blame.onDecision((word) => void keep(word));
   store.onFold((event) => {
-    if (event.type === "request_held") blame.takeKept(event.word);
+    if (event.type === "request_held") blame.restore(event.word);
   });
   store.onReplace(() => {
-    for (const word of store.state().heldRequests.values()) blame.takeKept(word);
+    for (const word of store.state().heldRequests.values()) blame.restore(word);
   });
 }
 
@@ -82,27 +82,27 @@
   const ports = kernel.find(targetPortName);
   const blame = kernel.find(crashBlameName);
   return {
-    refusal({ facts, targets }) {
-      if (blame.quiet()) return undefined;
-      switch (blame.judge(facts, targets())) {
+    refusal({ attributes: facts, countTargets: targets }) {
+      if (blame.isEmpty()) return undefined;
+      switch (blame.classify(facts, targets())) {
         case "guilty":
           return notRun("held_back", "targets ended while they ran this request");
         case "unsettled":
-          return notRun("held_back", "targets ended under this request", settleMs);
+          return notRun("held_back", "targets ended under this request", settlingMs);
         default:
           return undefined;
       }
     },
-    async mayGoOn({ facts, targets }, { name, address }) {
-      const listening = await ports.listens(address);
+    async mayRetryElsewhere({ attributes: facts, countTargets: targets }, { name, address }) {
+      const listening = await ports.probeListener(address);
       logger.event("sendLost", { fingerprint: facts.request, target: name, listening });
       if (listening !== "refuses") return true;
-      blame.targetEnded(name, facts);
-      const verdict = blame.judge(facts, targets());
+      blame.recordCrash(name, facts);
+      const verdict = blame.classify(facts, targets());
       return verdict === "clear" || verdict === "suspect";
     },
-    served({ facts }) {
-      if (!blame.quiet()) blame.served(facts.request);
+    recordServed({ attributes: facts }) {
+      if (!blame.isEmpty()) blame.recordServed(facts.request);
     },
   };
 }
--- a/packages/desired-diff/src/index.ts
+++ b/packages/desired-diff/src/index.ts
@@ -38,7 +38,7 @@
     .map(([field, value]) => ({ field, before: old[field], after: value }));
 }
 
-function diffOne(stored: StoredResource | undefined, resource: Resource): ResourceDiff {
+function diffResource(stored: StoredResource | undefined, resource: Resource): ResourceDiff {
   const subject = { kind: resource.kind, name: resource.name };
   const fields = fieldChanges(stored?.resource, resource);
   const base = stored?.revision ?? 0;
@@ -54,7 +54,7 @@
   const byKey = new Map(stored.map((entry) => [resourceKey(entry.resource), entry]));
   const pairs = declared.map((resource) => ({
     resource,
-    diff: diffOne(byKey.get(resourceKey(resource)), resource),
+    diff: diffResource(byKey.get(resourceKey(resource)), resource),
   }));
   const changes = pairs
     .filter(({ diff }) => diff.action !== "unchanged")
--- a/packages/desired-feed/src/configuration-holder.ts
+++ b/packages/desired-feed/src/configuration-tracker.ts
@@ -10,24 +10,24 @@
 import type { Milliseconds, RoutedConfiguration } from "@linkfall/types";
 
 /** One configuration with the table that is built of it. */
-export interface ConfigurationInForce {
+export interface ActiveConfiguration {
   readonly configuration: RoutedConfiguration;
   readonly routes: RouteTable;
   /** Absent where callers need no keys. */
   readonly keys?: KeyTable;
-  readonly since: Milliseconds;
+  readonly activeSince: Milliseconds;
 }
 
-export interface ConfigurationHolder {
-  inForce(): ConfigurationInForce | undefined;
+export interface ConfigurationTracker {
+  active(): ActiveConfiguration | undefined;
   /** -1 before the first. */
   version(): number;
   copy(): ConfigurationCopy;
   /** Takes a record as the store gave it, read here or by another box. */
-  take(text: string, from: "store" | "box"): void;
+  apply(text: string, from: "store" | "box"): void;
 }
 
-export interface ConfigurationHolderInput {
+export interface ConfigurationTrackerInput {
   readonly codec: RecordCodec;
   readonly fleet: Fleet;
   readonly configurationKey: string;
@@ -35,12 +35,12 @@
 
 const noVersion = -1;
 
-export function createConfigurationHolder(
+export function createConfigurationTracker(
   clock: Clock,
   logger: Logger,
-  { codec, fleet, configurationKey }: ConfigurationHolderInput,
-): ConfigurationHolder {
-  let inForce: ConfigurationInForce | undefined;
+  { codec, fleet, configurationKey }: ConfigurationTrackerInput,
+): ConfigurationTracker {
+  let inForce: ActiveConfiguration | undefined;
   let inForceText: string | undefined;
   const version = () => inForce?.configuration.version ?? noVersion;
 
@@ -50,13 +50,13 @@
       configuration,
       routes: createRouteTable(configuration),
       keys: configuration.accounts && createKeyTable(configuration.accounts),
-      since: clock.now(),
+      activeSince: clock.now(),
     };
     inForceText = text;
     const shapes = [...configuration.services.values()].map(
       (service) => [service.name, service.engine] as const,
     );
-    fleet.setEngines(new Map(shapes));
+    fleet.setEngineShapes(new Map(shapes));
     logger.event("configurationInForce", {
       version: configuration.version,
       routes: configuration.routes.length,
@@ -66,11 +66,11 @@
   };
 
   return {
-    inForce: () => inForce,
+    active: () => inForce,
     version,
     copy: () => ({ version: version(), text: inForceText }),
-    take(text, from) {
-      codec.configuration(text).caseOf({
+    apply(text, from) {
+      codec.parseConfiguration(text).caseOf({
         Left: (invalid) => {
           const problem = describeProblems(invalid);
           logger.event("badRecord", { key: configurationKey, problem });
--- a/packages/desired-feed/src/desired-feed.steps.ts
+++ b/packages/desired-feed/src/desired-feed.steps.ts
@@ -40,11 +40,11 @@
 
 /** Records are a version, or the name of a target's service. */
 const codec: RecordCodec = {
-  configuration: (text) =>
+  parseConfiguration: (text) =>
     Number.isFinite(Number(text))
       ? Right(configuration(Number(text)))
       : Left({ kind: "invalid_input", problems: [{ field: "version", reason: "no number" }] }),
-  target: (id, text) =>
+  parseTarget: (id, text) =>
     text === "{"
       ? Left({ kind: "invalid_input", problems: [{ field: "", reason: "no JSON" }] })
       : Right({ id, service: text, address: "10.0.0.1:1", domain: "d", slots: 1, leaving: false }),
@@ -70,8 +70,8 @@
       recordingLogger((name) => void events.push(name)),
     );
     const fleet = createFleet(kernel, {
-      lapse: { graceMs: 1_600, share: 0.3 },
-      ejection: { failuresInARow: 3, firstMs: 1_000, longestMs: 8_000 },
+      lapse: { graceMs: 1_600, minShare: 0.3 },
+      ejection: { consecutiveFailures: 3, initialMs: 1_000, maxMs: 8_000 },
     });
     const configurations = createKeyedStore(clock);
     const targets = createKeyedStore(clock);
@@ -82,9 +82,9 @@
       targetStream: targets.portFor(box),
       codec,
       fleet,
-      peers: { reads: () => own.scene?.reads ?? true, anyReachesStore: () => true },
-      times: { waitMs: 200, gatherMs: 0, firstPauseMs: 50, longestPauseMs: 300 },
-      gatherTargetsMs: 0,
+      peers: { readsStore: () => own.scene?.reads ?? true, anyReaderReachesStore: () => true },
+      times: { maxWaitMs: 200, coalesceMs: 0, initialRetryPauseMs: 50, maxRetryPauseMs: 300 },
+      coalesceTargetsMs: 0,
       configurationKey: key,
       settleMs: 1_000,
     });
@@ -99,7 +99,7 @@
   const end = clock.now() + ms;
   while (clock.now() < end) {
     await clock.runUntil(clock.now() + 50);
-    fleet.expireLapsed(feed.storeDisturbed());
+    fleet.expireMissing(feed.storeUnsettled());
   }
 }
 
@@ -150,8 +150,8 @@
   /^a copy with configuration (\d+) and targets "(.*)" of (a later|an earlier) read comes from another box$/,
   function (this: object, version: string, ids: string, when: string) {
     const { feed } = sceneOf(this);
-    feed.takeConfiguration({ version: Number(version), text: version });
-    feed.takeTargets({
+    feed.applyConfigurationCopy({ version: Number(version), text: version });
+    feed.applyTargetChanges({
       end: feed.targetsEnd() + (when === "a later" ? 5 : -1),
       whole: true,
       changed: words(ids).map(listedAs),
@@ -172,7 +172,7 @@
   "another box tells of {string} changed and {string} gone",
   function (this: object, changed: string, gone: string) {
     const { feed } = sceneOf(this);
-    feed.takeTargets({
+    feed.applyTargetChanges({
       end: feed.targetsEnd() + 2,
       whole: false,
       changed: words(changed).map(listedAs),
@@ -184,7 +184,7 @@
 Then(
   "a box that has read up to the start is told of {string}, the whole list",
   function (this: object, ids: string) {
-    const changes = sceneOf(this).feed.targetsSince(0);
+    const changes = sceneOf(this).feed.targetChangesSince(0);
     assert.ok(changes.whole);
     assert.deepEqual(changes.changed.map(({ id }) => id).sort(), words(ids));
   },
@@ -193,7 +193,7 @@
 Then(
   "a box that was told of all before is told of {string} changed and {string} gone",
   function (this: object, changed: string, gone: string) {
-    const changes = sceneOf(this).feed.targetsSince(sceneOf(this).toldEnd);
+    const changes = sceneOf(this).feed.targetChangesSince(sceneOf(this).toldEnd);
     assert.ok(!changes.whole);
     assert.deepEqual(changes.changed.map(({ id }) => id).sort(), words(changed));
     assert.deepEqual([...changes.gone].sort(), words(gone));
@@ -213,7 +213,7 @@
 });
 
 Then("configuration {int} is in force", function (this: object, version: number) {
-  assert.equal(sceneOf(this).feed.inForce()?.configuration.version, version);
+  assert.equal(sceneOf(this).feed.activeConfiguration()?.configuration.version, version);
 });
 
 Then("{int} bad record has been logged", function (this: object, count: number) {
@@ -246,13 +246,13 @@
 When("another box tells that {string} can't be read", function (this: object, id: string) {
   const { feed } = sceneOf(this);
   const end = feed.targetsEnd() + 1;
-  feed.takeTargets({ end, whole: false, changed: [], gone: [], unreadable: [id] });
+  feed.applyTargetChanges({ end, whole: false, changed: [], gone: [], unreadable: [id] });
 });
 
 Then(
   "a box that has read up to the start is told of {string}, the whole list, and that {string} can't be read",
   function (this: object, ids: string, bad: string) {
-    const changes = sceneOf(this).feed.targetsSince(0);
+    const changes = sceneOf(this).feed.targetChangesSince(0);
     assert.ok(changes.whole);
     assert.deepEqual(changes.changed.map(({ id }) => id).sort(), words(ids));
     assert.deepEqual(changes.unreadable, [bad]);
@@ -262,7 +262,7 @@
 Then(
   "a box that was told of all before is told that {string} can't be read",
   function (this: object, bad: string) {
-    const changes = sceneOf(this).feed.targetsSince(sceneOf(this).toldEnd);
+    const changes = sceneOf(this).feed.targetChangesSince(sceneOf(this).toldEnd);
     assert.deepEqual([changes.changed, changes.gone, changes.unreadable], [[], [], [bad]]);
   },
 );
--- a/packages/desired-feed/src/desired-feed.ts
+++ b/packages/desired-feed/src/desired-feed.ts
@@ -8,20 +8,24 @@
 import type { KeyedBatch, KeyedRecord, KeyedStreamPort, RecordCodec } from "@linkfall/ports";
 import type { ListedTarget, Milliseconds, Offset } from "@linkfall/types";
 import {
-  type ConfigurationHolder,
-  type ConfigurationInForce,
-  createConfigurationHolder,
-} from "./configuration-holder.js";
-import { createStreamFollower, type FollowTimes, type StreamFollower } from "./follow-stream.js";
-import { createStoreReach, type StoreReach } from "./store-reach.js";
+  type ConfigurationTracker,
+  type ActiveConfiguration,
+  createConfigurationTracker,
+} from "./configuration-tracker.js";
+import {
+  createStreamFollower,
+  type StreamFollowerTimes,
+  type StreamFollower,
+} from "./stream-follower.js";
+import { createStoreReachability, type StoreReachability } from "./store-reachability.js";
 import { createTargetChangeLog, type TargetChangeLog } from "./target-change-log.js";
 
 /** What the feed has to know of the other boxes. */
 export interface FeedPeers {
   /** Whether this box is to read the store itself. */
-  reads(): boolean;
+  readsStore(): boolean;
   /** Whether a box that reads the store, and was heard lately, reaches it. */
-  anyReachesStore(): boolean;
+  anyReaderReachesStore(): boolean;
 }
 
 export interface DesiredFeedInput {
@@ -30,9 +34,9 @@
   readonly codec: RecordCodec;
   readonly fleet: Fleet;
   readonly peers: FeedPeers;
-  readonly times: FollowTimes;
+  readonly times: StreamFollowerTimes;
   /** Pause after each change of targets, which come in crowds when models move. */
-  readonly gatherTargetsMs: Milliseconds;
+  readonly coalesceTargetsMs: Milliseconds;
   /** Key of the record that holds the whole configuration. */
   readonly configurationKey: string;
   /** How long after the store's return its list may still lack targets that live. */
@@ -40,23 +44,23 @@
 }
 
 export interface DesiredFeed extends Service {
-  inForce(): ConfigurationInForce | undefined;
+  activeConfiguration(): ActiveConfiguration | undefined;
   /** Whether configuration and targets are known. */
   ready(): boolean;
   /** Whether this box reads the store itself now. */
-  reading(): boolean;
+  readsStore(): boolean;
   reachesStore(): boolean;
   /** Whether the store is away, or came back only just now. */
-  storeDisturbed(): boolean;
+  storeUnsettled(): boolean;
   /** How far the list of targets is known. */
   targetsEnd(): Offset;
   configurationCopy(): ConfigurationCopy;
   /** Takes what another box has read, where it is newer. */
-  takeConfiguration(copy: ConfigurationCopy): void;
+  applyConfigurationCopy(copy: ConfigurationCopy): void;
   /** Changes of the list from an offset on. */
-  targetsSince(since: Offset): TargetChanges;
+  targetChangesSince(since: Offset): TargetChanges;
   /** Takes changes of the list that another box has read, where they are newer. */
-  takeTargets(changes: TargetChanges): void;
+  applyTargetChanges(changes: TargetChanges): void;
 }
 
 export const desiredFeedName = serviceName<DesiredFeed>("desired-feed");
@@ -69,8 +73,8 @@
   readonly input: DesiredFeedInput;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  readonly configuration: ConfigurationHolder;
-  readonly reach: StoreReach;
+  readonly configuration: ConfigurationTracker;
+  readonly reach: StoreReachability;
   readonly log: TargetChangeLog;
   targetsKnown: boolean;
   targetsEnd: Offset;
@@ -86,7 +90,7 @@
 /** Reads the entry of one target; what can't be read is logged and counted, and never used. */
 function readTarget({ input, logger, metrics }: FeedContext, id: string, text: string) {
   return input.codec
-    .target(id, text)
+    .parseTarget(id, text)
     .ifLeft(({ problems }) => {
       const [problem] = problems;
       metrics.count("linkfall_bad_entries_total", "Entries of targets that could not be read.");
@@ -118,27 +122,27 @@
   context.targetsKnown = true;
   context.targetsEnd = end;
   context.log.replace(targets, unreadable, end);
-  for (const id of unreadable) fleet.leaveAlone(id);
-  fleet.takeList(targets);
+  for (const id of unreadable) fleet.excludeUnreadable(id);
+  fleet.applyList(targets);
 }
 
 function takeUnreadable(context: FeedContext, id: string, offset: Offset): void {
-  context.log.unreadable(id, offset);
-  context.input.fleet.leaveAlone(id);
+  context.log.recordUnreadable(id, offset);
+  context.input.fleet.excludeUnreadable(id);
 }
 
 function takeTargetRecord(context: FeedContext, { key, value, offset }: KeyedRecord): void {
   // Another box may have told of it already.
   if (offset < context.targetsEnd) return;
   if (value === undefined) {
-    context.log.gone(key, offset);
-    context.input.fleet.dropEntry(key);
+    context.log.recordRemoved(key, offset);
+    context.input.fleet.removeEntry(key);
     return;
   }
   const target = readTarget(context, key, value);
   if (!target) return takeUnreadable(context, key, offset);
-  context.log.changed(target, offset);
-  context.input.fleet.takeEntry(target);
+  context.log.recordChanged(target, offset);
+  context.input.fleet.applyEntry(target);
 }
 
 function takeNewestTargets(context: FeedContext, batch: KeyedBatch): void {
@@ -153,7 +157,7 @@
 
 function takeConfigurationBatch({ input, configuration }: FeedContext, batch: KeyedBatch): void {
   for (const { key, value } of batch.records) {
-    if (key === input.configurationKey && value !== undefined) configuration.take(value, "store");
+    if (key === input.configurationKey && value !== undefined) configuration.apply(value, "store");
   }
 }
 
@@ -168,12 +172,12 @@
   const lastOffset = end - 1;
   for (const id of unreadable) takeUnreadable(context, id, lastOffset);
   for (const target of changed) {
-    context.log.changed(target, lastOffset);
-    fleet.takeEntry(target);
+    context.log.recordChanged(target, lastOffset);
+    fleet.applyEntry(target);
   }
   for (const id of gone) {
-    context.log.gone(id, lastOffset);
-    fleet.dropEntry(id);
+    context.log.recordRemoved(id, lastOffset);
+    fleet.removeEntry(id);
   }
   context.targetsEnd = end;
 }
@@ -195,8 +199,8 @@
     input,
     logger,
     metrics: kernel.find(metricsName),
-    configuration: createConfigurationHolder(clock, logger, input),
-    reach: createStoreReach(clock, logger, input.peers, input.settleMs),
+    configuration: createConfigurationTracker(clock, logger, input),
+    reach: createStoreReachability(clock, logger, input.peers, input.settleMs),
     log: createTargetChangeLog(),
     targetsKnown: false,
     targetsEnd: 0,
@@ -207,42 +211,42 @@
   const clock = kernel.find(clockName);
   const context = createContext(kernel, input);
   const { configuration, reach, log } = context;
-  const noteRead = (stream: string) => (failure?: LogFailure) => reach.noteRead(stream, failure);
+  const noteRead = (stream: string) => (failure?: LogFailure) => reach.recordRead(stream, failure);
   const takeConfigurations = (batch: KeyedBatch) => takeConfigurationBatch(context, batch);
   const configurationFollower = createStreamFollower({
     clock,
     port: input.configurationStream,
     times: input.times,
-    reads: input.peers.reads,
-    onWhole: takeConfigurations,
+    isReader: input.peers.readsStore,
+    onSnapshot: takeConfigurations,
     onChanges: takeConfigurations,
     onRead: noteRead("configuration"),
   });
   const targetFollower = createStreamFollower({
     clock,
     port: input.targetStream,
-    times: { ...input.times, gatherMs: input.gatherTargetsMs },
-    reads: input.peers.reads,
-    onWhole: (batch) => takeNewestTargets(context, batch),
+    times: { ...input.times, coalesceMs: input.coalesceTargetsMs },
+    isReader: input.peers.readsStore,
+    onSnapshot: (batch) => takeNewestTargets(context, batch),
     onChanges: (batch) => takeTargetBatch(context, batch),
     onRead: noteRead("targets"),
   });
 
   return {
-    inForce: configuration.inForce,
-    ready: () => configuration.inForce() !== undefined && context.targetsKnown,
-    reading: input.peers.reads,
-    reachesStore: reach.reached,
-    storeDisturbed: reach.disturbed,
+    activeConfiguration: configuration.active,
+    ready: () => configuration.active() !== undefined && context.targetsKnown,
+    readsStore: input.peers.readsStore,
+    reachesStore: reach.isReachable,
+    storeUnsettled: reach.isUnsettled,
     targetsEnd: () => context.targetsEnd,
     configurationCopy: configuration.copy,
-    takeConfiguration: (copy) => {
+    applyConfigurationCopy: (copy) => {
       if (copy.text !== undefined && copy.version > configuration.version()) {
-        configuration.take(copy.text, "box");
+        configuration.apply(copy.text, "box");
       }
     },
-    targetsSince: (since) => log.since(since, context.targetsEnd),
-    takeTargets: (changes) => takeTold(context, changes, targetFollower),
+    targetChangesSince: (since) => log.changesSince(since, context.targetsEnd),
+    applyTargetChanges: (changes) => takeTold(context, changes, targetFollower),
     async start() {
       configurationFollower.start();
       targetFollower.start();
--- a/packages/desired-feed/src/index.ts
+++ b/packages/desired-feed/src/index.ts
@@ -1,4 +1,4 @@
-export type { ConfigurationInForce } from "./configuration-holder.js";
+export type { ActiveConfiguration } from "./configuration-tracker.js";
 export * from "./desired-feed.js";
-export * from "./follow-stream.js";
+export * from "./stream-follower.js";
 export * from "./target-change-log.js";
--- a/packages/desired-feed/src/store-reach.ts
+++ b/packages/desired-feed/src/store-reachability.ts
@@ -4,37 +4,37 @@
 import type { Logger } from "@linkfall/logger";
 import type { Milliseconds } from "@linkfall/types";
 
-export interface StoreReach {
-  reached(): boolean;
+export interface StoreReachability {
+  isReachable(): boolean;
   /** Whether the store is away, or came back only just now. */
-  disturbed(): boolean;
+  isUnsettled(): boolean;
   /** Notes a read of a stream, or its failure. */
-  noteRead(stream: string, failure?: LogFailure): void;
+  recordRead(stream: string, failure?: LogFailure): void;
 }
 
-export interface ReachPeers {
-  reads(): boolean;
-  anyReachesStore(): boolean;
+export interface StoreReaderPeers {
+  readsStore(): boolean;
+  anyReaderReachesStore(): boolean;
 }
 
 function reasonOf(failure: LogFailure): string {
   return failure.kind === "log_unavailable" ? failure.reason : failure.kind;
 }
 
-export function createStoreReach(
+export function createStoreReachability(
   clock: Clock,
   logger: Logger,
-  peers: ReachPeers,
+  peers: StoreReaderPeers,
   settleMs: Milliseconds,
-): StoreReach {
+): StoreReachability {
   const failing = new Set<string>();
   let wasReached = true;
   let returnedAt = -Infinity;
 
   const reached = (): boolean => {
-    if (peers.reads()) return failing.size === 0;
+    if (peers.readsStore()) return failing.size === 0;
     failing.clear();
-    return peers.anyReachesStore();
+    return peers.anyReaderReachesStore();
   };
   const look = (stream?: string, reason?: string): boolean => {
     const now = reached();
@@ -48,9 +48,9 @@
   };
 
   return {
-    reached,
-    disturbed: () => !look() || clock.now() - returnedAt < settleMs,
-    noteRead(stream, failure) {
+    isReachable: reached,
+    isUnsettled: () => !look() || clock.now() - returnedAt < settleMs,
+    recordRead(stream, failure) {
       if (failure) failing.add(stream);
       else failing.delete(stream);
       look(stream, failure && reasonOf(failure));
--- a/packages/desired-feed/src/follow-stream.ts
+++ b/packages/desired-feed/src/stream-follower.ts
@@ -5,14 +5,14 @@
 import type { Milliseconds, Offset } from "@linkfall/types";
 
 /** Times of the following. */
-export interface FollowTimes {
+export interface StreamFollowerTimes {
   /** How long one read waits for a change. */
-  readonly waitMs: Milliseconds;
+  readonly maxWaitMs: Milliseconds;
   /** Pause after a read that brought changes, so that changes that follow come together. */
-  readonly gatherMs: Milliseconds;
+  readonly coalesceMs: Milliseconds;
   /** First pause after a failed read; doubles up to `longestPauseMs`. */
-  readonly firstPauseMs: Milliseconds;
-  readonly longestPauseMs: Milliseconds;
+  readonly initialRetryPauseMs: Milliseconds;
+  readonly maxRetryPauseMs: Milliseconds;
 }
 
 export interface StreamFollower {
@@ -22,14 +22,14 @@
   restart(): void;
 }
 
-interface FollowInput {
+interface StreamFollowerInput {
   readonly clock: Clock;
   readonly port: KeyedStreamPort;
-  readonly times: FollowTimes;
+  readonly times: StreamFollowerTimes;
   /** Whether this box is to read the stream itself now. */
-  reads(): boolean;
+  isReader(): boolean;
   /** Takes the newest record of every key; what it lacks is gone. */
-  onWhole(batch: KeyedBatch): void;
+  onSnapshot(batch: KeyedBatch): void;
   /** Takes changes in the order of offset. */
   onChanges(batch: KeyedBatch): void;
   /** Takes the failure of a read, or `undefined` after one that succeeded. */
@@ -40,12 +40,12 @@
 const idleMs: Milliseconds = 150;
 
 /** Creates a follower that does nothing before it is started. */
-export function createStreamFollower(input: FollowInput): StreamFollower {
+export function createStreamFollower(input: StreamFollowerInput): StreamFollower {
   const { clock, port, times } = input;
   let end: Offset | undefined;
   let restarts = 0;
   let stopped = false;
-  let pauseMs = times.firstPauseMs;
+  let pauseMs = times.initialRetryPauseMs;
 
   /**
    * Takes what a read that began at `from` has brought. It may have begun before a restart: its changes are no whole list, and
@@ -53,8 +53,8 @@
    */
   const take = (batch: KeyedBatch, from: Offset | undefined, restarted: boolean) => {
     end = restarted ? undefined : batch.end;
-    pauseMs = times.firstPauseMs;
-    if (from === undefined) input.onWhole(batch);
+    pauseMs = times.initialRetryPauseMs;
+    if (from === undefined) input.onSnapshot(batch);
     else if (batch.records.length > 0) input.onChanges(batch);
     input.onRead();
   };
@@ -67,26 +67,26 @@
     }
     input.onRead(failure);
     await sleep(clock, pauseMs);
-    pauseMs = Math.min(times.longestPauseMs, pauseMs * 2);
+    pauseMs = Math.min(times.maxRetryPauseMs, pauseMs * 2);
   };
 
   const run = async () => {
     while (!stopped) {
-      if (!input.reads()) {
+      if (!input.isReader()) {
         end = undefined;
         await sleep(clock, idleMs);
         continue;
       }
       const from = end;
       const before = restarts;
-      const read = await (from === undefined ? port.newest() : port.changes(from, times.waitMs));
+      const read = await (from === undefined ? port.readNewest() : port.readChanges(from, times.maxWaitMs));
       if (stopped) return;
       await read.caseOf<Promise<void> | void>({
         Left: fail,
         Right: (batch) => take(batch, from, restarts !== before),
       });
       const changed = read.map((batch) => batch.records.length > 0).orDefault(false);
-      if (changed && times.gatherMs > 0) await sleep(clock, times.gatherMs);
+      if (changed && times.coalesceMs > 0) await sleep(clock, times.coalesceMs);
     }
   };
 
--- a/packages/desired-feed/src/target-change-log.ts
+++ b/packages/desired-feed/src/target-change-log.ts
@@ -4,12 +4,12 @@
 
 export interface TargetChangeLog {
   /** Takes the whole list as of `end`. */
-  replace(targets: readonly ListedTarget[], unreadable: readonly string[], end: Offset): void;
-  changed(target: ListedTarget, offset: Offset): void;
-  gone(id: string, offset: Offset): void;
-  unreadable(id: string, offset: Offset): void;
+  replace(targets: readonly ListedTarget[], unreadableIds: readonly string[], end: Offset): void;
+  recordChanged(target: ListedTarget, offset: Offset): void;
+  recordRemoved(id: string, offset: Offset): void;
+  recordUnreadable(id: string, offset: Offset): void;
   /** What changed from `since` on, up to `end`. */
-  since(since: Offset, end: Offset): TargetChanges;
+  changesSince(since: Offset, end: Offset): TargetChanges;
 }
 
 interface Entry {
@@ -56,21 +56,21 @@
       }
       for (const id of unreadable) entries.set(id, { offset: end - 1, unreadable: true });
     },
-    changed(target, offset) {
+    recordChanged(target, offset) {
       const told = withoutModels(target);
       if (isSame(entries.get(target.id)?.target, told)) return;
       entries.set(target.id, { offset, target: told });
     },
-    gone(id, offset) {
+    recordRemoved(id, offset) {
       entries.delete(id);
       entries.set(id, { offset });
       forgetOldest();
     },
-    unreadable(id, offset) {
+    recordUnreadable(id, offset) {
       if (entries.get(id)?.unreadable) return;
       entries.set(id, { offset, unreadable: true });
     },
-    since(since, end) {
+    changesSince(since, end) {
       const whole = since < first;
       const told = [...entries].filter(([, entry]) => whole || entry.offset >= since);
       return {
--- a/packages/entry-box/src/account-admission.ts
+++ b/packages/entry-box/src/account-admission.ts
@@ -1,18 +1,18 @@
 /** Takes a request from the limit of its account, and settles it when the request has its end. */
-import { type AccountQuota, type QuotaUse, unitsOf } from "@linkfall/account-quota";
-import type { ForwardedRequest, RequestEnd } from "@linkfall/forwarding";
-import type { ClientAccount, Milliseconds, RequestTerms } from "@linkfall/types";
+import { type AccountQuota, type QuotaCharge, unitsOf } from "@linkfall/account-quota";
+import type { ForwardedRequest, RequestOutcome } from "@linkfall/forwarding";
+import type { ClientAccount, Milliseconds, RequestMetadata } from "@linkfall/types";
 
 export type AccountAdmission =
   /** `use` is what was taken; absent where no limit holds. */
-  | { readonly kind: "admitted"; readonly use?: QuotaUse }
+  | { readonly kind: "admitted"; readonly use?: QuotaCharge }
   | { readonly kind: "refused"; readonly retryAfterMs: Milliseconds };
 
 /** @param version version of the configuration that the account was read from */
 export async function admitToQuota(
   quota: AccountQuota,
   account: ClientAccount | undefined,
-  terms: RequestTerms,
+  terms: RequestMetadata,
   version: number,
 ): Promise<AccountAdmission> {
   if (!account?.limit) return { kind: "admitted" };
@@ -24,12 +24,12 @@
 /** Gives back what did not run, and takes what ran more than once. */
 export function settleQuota(
   quota: AccountQuota,
-  use: QuotaUse | undefined,
-  { runs, sends, unwritten }: ForwardedRequest,
-  end: RequestEnd,
+  use: QuotaCharge | undefined,
+  { possibleRuns: runs, sends, unwrittenSends: unwritten }: ForwardedRequest,
+  end: RequestOutcome,
 ): void {
   if (!use) return;
   const neverRan = runs === 0 && (end.outcome === "refused" || sends === unwritten);
-  if (neverRan) return quota.giveBack(use);
-  if (runs > 1) quota.ranToo({ ...use, units: use.units * (runs - 1) });
+  if (neverRan) return quota.refund(use);
+  if (runs > 1) quota.chargeExtra({ ...use, units: use.units * (runs - 1) });
 }
--- a/packages/entry-box/src/gauges.ts
+++ b/packages/entry-box/src/gauges.ts
@@ -4,12 +4,12 @@
 import { fleetName } from "@linkfall/fleet";
 import { metricsName } from "@linkfall/metrics";
 import { orderLeaseName } from "@linkfall/order-lease";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import type { Front } from "./front.js";
 
 const millisecondsPerSecond = 1000;
 
-export function registerGauges({ kernel, ports }: BoxParts, front: Front): void {
+export function registerGauges({ kernel, ports }: BoxRuntime, front: Front): void {
   const metrics = kernel.find(metricsName);
   const feed = kernel.find(desiredFeedName);
   const lease = kernel.find(orderLeaseName);
@@ -17,25 +17,32 @@
   metrics.gauge(
     "linkfall_configuration_version",
     "Version of the configuration in force.",
-    () => feed.inForce()?.configuration.version ?? -1,
+    () => feed.activeConfiguration()?.configuration.version ?? -1,
   );
   metrics.gauge(
     "linkfall_configuration_age_seconds",
     "Time since the configuration came into force on this box.",
-    () => Math.round((ports.clock.now() - (feed.inForce()?.since ?? 0)) / millisecondsPerSecond),
+    () =>
+      Math.round(
+        (ports.clock.now() - (feed.activeConfiguration()?.activeSince ?? 0)) /
+          millisecondsPerSecond,
+      ),
   );
   metrics.gauge("linkfall_store_reachable", "1 while the store answers this box.", () =>
     feed.reachesStore() ? 1 : 0,
   );
   metrics.gauge("linkfall_engine_reports_age_ms", "Age of the oldest engine's holdings.", () => {
     const engines = fleet.all().filter(({ holdings }) => holdings.sequence >= 0);
-    const oldest = Math.min(ports.clock.now(), ...engines.map(({ holdingsAt }) => holdingsAt));
+    const oldest = Math.min(
+      ports.clock.now(),
+      ...engines.map(({ holdingsConfirmedAt: holdingsAt }) => holdingsAt),
+    );
     return Math.round(ports.clock.now() - oldest);
   });
   metrics.gauge("linkfall_store_read_here", "1 while this box reads the store itself.", () =>
-    feed.reading() ? 1 : 0,
+    feed.readsStore() ? 1 : 0,
   );
-  metrics.gauge("linkfall_requests_open", "Requests without a final answer.", front.open);
+  metrics.gauge("linkfall_requests_open", "Requests without a final answer.", front.openRequests);
   metrics.gauge(
     "linkfall_boxes_heard",
     "Other boxes that are taken for alive.",
--- a/packages/entry-box/src/identify.ts
+++ b/packages/entry-box/src/identify.ts
@@ -1,8 +1,8 @@
 /** Whose request it is, by the key that came with it. */
-import { fingerprint, type KeyTable } from "@linkfall/account-keys";
+import { keyFingerprint, type KeyTable } from "@linkfall/account-keys";
 import type { ClientAccount, Route } from "@linkfall/types";
 
-export type Caller =
+export type CallerIdentity =
   /** The account is absent where the route needs no key and none came. */
   | { readonly kind: "known"; readonly account?: ClientAccount }
   | { readonly kind: "unknown"; readonly why: string; readonly fingerprint?: string };
@@ -17,12 +17,12 @@
   keys: KeyTable | undefined,
   route: Route,
   key: string | undefined,
-): Caller {
+): CallerIdentity {
   if (!keys) return { kind: "known" };
   if (key === undefined || key === "") {
     return route.anonymous ? { kind: "known" } : { kind: "unknown", why: "no key" };
   }
   const account = keys.find(key);
   if (account) return { kind: "known", account };
-  return { kind: "unknown", why: "a key that no account holds", fingerprint: fingerprint(key) };
+  return { kind: "unknown", why: "a key that no account holds", fingerprint: keyFingerprint(key) };
 }
--- a/packages/entry-box/src/provide-orders.ts
+++ b/packages/entry-box/src/provide-orders.ts
@@ -10,77 +10,87 @@
   orderLeaseName,
 } from "@linkfall/order-lease";
 import { boxOf } from "@linkfall/types";
-import { createOrderGiver, type OrderGiver, orderGiverName } from "@linkfall/weight-orders";
-import { hasWaiting } from "./box-loads.js";
-import type { BoxParts } from "./box-parts.js";
+import {
+  createOrderDispatcher,
+  type OrderDispatcher,
+  orderDispatcherName,
+} from "@linkfall/weight-orders";
+import { hasWaitingRequests } from "./box-loads.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import { targetLimitsName } from "./provide-limits.js";
 import { rankBoxes } from "./box-ranking.js";
 import { ownProfile } from "./own-profile.js";
 
 /** What the lease has to know of the other boxes. */
-function leasePeers(parts: BoxParts, peers: Peers): LeasePeers {
+function leasePeers(parts: BoxRuntime, peers: Peers): LeasePeers {
   const { kernel, settings, incarnation } = parts;
   const feed = kernel.find(desiredFeedName);
   return {
-    heardMs: peers.heardMs,
-    ownEarlierLife: (holder) => holder !== incarnation && boxOf(holder) === settings.box.name,
-    ordersForMs: (holder) => peers.find(holder)?.ordersForMs ?? 0,
-    claimed: () => peers.send(() => true),
-    leaving: (holder) => peers.find(holder)?.leaving ?? false,
+    sinceLastMessageMs: peers.sinceHeartbeatMs,
+    isOwnEarlierIncarnation: (holder) =>
+      holder !== incarnation && boxOf(holder) === settings.box.name,
+    remainingLeaseMs: (holder) => peers.findStatus(holder)?.ordersForMs ?? 0,
+    announceClaim: () => peers.sendHeartbeats(() => true),
+    isLeaving: (holder) => peers.findStatus(holder)?.leaving ?? false,
     rank() {
       const serving = peers.alive().filter((box) => box.ready);
       return rankBoxes([ownProfile(parts), ...serving]).indexOf(settings.box.name);
     },
-    allWithoutStore() {
+    isStoreDownForAll() {
       const heard = peers.statuses();
-      if (feed.reachesStore() || heard.length * 2 < peers.most()) return false;
+      if (feed.reachesStore() || heard.length * 2 < peers.maxKnownBoxes()) return false;
       return heard.every((status) => !status.reachesStore);
     },
   };
 }
 
-export function provideLease(parts: BoxParts): OrderLease {
+export function provideOrderLease(parts: BoxRuntime): OrderLease {
   const { kernel, settings, ports, incarnation } = parts;
   const peers = leasePeers(parts, kernel.find(peersName));
   const lease = createOrderLease(kernel, incarnation, ports.leaseStream, peers, {
     enginesFence: settings.lease.engines_fence,
     leaseMs: settings.lease.lease_ms,
-    silentMs: settings.lease.silent_ms,
+    holderTimeoutMs: settings.lease.silent_ms,
     rankStepMs: settings.lease.rank_step_ms,
     checkMs: settings.lease.check_ms,
   });
   return kernel.provide(orderLeaseName, lease, lease);
 }
 
-export function provideGiver({ kernel, settings, ports, demand }: BoxParts): OrderGiver {
+export function provideOrderDispatcher({
+  kernel,
+  settings,
+  ports,
+  demand,
+}: BoxRuntime): OrderDispatcher {
   const { placement } = settings;
   const fleet = kernel.find(fleetName);
   const feed = kernel.find(desiredFeedName);
   const peers = kernel.find(peersName);
   const targetLimits = kernel.find(targetLimitsName);
-  const giver: OrderGiver = createOrderGiver(kernel, {
+  const giver: OrderDispatcher = createOrderDispatcher(kernel, {
     self: settings.box.name,
     fleet,
     engines: ports.engines,
     lease: kernel.find(orderLeaseName),
-    configuration: () => feed.inForce()?.configuration,
+    configuration: () => feed.activeConfiguration()?.configuration,
     demand: () => sumDemand([demand.read(), ...peers.statuses().map((status) => status.demand)]),
-    takesPerSecond: targetLimits.limitOf,
-    noteLimit: (target, notice) =>
-      targetLimits.hear({ target, notice, sentMsAgo: 0, served: false }),
-    announce() {
-      fleet.withhold(giver.withheld());
+    maxRequestsPerSecond: targetLimits.limitOf,
+    onLimitReported: (target, notice) =>
+      targetLimits.recordAnswer({ target, notice, sentMsAgo: 0, served: false }),
+    notifyPeers() {
+      fleet.setWithheldModels(giver.pendingEvictions());
       // In a large deployment all others hear of it in their next round.
-      if (peers.mesh()) peers.send();
-      else peers.send((member) => hasWaiting(member.status));
+      if (peers.isFullMesh()) peers.sendHeartbeats();
+      else peers.sendHeartbeats((member) => hasWaitingRequests(member.status));
     },
     rules: {
-      plan: { loadOfReplica: placement.load_of_replica, horizonMs: placement.horizon_ms },
-      stateMs: placement.state_ms,
-      busyStateMs: placement.busy_state_ms,
-      resendMs: placement.resend_ms,
-      giveUpMs: placement.give_up_ms,
+      plan: { targetReplicaLoad: placement.load_of_replica, horizonMs: placement.horizon_ms },
+      pollIntervalMs: placement.state_ms,
+      activePollIntervalMs: placement.busy_state_ms,
+      resendAfterMs: placement.resend_ms,
+      moveTimeoutMs: placement.give_up_ms,
     },
   });
-  return kernel.provide(orderGiverName, giver, giver);
+  return kernel.provide(orderDispatcherName, giver, giver);
 }
--- a/packages/fleet/src/fleet.steps.ts
+++ b/packages/fleet/src/fleet.steps.ts
@@ -2,9 +2,9 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import { clockName, createKernel, createVirtualClock, type VirtualClock } from "@linkfall/kernel";
 import { loggerName, recordingLogger } from "@linkfall/logger";
-import type { EngineState, Holdings, ListedTarget, Milliseconds } from "@linkfall/types";
+import type { EngineState, EngineInventory, ListedTarget, Milliseconds } from "@linkfall/types";
 import fc from "fast-check";
-import { createFleet, type Fleet, holds } from "./index.js";
+import { createFleet, type Fleet, hasModelLoaded } from "./index.js";
 
 interface Scene {
   readonly clock: VirtualClock;
@@ -25,11 +25,11 @@
   return { id, born, service, address: `10.0.0.1:${id.length}`, domain: "d", slots: 4, leaving };
 }
 
-function holding(born: Milliseconds | undefined, sequence: number, model: string): Holdings {
+function holding(born: Milliseconds | undefined, sequence: number, model: string): EngineInventory {
   return { born, sequence, models: [{ name: model, version: 1, adapters: [] }] };
 }
 
-function stateOf(holdings: Holdings): EngineState {
+function stateOf(holdings: EngineInventory): EngineState {
   const idle = { busy: false, waiting: 0, running: 0, cacheTokensUsed: 0 };
   const weights = { inMemory: new Set<string>(), onDisk: new Set<string>(), adaptersComing: [] };
   return { ...holdings, ...idle, ...weights, limit: { kind: "none" } };
@@ -48,28 +48,28 @@
     recordingLogger(() => undefined),
   );
   const fleet = createFleet(kernel, {
-    lapse: { graceMs: 1_600, share: 0.3 },
-    ejection: { failuresInARow: 3, firstMs: 1_000, longestMs: 8_000 },
+    lapse: { graceMs: 1_600, minShare: 0.3 },
+    ejection: { consecutiveFailures: 3, initialMs: 1_000, maxMs: 8_000 },
   });
   return { clock, fleet };
 }
 
 Given("a fleet with targets {string} of one service", function (this: object, ids: string) {
   const scene = newFleet();
-  scene.fleet.takeList(words(ids).map((id) => listed(id)));
+  scene.fleet.applyList(words(ids).map((id) => listed(id)));
   scenes.set(this, scene);
 });
 
 When("{string} is listed as leaving", function (this: object, id: string) {
-  sceneOf(this).fleet.takeEntry(listed(id, true));
+  sceneOf(this).fleet.applyEntry(listed(id, true));
 });
 
 When("{string} is listed as ready", function (this: object, id: string) {
-  sceneOf(this).fleet.takeEntry(listed(id));
+  sceneOf(this).fleet.applyEntry(listed(id));
 });
 
 When("the entry of {string} goes", function (this: object, id: string) {
-  sceneOf(this).fleet.dropEntry(id);
+  sceneOf(this).fleet.removeEntry(id);
 });
 
 async function pass(world: object, ms: number, storeDisturbed: boolean): Promise<void> {
@@ -77,7 +77,7 @@
   const end = clock.now() + ms;
   while (clock.now() < end) {
     await clock.runUntil(Math.min(end, clock.now() + stepMs));
-    fleet.expireLapsed(storeDisturbed);
+    fleet.expireMissing(storeDisturbed);
   }
 }
 
@@ -102,41 +102,41 @@
 });
 
 When("{string} fails {int} times", function (this: object, id: string, times: number) {
-  for (let index = 0; index < times; index++) sceneOf(this).fleet.failed(id, "test");
+  for (let index = 0; index < times; index++) sceneOf(this).fleet.recordFailure(id, "test");
 });
 
 When("nobody listens at {string}", function (this: object, id: string) {
-  sceneOf(this).fleet.unreachable(id, "test");
+  sceneOf(this).fleet.recordUnreachable(id, "test");
 });
 
 When(
   "{string} says after {int} orders that it holds {string}",
   function (this: object, id: string, sequence: number, model: string) {
     const models = [{ name: model, version: 1, adapters: [] }];
-    sceneOf(this).fleet.takeHoldings(id, { sequence, models });
+    sceneOf(this).fleet.applyRelayedHoldings(id, { sequence, models });
   },
 );
 
 When(
   "{string} is about to be dropped at {string}",
   function (this: object, model: string, id: string) {
-    sceneOf(this).fleet.withhold(new Map([[id, [model]]]));
+    sceneOf(this).fleet.setWithheldModels(new Map([[id, [model]]]));
   },
 );
 
 When(
   "{string} refuses {string} for {int} ms",
   function (this: object, id: string, model: string, ms: number) {
-    sceneOf(this).fleet.deny(id, model, ms);
+    sceneOf(this).fleet.recordModelRefusal(id, model, ms);
   },
 );
 
 When("{string} denies {string}", function (this: object, id: string, model: string) {
-  sceneOf(this).fleet.deny(id, model);
+  sceneOf(this).fleet.recordModelRefusal(id, model);
 });
 
 Then("{string} may get requests", function (this: object, ids: string) {
-  const usable = sceneOf(this).fleet.usable(service);
+  const usable = sceneOf(this).fleet.usableTargets(service);
   assert.deepEqual(
     usable.map((belief) => belief.listed.id),
     words(ids),
@@ -147,7 +147,7 @@
   const { fleet, clock } = sceneOf(world);
   const belief = fleet.find(id);
   assert.ok(belief);
-  return holds(belief, model, undefined, clock.now());
+  return hasModelLoaded(belief, model, undefined, clock.now());
 }
 
 Then(
@@ -172,30 +172,30 @@
 Given(
   "{string} of life {int} says after {int} orders that it holds {string}",
   function (this: object, id: string, born: number, sequence: number, model: string) {
-    sceneOf(this).fleet.takeHoldings(id, holding(born, sequence, model));
+    sceneOf(this).fleet.applyRelayedHoldings(id, holding(born, sequence, model));
   },
 );
 
 When(
   "{string} answers with life {int} and {int} orders that it holds {string}",
   function (this: object, id: string, born: number, sequence: number, model: string) {
-    sceneOf(this).fleet.takeState(id, stateOf(holding(born, sequence, model)), 0);
+    sceneOf(this).fleet.applyState(id, stateOf(holding(born, sequence, model)), 0);
   },
 );
 
 When("{string} is listed with life {int}", function (this: object, id: string, born: number) {
-  sceneOf(this).fleet.takeEntry(listed(id, false, born));
+  sceneOf(this).fleet.applyEntry(listed(id, false, born));
 });
 
 When(
   "{string} is listed as leaving with life {int}",
   function (this: object, id: string, born: number) {
-    sceneOf(this).fleet.takeEntry(listed(id, true, born));
+    sceneOf(this).fleet.applyEntry(listed(id, true, born));
   },
 );
 
 When("the entries of {string} can't be read", function (this: object, ids: string) {
-  for (const id of words(ids)) sceneOf(this).fleet.leaveAlone(id);
+  for (const id of words(ids)) sceneOf(this).fleet.excludeUnreadable(id);
 });
 
 /** One word about the target of a random history. */
@@ -209,16 +209,18 @@
 });
 
 /** Plays a history, later births counting as later lives; returns what is believed in the end and what is true. */
-async function playHistory(words: readonly Word[]): Promise<readonly [Holdings, Holdings]> {
+async function playHistory(
+  words: readonly Word[],
+): Promise<readonly [EngineInventory, EngineInventory]> {
   const { fleet, clock } = newFleet();
-  const lives: Holdings[][] = [[holding(1_000, 0, "m0")]];
+  const lives: EngineInventory[][] = [[holding(1_000, 0, "m0")]];
   const last = () => lives[lives.length - 1][lives[lives.length - 1].length - 1];
-  fleet.takeList([listed("t", false, 1_000)]);
+  fleet.applyList([listed("t", false, 1_000)]);
   const say = ({ kind, livesAgo, ordersAgo }: Word) => {
-    if (kind === "list") return fleet.takeEntry(listed("t", false, last().born));
-    if (kind === "own_word") return fleet.takeState("t", stateOf(last()), 0);
+    if (kind === "list") return fleet.applyEntry(listed("t", false, last().born));
+    if (kind === "own_word") return fleet.applyState("t", stateOf(last()), 0);
     const life = lives[Math.max(0, lives.length - 1 - livesAgo)];
-    fleet.takeHoldings("t", life[Math.max(0, life.length - 1 - ordersAgo)]);
+    fleet.applyRelayedHoldings("t", life[Math.max(0, life.length - 1 - ordersAgo)]);
   };
   for (const word of words) {
     const { born = 0, sequence } = last();
@@ -232,7 +234,7 @@
     assert.ok((fleet.find("t")?.born ?? 0) >= known, "an earlier life came back");
   }
   await clock.runUntil(clock.now() + 1);
-  fleet.takeState("t", stateOf(last()), 0);
+  fleet.applyState("t", stateOf(last()), 0);
   const belief = fleet.find("t");
   assert.ok(belief);
   return [belief.holdings, last()];
--- a/packages/fleet/src/fleet.ts
+++ b/packages/fleet/src/fleet.ts
@@ -2,15 +2,20 @@
 import { clockName, type Kernel, serviceName } from "@linkfall/kernel";
 import { loggerName } from "@linkfall/logger";
 import type {
-  EngineShape,
+  EngineSpec,
   EngineState,
-  Holdings,
+  EngineInventory,
   ListedTarget,
   Milliseconds,
 } from "@linkfall/types";
-import { noLoad, takeHoldings, type TargetBelief, type TargetLoad } from "./belief.js";
-import { type FleetRules, type FleetState, noteChange, targetsOf } from "./fleet-state.js";
-import { keepEarly, lifeOfOwnWord, lifeOfTold } from "./lives.js";
+import { noLoad, applyHoldings, type TargetView, type TargetLoad } from "./target-view.js";
+import {
+  type FleetPolicies,
+  type FleetState,
+  notifyChange,
+  targetsOfService,
+} from "./fleet-state.js";
+import { keepPendingHoldings, viewForDirectReport, viewForRelayedReport } from "./incarnations.js";
 import { afterFailure, afterRefusedConnection, afterSuccess, isEjected } from "./health.js";
 import {
   dropEntry,
@@ -19,113 +24,113 @@
   takeEntry,
   takeList,
   wentInLapse,
-} from "./listing.js";
+} from "./target-list.js";
 
 export interface Fleet {
   /** Takes the whole list; targets that it lacks have lapsed or are gone. */
-  takeList(list: readonly ListedTarget[]): void;
-  takeEntry(target: ListedTarget): void;
+  applyList(list: readonly ListedTarget[]): void;
+  applyEntry(target: ListedTarget): void;
   /** Takes that an entry has gone from the list. */
-  dropEntry(id: string): void;
+  removeEntry(id: string): void;
   /** Takes that an entry can't be read: its target is left alone, and what runs there ends well. */
-  leaveAlone(id: string): void;
-  takeState(id: string, state: EngineState, ageMs: Milliseconds): void;
+  excludeUnreadable(id: string): void;
+  applyState(id: string, state: EngineState, ageMs: Milliseconds): void;
   /** Takes what the holder of the order lease tells, also of a target that is not listed here yet. */
-  takeHoldings(id: string, holdings: Holdings): void;
+  applyRelayedHoldings(id: string, holdings: EngineInventory): void;
   /** Requests of the other boxes, by target. */
-  takeOthers(loads: ReadonlyMap<string, TargetLoad>): void;
-  withhold(models: ReadonlyMap<string, readonly string[]>): void;
+  setOtherBoxesLoads(loads: ReadonlyMap<string, TargetLoad>): void;
+  setWithheldModels(models: ReadonlyMap<string, readonly string[]>): void;
   /** Notes that a target refused to serve weights; for `forMs`, or until it has taken an order. */
-  deny(id: string, key: string, forMs?: Milliseconds): void;
+  recordModelRefusal(id: string, key: string, forMs?: Milliseconds): void;
   /** Notes that a target has asked for no requests for a time. */
   backOff(id: string, forMs: Milliseconds): void;
-  succeeded(id: string): void;
-  failed(id: string, reason: string): void;
+  recordSuccess(id: string): void;
+  recordFailure(id: string, reason: string): void;
   /** Notes that nobody, or somebody else, listens at the target's address. */
-  unreachable(id: string, reason: string): void;
-  find(id: string): TargetBelief | undefined;
-  all(): readonly TargetBelief[];
+  recordUnreachable(id: string, reason: string): void;
+  find(id: string): TargetView | undefined;
+  all(): readonly TargetView[];
   /** Targets of a service that may get new requests. */
-  usable(service: string): readonly TargetBelief[];
+  usableTargets(service: string): readonly TargetView[];
   /** Calls the listener with the id of a target whose life has ended here: it is gone, or has started again. */
-  onLifeEnded(listener: (id: string) => void): void;
+  onIncarnationEnded(listener: (id: string) => void): void;
   /** Calls the listener after each change that may let a waiting request go on. */
   onChange(listener: () => void): void;
-  setEngines(shapes: ReadonlyMap<string, EngineShape | undefined>): void;
+  setEngineShapes(shapes: ReadonlyMap<string, EngineSpec | undefined>): void;
   /** Tells when the list is to be believed about models: never while engines' own word is fresh. */
-  trustOwnWord(fresh: () => boolean): void;
+  preferDirectReportsWhile(fresh: () => boolean): void;
   /** Removes targets whose lapse has lasted longer than the grace. */
-  expireLapsed(storeDisturbed: boolean): void;
+  expireMissing(storeDisturbed: boolean): void;
 }
 
 export const fleetName = serviceName<Fleet>("fleet");
 
 /** Notes a failure, and leaves the target out where that makes too many. */
 function worsen(state: FleetState, id: string, reason: string, after: typeof afterFailure): void {
-  const { clock, logger, rules } = state;
-  const belief = state.beliefs.get(id);
+  const { clock, logger, policies: rules } = state;
+  const belief = state.targets.get(id);
   if (!belief) return;
   const before = belief.health;
   belief.health = after(before, rules.ejection, clock.now());
   if (belief.health.ejections === before.ejections) return;
   const forMs = Math.round(belief.health.ejectedUntil - clock.now());
   logger.event("targetEjected", { target: id, reason, forMs });
-  clock.after(forMs, () => noteChange(state));
+  clock.after(forMs, () => notifyChange(state));
 }
 
 function takeState(state: FleetState, id: string, read: EngineState, ageMs: Milliseconds): void {
-  const known = state.beliefs.get(id);
+  const known = state.targets.get(id);
   const now = state.clock.now();
   const at = now - ageMs;
-  if (!known || at <= known.stateAt) return;
-  const belief = lifeOfOwnWord(state, known, read);
+  if (!known || at <= known.stateReadAt) return;
+  const belief = viewForDirectReport(state, known, read);
   belief.state = read;
-  belief.stateAt = at;
-  if (takeHoldings(belief, read, now)) noteChange(state);
+  belief.stateReadAt = at;
+  if (applyHoldings(belief, read, now)) notifyChange(state);
 }
 
-function takeTold(state: FleetState, id: string, holdings: Holdings): void {
-  const known = state.beliefs.get(id);
-  if (!known) return keepEarly(state, id, holdings);
-  const belief = lifeOfTold(state, known, holdings);
-  if (belief && takeHoldings(belief, holdings, state.clock.now())) noteChange(state);
+function takeTold(state: FleetState, id: string, holdings: EngineInventory): void {
+  const known = state.targets.get(id);
+  if (!known) return keepPendingHoldings(state, id, holdings);
+  const belief = viewForRelayedReport(state, known, holdings);
+  if (belief && applyHoldings(belief, holdings, state.clock.now())) notifyChange(state);
 }
 
 function withhold(state: FleetState, models: ReadonlyMap<string, readonly string[]>): void {
   let freed = false;
-  for (const belief of state.beliefs.values()) {
+  for (const belief of state.targets.values()) {
     const withheld = new Set(models.get(belief.listed.id) ?? []);
-    if (withheld.size < belief.withheld.size) freed = true;
-    belief.withheld = withheld;
+    if (withheld.size < belief.withheldModels.size) freed = true;
+    belief.withheldModels = withheld;
   }
-  if (freed) noteChange(state);
+  if (freed) notifyChange(state);
 }
 
 function deny(state: FleetState, id: string, key: string, forMs: Milliseconds): void {
-  const belief = state.beliefs.get(id);
+  const belief = state.targets.get(id);
   if (!belief) return;
   const { sequence } = belief.holdings;
-  belief.denied.set(key, { sequence, until: state.clock.now() + forMs });
-  if (Number.isFinite(forMs)) state.clock.after(forMs, () => noteChange(state));
+  belief.modelRefusals.set(key, { sequence, until: state.clock.now() + forMs });
+  if (Number.isFinite(forMs)) state.clock.after(forMs, () => notifyChange(state));
 }
 
 /** Longest back-off, whatever a target asks for: nobody learns that it has recovered while it gets no requests. */
 const longestBackOffMs: Milliseconds = 10_000;
 
 function backOff(state: FleetState, id: string, askedMs: Milliseconds): void {
-  const belief = state.beliefs.get(id);
+  const belief = state.targets.get(id);
   if (!belief) return;
   const forMs = Math.min(askedMs, longestBackOffMs);
   belief.backOffUntil = Math.max(belief.backOffUntil, state.clock.now() + forMs);
-  state.clock.after(forMs, () => noteChange(state));
+  state.clock.after(forMs, () => notifyChange(state));
 }
 
-function usable(state: FleetState, service: string): readonly TargetBelief[] {
+function usable(state: FleetState, service: string): readonly TargetView[] {
   const now = state.clock.now();
-  const targets = targetsOf(state, service);
+  const targets = targetsOfService(state, service);
   const staying = targets.filter((belief) => !belief.listed.leaving);
-  const isListed = (belief: TargetBelief) =>
-    belief.wentAt === undefined || wentInLapse(state, belief, targets);
+  const isListed = (belief: TargetView) =>
+    belief.unlistedAt === undefined || wentInLapse(state, belief, targets);
   const sound = staying.filter(
     (belief) => isListed(belief) && !isEjected(belief.health, now) && now >= belief.backOffUntil,
   );
@@ -133,49 +138,50 @@
   return sound.length > 0 ? sound : staying;
 }
 
-export function createFleet(kernel: Kernel, rules: FleetRules): Fleet {
+export function createFleet(kernel: Kernel, rules: FleetPolicies): Fleet {
   const state: FleetState = {
     clock: kernel.find(clockName),
     logger: kernel.find(loggerName),
-    rules,
-    beliefs: new Map(),
-    early: new Map(),
-    listeners: [],
-    lifeListeners: [],
-    engines: new Map(),
-    ownWord: () => false,
+    policies: rules,
+    targets: new Map(),
+    pendingHoldings: new Map(),
+    changeListeners: [],
+    incarnationListeners: [],
+    engineShapes: new Map(),
+    hasDirectReports: () => false,
   };
-  const { beliefs, listeners } = state;
+  const { targets: beliefs, changeListeners: listeners } = state;
   return {
-    takeList: (list) => takeList(state, list),
-    takeEntry: (target) => takeEntry(state, target),
-    dropEntry: (id) => dropEntry(state, id),
-    leaveAlone: (id) => leaveAlone(state, id),
-    takeState: (id, read, ageMs) => takeState(state, id, read, ageMs),
-    takeHoldings: (id, holdings) => takeTold(state, id, holdings),
-    takeOthers(loads) {
-      for (const belief of beliefs.values()) belief.others = loads.get(belief.listed.id) ?? noLoad;
+    applyList: (list) => takeList(state, list),
+    applyEntry: (target) => takeEntry(state, target),
+    removeEntry: (id) => dropEntry(state, id),
+    excludeUnreadable: (id) => leaveAlone(state, id),
+    applyState: (id, read, ageMs) => takeState(state, id, read, ageMs),
+    applyRelayedHoldings: (id, holdings) => takeTold(state, id, holdings),
+    setOtherBoxesLoads(loads) {
+      for (const belief of beliefs.values())
+        belief.otherBoxesLoad = loads.get(belief.listed.id) ?? noLoad;
     },
-    withhold: (models) => withhold(state, models),
-    deny: (id, key, forMs = Infinity) => deny(state, id, key, forMs),
+    setWithheldModels: (models) => withhold(state, models),
+    recordModelRefusal: (id, key, forMs = Infinity) => deny(state, id, key, forMs),
     backOff: (id, forMs) => backOff(state, id, forMs),
-    succeeded(id) {
+    recordSuccess(id) {
       const belief = beliefs.get(id);
       if (belief) belief.health = afterSuccess(belief.health);
     },
-    failed: (id, reason) => worsen(state, id, reason, afterFailure),
-    unreachable: (id, reason) => worsen(state, id, reason, afterRefusedConnection),
+    recordFailure: (id, reason) => worsen(state, id, reason, afterFailure),
+    recordUnreachable: (id, reason) => worsen(state, id, reason, afterRefusedConnection),
     find: (id) => beliefs.get(id),
     all: () => [...beliefs.values()],
-    usable: (service) => usable(state, service),
-    onLifeEnded: (listener) => void state.lifeListeners.push(listener),
+    usableTargets: (service) => usable(state, service),
+    onIncarnationEnded: (listener) => void state.incarnationListeners.push(listener),
     onChange: (listener) => void listeners.push(listener),
-    setEngines(shapes) {
-      state.engines = shapes;
+    setEngineShapes(shapes) {
+      state.engineShapes = shapes;
     },
-    trustOwnWord(fresh) {
-      state.ownWord = fresh;
+    preferDirectReportsWhile(fresh) {
+      state.hasDirectReports = fresh;
     },
-    expireLapsed: (storeDisturbed) => expireLapsed(state, storeDisturbed),
+    expireMissing: (storeDisturbed) => expireLapsed(state, storeDisturbed),
   };
 }
--- a/packages/fleet/src/lives.ts
+++ b/packages/fleet/src/incarnations.ts
@@ -4,18 +4,18 @@
  * new belief; the second, since whoever holds on to the old belief (a send under way, an order that is not answered) then
  * changes nothing of the new one.
  */
-import type { Holdings, ListedTarget, Milliseconds } from "@linkfall/types";
-import { createBelief, takeHoldings, type TargetBelief } from "./belief.js";
-import { type FleetState, noteChange } from "./fleet-state.js";
+import type { EngineInventory, ListedTarget, Milliseconds } from "@linkfall/types";
+import { createTargetView, applyHoldings, type TargetView } from "./target-view.js";
+import { type FleetState, notifyChange } from "./fleet-state.js";
 
 /** Where a birth was told; `told` is another box, whose word may be older than what is known here. */
-export type LifeSource = "list" | "own_word" | "told";
+export type RestartSource = "list" | "own_word" | "told";
 
 /** Targets that were told of before this box knew of them, or of their life; the oldest are let go of first. */
-const mostEarly = 5_000;
+const maxPendingHoldings = 5_000;
 
 /** Whether two births name one life; a birth that was not told says nothing against it. */
-export function isSameLife(
+export function isSameIncarnation(
   left: Milliseconds | undefined,
   right: Milliseconds | undefined,
 ): boolean {
@@ -23,40 +23,40 @@
 }
 
 /** Keeps what was told of a target until the list brings it, or its life. */
-export function keepEarly({ early }: FleetState, id: string, holdings: Holdings): void {
+export function keepPendingHoldings({ pendingHoldings: early }: FleetState, id: string, holdings: EngineInventory): void {
   early.delete(id);
   early.set(id, holdings);
-  if (early.size > mostEarly) early.delete(early.keys().next().value ?? "");
+  if (early.size > maxPendingHoldings) early.delete(early.keys().next().value ?? "");
 }
 
 /** Takes what was told of a belief's life before this box knew of it. */
-export function takeEarly({ early, clock }: FleetState, belief: TargetBelief): void {
+export function applyPendingHoldings({ pendingHoldings: early, clock }: FleetState, belief: TargetView): void {
   const { id } = belief.listed;
   const told = early.get(id);
-  if (!told || !isSameLife(told.born, belief.born)) return;
+  if (!told || !isSameIncarnation(told.born, belief.born)) return;
   early.delete(id);
-  takeHoldings(belief, told, clock.now());
+  applyHoldings(belief, told, clock.now());
 }
 
 /** Tells that nothing that is kept of a target counts any more. */
-export function noteLifeEnded({ lifeListeners }: FleetState, id: string): void {
+export function notifyIncarnationEnded({ incarnationListeners: lifeListeners }: FleetState, id: string): void {
   for (const listener of lifeListeners) listener(id);
 }
 
 /** Begins to believe in a new life: nothing of the one before counts. */
-function beginLife(
+function beginIncarnation(
   state: FleetState,
   listed: ListedTarget,
   born: Milliseconds | undefined,
-  source: LifeSource,
-): TargetBelief {
-  const { beliefs, clock, engines, logger } = state;
-  const belief = createBelief(listed, born, engines.get(listed.service), clock.now());
+  source: RestartSource,
+): TargetView {
+  const { targets: beliefs, clock, engineShapes: engines, logger } = state;
+  const belief = createTargetView(listed, born, engines.get(listed.service), clock.now());
   beliefs.set(listed.id, belief);
   logger.event("targetStartedAgain", { target: listed.id, born, source });
-  takeEarly(state, belief);
-  noteLifeEnded(state, listed.id);
-  noteChange(state);
+  applyPendingHoldings(state, belief);
+  notifyIncarnationEnded(state, listed.id);
+  notifyChange(state);
   return belief;
 }
 
@@ -65,47 +65,47 @@
  * before is news whatever it is: a target's clock may have been set back. Only of the first birth that it tells is it not
  * known whether it is older than what the target itself has said; there the later one counts.
  */
-export function lifeOfEntry(
+export function viewForEntry(
   state: FleetState,
-  belief: TargetBelief,
+  belief: TargetView,
   listed: ListedTarget,
-): TargetBelief {
+): TargetView {
   const { born } = listed;
-  if (born === undefined || isSameLife(born, belief.born)) return belief;
+  if (born === undefined || isSameIncarnation(born, belief.born)) return belief;
   const before = belief.listed.born;
   const isNews = before === undefined ? born > (belief.born ?? 0) : born !== before;
-  return isNews ? beginLife(state, listed, born, "list") : belief;
+  return isNews ? beginIncarnation(state, listed, born, "list") : belief;
 }
 
 /** The belief that a target's own answer is about; it is the newest word of all. */
-export function lifeOfOwnWord(
+export function viewForDirectReport(
   state: FleetState,
-  belief: TargetBelief,
-  { born }: Holdings,
-): TargetBelief {
-  if (isSameLife(born, belief.born)) return belief;
-  return beginLife(state, sinceRestart(belief.listed), born, "own_word");
+  belief: TargetView,
+  { born }: EngineInventory,
+): TargetView {
+  if (isSameIncarnation(born, belief.born)) return belief;
+  return beginIncarnation(state, entryAfterRestart(belief.listed), born, "own_word");
 }
 
 /**
  * The belief that another box's word is about, or undefined where that word is of another life than the newest one known
  * here. A later birth is news; an earlier one is most likely late, and is kept in case the list brings that life.
  */
-export function lifeOfTold(
+export function viewForRelayedReport(
   state: FleetState,
-  belief: TargetBelief,
-  holdings: Holdings,
-): TargetBelief | undefined {
+  belief: TargetView,
+  holdings: EngineInventory,
+): TargetView | undefined {
   const { born } = holdings;
-  if (isSameLife(born, belief.born)) return belief;
+  if (isSameIncarnation(born, belief.born)) return belief;
   if ((born ?? 0) > (belief.born ?? 0)) {
-    return beginLife(state, sinceRestart(belief.listed), born, "told");
+    return beginIncarnation(state, entryAfterRestart(belief.listed), born, "told");
   }
-  keepEarly(state, belief.listed.id, holdings);
+  keepPendingHoldings(state, belief.listed.id, holdings);
   return undefined;
 }
 
 /** What is left of an entry of the life before: where the target was, but not what it held or that it was leaving. */
-function sinceRestart(listed: ListedTarget): ListedTarget {
+function entryAfterRestart(listed: ListedTarget): ListedTarget {
   return { ...listed, leaving: false, models: listed.models && [] };
 }
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,5 +1,5 @@
-export * from "./belief.js";
+export * from "./target-view.js";
 export * from "./fleet.js";
-export type { FleetRules, LapseRule } from "./fleet-state.js";
+export type { FleetPolicies, LapsePolicy } from "./fleet-state.js";
 export * from "./health.js";
-export { isSameLife } from "./lives.js";
+export { isSameIncarnation } from "./incarnations.js";
--- a/packages/fleet/src/listing.ts
+++ b/packages/fleet/src/target-list.ts
@@ -1,18 +1,18 @@
 /** Takes the list of targets: who is there, who leaves, and who is missing from it. */
 import type { ListedTarget } from "@linkfall/types";
-import { createBelief, takeListedModels, type TargetBelief } from "./belief.js";
-import { type FleetState, noteChange } from "./fleet-state.js";
-import { isSameLife, lifeOfEntry, noteLifeEnded, takeEarly } from "./lives.js";
+import { createTargetView, applyListedModels, type TargetView } from "./target-view.js";
+import { type FleetState, notifyChange } from "./fleet-state.js";
+import { isSameIncarnation, viewForEntry, notifyIncarnationEnded, applyPendingHoldings } from "./incarnations.js";
 
 /** One entry that goes alone is no lapse, however few there are. */
 const fewestInLapse = 2;
 
 function add(state: FleetState, listed: ListedTarget): void {
-  const { beliefs, engines, clock, logger } = state;
+  const { targets: beliefs, engineShapes: engines, clock, logger } = state;
   const shape = engines.get(listed.service);
-  const belief = createBelief(listed, listed.born, shape, clock.now());
+  const belief = createTargetView(listed, listed.born, shape, clock.now());
   beliefs.set(listed.id, belief);
-  takeEarly(state, belief);
+  applyPendingHoldings(state, belief);
   logger.event("targetSeen", {
     target: listed.id,
     service: listed.service,
@@ -21,40 +21,40 @@
 }
 
 function update(state: FleetState, listed: ListedTarget): void {
-  const known = state.beliefs.get(listed.id);
+  const known = state.targets.get(listed.id);
   if (!known) return add(state, listed);
-  const belief = lifeOfEntry(state, known, listed);
-  belief.wentAt = undefined;
+  const belief = viewForEntry(state, known, listed);
+  belief.unlistedAt = undefined;
   belief.missingSince = undefined;
   // The entry of a life that is over, read again, says nothing of the one that is known by now.
-  if (!isSameLife(listed.born, belief.born)) return;
+  if (!isSameIncarnation(listed.born, belief.born)) return;
   if (listed.leaving && !belief.listed.leaving) {
     state.logger.event("targetLeaving", { target: listed.id, service: listed.service });
   }
   // A target that once said that it leaves does not come back in the same life.
-  const left = belief.listed.leaving && isSameLife(listed.born, belief.listed.born);
+  const left = belief.listed.leaving && isSameIncarnation(listed.born, belief.listed.born);
   belief.listed = { ...listed, leaving: listed.leaving || left };
   belief.born ??= listed.born;
-  if (!state.ownWord()) takeListedModels(belief, state.clock.now());
+  if (!state.hasDirectReports()) applyListedModels(belief, state.clock.now());
 }
 
-function remove(state: FleetState, belief: TargetBelief, why: string): void {
+function remove(state: FleetState, belief: TargetView, why: string): void {
   const { id } = belief.listed;
-  state.beliefs.delete(id);
+  state.targets.delete(id);
   state.logger.event("targetGone", { target: id, why });
-  noteLifeEnded(state, id);
+  notifyIncarnationEnded(state, id);
 }
 
 /** Takes that an entry can't be read: its target gets nothing new until its entry is good again. */
 export function leaveAlone(state: FleetState, id: string): void {
-  const belief = state.beliefs.get(id);
+  const belief = state.targets.get(id);
   if (belief) remove(state, belief, "entry can't be read");
 }
 
-function miss({ clock, logger }: FleetState, belief: TargetBelief): void {
+function miss({ clock, logger }: FleetState, belief: TargetView): void {
   if (belief.missingSince !== undefined) return;
-  belief.wentAt = clock.now();
-  belief.missingSince = belief.wentAt;
+  belief.unlistedAt = clock.now();
+  belief.missingSince = belief.unlistedAt;
   logger.event("targetMissing", { target: belief.listed.id, service: belief.listed.service });
 }
 
@@ -62,20 +62,20 @@
 export function takeList(state: FleetState, list: readonly ListedTarget[]): void {
   const names = new Set(list.map((target) => target.id));
   for (const target of list) update(state, target);
-  for (const belief of state.beliefs.values()) {
+  for (const belief of state.targets.values()) {
     if (!names.has(belief.listed.id)) miss(state, belief);
   }
-  noteChange(state);
+  notifyChange(state);
 }
 
 export function takeEntry(state: FleetState, target: ListedTarget): void {
   update(state, target);
-  noteChange(state);
+  notifyChange(state);
 }
 
 /** Takes that an entry has gone from the list. */
 export function dropEntry(state: FleetState, id: string): void {
-  const belief = state.beliefs.get(id);
+  const belief = state.targets.get(id);
   if (!belief) return;
   if (belief.listed.leaving) remove(state, belief, "left");
   else miss(state, belief);
@@ -86,14 +86,14 @@
  * nothing of it: targets that leave one after the other would be used again, long after their entries went.
  */
 export function wentInLapse(
-  { rules }: FleetState,
-  { wentAt }: TargetBelief,
-  targets: readonly TargetBelief[],
+  { policies: rules }: FleetState,
+  { unlistedAt: wentAt }: TargetView,
+  targets: readonly TargetView[],
 ): boolean {
   if (wentAt === undefined) return false;
-  const { graceMs, share } = rules.lapse;
+  const { graceMs, minShare: share } = rules.lapse;
   const together = targets.filter(
-    (other) => other.wentAt !== undefined && Math.abs(other.wentAt - wentAt) <= graceMs,
+    (other) => other.unlistedAt !== undefined && Math.abs(other.unlistedAt - wentAt) <= graceMs,
   );
   return together.length >= fewestInLapse && together.length >= targets.length * share;
 }
@@ -101,11 +101,11 @@
 /** Removes targets whose lapse has lasted longer than the grace. */
 export function expireLapsed(state: FleetState, storeDisturbed: boolean): void {
   const now = state.clock.now();
-  for (const belief of [...state.beliefs.values()]) {
+  for (const belief of [...state.targets.values()]) {
     if (belief.missingSince === undefined) continue;
     // Nobody can renew an entry while the store is away: the grace begins with its return.
     if (storeDisturbed) belief.missingSince = now;
-    else if (now - belief.missingSince > state.rules.lapse.graceMs) {
+    else if (now - belief.missingSince > state.policies.lapse.graceMs) {
       remove(state, belief, "not listed again");
     }
   }
--- a/packages/fleet/src/belief.ts
+++ b/packages/fleet/src/target-view.ts
@@ -1,13 +1,13 @@
 /** What one box believes of one target. */
 import { createPrefixIndex, type PrefixIndex } from "@linkfall/prefix-index";
 import type {
-  EngineShape,
+  EngineSpec,
   EngineState,
-  Holdings,
+  EngineInventory,
   ListedTarget,
   Milliseconds,
 } from "@linkfall/types";
-import { type Health, healthy } from "./health.js";
+import { type Health, initialHealth } from "./health.js";
 
 /** Work at a target. */
 export interface TargetLoad {
@@ -23,7 +23,7 @@
 const defaultCacheTokens = 100_000;
 
 /** Weights that a target refused to serve, against what it was believed to hold. */
-export interface Denial {
+export interface ModelRefusal {
   /** The number of orders at which it was believed to hold them. */
   readonly sequence: number;
   /** Until when the refusal counts; Infinity until the target has taken another order. */
@@ -31,68 +31,68 @@
 }
 
 /** One target; changed in place by the fleet that owns it. */
-export interface TargetBelief {
+export interface TargetView {
   listed: ListedTarget;
   /** Start of the life that is believed in, as far as it is known. */
   born?: Milliseconds;
   /** When its entry went; absent while it is listed. */
-  wentAt?: Milliseconds;
+  unlistedAt?: Milliseconds;
   /** From when on its absence counts: while the store is disturbed nobody can renew an entry. */
   missingSince?: Milliseconds;
   /** Newest word of what it holds, by the number of orders that it has taken. */
-  holdings: Holdings;
+  holdings: EngineInventory;
   /** When that word was last confirmed. */
-  holdingsAt: Milliseconds;
+  holdingsConfirmedAt: Milliseconds;
   state?: EngineState;
-  stateAt: Milliseconds;
-  own: TargetLoad;
-  others: TargetLoad;
+  stateReadAt: Milliseconds;
+  ownLoad: TargetLoad;
+  otherBoxesLoad: TargetLoad;
   health: Health;
   /** Until then it has asked for no requests. */
   backOffUntil: Milliseconds;
   /** Models that are about to be dropped: nothing new is sent for them. */
-  withheld: ReadonlySet<string>;
+  withheldModels: ReadonlySet<string>;
   /** Weights that the target has just refused to serve. */
-  denied: Map<string, Denial>;
-  readonly prefixes: PrefixIndex;
+  modelRefusals: Map<string, ModelRefusal>;
+  readonly prefixIndex: PrefixIndex;
 }
 
 /** Sequence of a target that has not been asked for its state. */
 const unknownSequence = -1;
 
-export function createBelief(
+export function createTargetView(
   listed: ListedTarget,
   born: Milliseconds | undefined,
-  engine: EngineShape | undefined,
+  engine: EngineSpec | undefined,
   now: Milliseconds,
-): TargetBelief {
+): TargetView {
   const cacheTokens = engine?.cacheTokens ?? defaultCacheTokens;
   return {
     listed,
     born,
     holdings: { born, sequence: unknownSequence, models: listed.models ?? [] },
-    holdingsAt: now,
-    stateAt: -Infinity,
-    own: noLoad,
-    others: noLoad,
-    health: healthy,
+    holdingsConfirmedAt: now,
+    stateReadAt: -Infinity,
+    ownLoad: noLoad,
+    otherBoxesLoad: noLoad,
+    health: initialHealth,
     backOffUntil: -Infinity,
-    withheld: new Set(),
-    denied: new Map(),
-    prefixes: createPrefixIndex(cacheTokens * cacheShare),
+    withheldModels: new Set(),
+    modelRefusals: new Map(),
+    prefixIndex: createPrefixIndex(cacheTokens * cacheShare),
   };
 }
 
 /** Whether the target is believed to hold the model, and the adapter where one is named. */
-export function holds(
-  belief: TargetBelief,
+export function hasModelLoaded(
+  belief: TargetView,
   model: string,
   adapter: string | undefined,
   now: Milliseconds,
 ): boolean {
-  if (belief.withheld.has(model)) return false;
+  if (belief.withheldModels.has(model)) return false;
   const key = adapter === undefined ? model : `${model}/${adapter}`;
-  const denial = belief.denied.get(key);
+  const denial = belief.modelRefusals.get(key);
   if (denial?.sequence === belief.holdings.sequence && now < denial.until) return false;
   const resident = belief.holdings.models.find((held) => held.name === model);
   if (!resident) return false;
@@ -100,10 +100,10 @@
 }
 
 /** Takes newer holdings of the life that is believed in; returns whether anything changed. */
-export function takeHoldings(belief: TargetBelief, holdings: Holdings, now: Milliseconds): boolean {
+export function applyHoldings(belief: TargetView, holdings: EngineInventory, now: Milliseconds): boolean {
   const known = belief.holdings;
   if (holdings.sequence < known.sequence) return false;
-  belief.holdingsAt = now;
+  belief.holdingsConfirmedAt = now;
   belief.born ??= holdings.born;
   const changed =
     holdings.sequence !== known.sequence ||
@@ -115,16 +115,16 @@
 }
 
 /** Takes what the list says of a target's models; its own word of the same sequence counts more. */
-export function takeListedModels(belief: TargetBelief, now: Milliseconds): boolean {
+export function applyListedModels(belief: TargetView, now: Milliseconds): boolean {
   const { models, born } = belief.listed;
   if (!models || (born !== undefined && born !== belief.born)) return false;
-  return takeHoldings(belief, { sequence: belief.holdings.sequence, models }, now);
+  return applyHoldings(belief, { sequence: belief.holdings.sequence, models }, now);
 }
 
-function dropGone(belief: TargetBelief, before: Holdings, after: Holdings): void {
+function dropGone(belief: TargetView, before: EngineInventory, after: EngineInventory): void {
   const names = new Set(after.models.map((model) => model.name));
   for (const model of before.models) {
-    if (!names.has(model.name)) belief.prefixes.drop(model.name);
+    if (!names.has(model.name)) belief.prefixIndex.dropModel(model.name);
   }
-  belief.denied.clear();
+  belief.modelRefusals.clear();
 }
--- a/packages/lease-holder/src/lease-clock.steps.ts
+++ b/packages/lease-holder/src/lease-clock.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
 import type { Lease } from "@linkfall/state-fold";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import fc from "fast-check";
 import { createLeaseClock, type LeaseClock } from "./lease-clock.js";
 
@@ -22,11 +22,11 @@
       fc.property(delay, delay, delay, delay, (sentAt, inLog, read, wait) => {
         const holder = createLeaseClock();
         const rival = createLeaseClock();
-        holder.sent(lease.epoch, sentAt);
+        holder.recordSent(lease.epoch, sentAt);
         const readAt = sentAt + inLog + read;
-        rival.read(lease, readAt);
+        rival.recordRead(lease, readAt);
         const now = readAt + wait;
-        assert.ok(!(holder.heldNow(lease, now) && rival.lapsed(lease, 0, now)));
+        assert.ok(!(holder.isHeld(lease, now) && rival.hasExpired(lease, 0, now)));
       }),
       { seed: 3, numRuns: 1_000 },
     );
@@ -35,15 +35,15 @@
 
 Given("a lease of 1000 ms that a rival has read at 500 ms", function (this: object) {
   const rival = createLeaseClock();
-  rival.read(lease, 500);
-  notes(this).set("rival", rival);
+  rival.recordRead(lease, 500);
+  scenarioState(this).set("rival", rival);
 });
 
 Then(
   "it has not lapsed for the rival at 1500 ms and has at 1701 ms with a margin of 200 ms",
   function (this: object) {
-    const rival = notes(this).get<LeaseClock>("rival");
-    assert.equal(rival.lapsed(lease, 200, 1_500), false);
-    assert.equal(rival.lapsed(lease, 200, 1_701), true);
+    const rival = scenarioState(this).get<LeaseClock>("rival");
+    assert.equal(rival.hasExpired(lease, 200, 1_500), false);
+    assert.equal(rival.hasExpired(lease, 200, 1_701), true);
   },
 );
--- a/packages/lease-holder/src/lease-clock.ts
+++ b/packages/lease-holder/src/lease-clock.ts
@@ -7,16 +7,16 @@
 
 export interface LeaseClock {
   /** Notes that the record at `offset` of a lease of this box was sent no earlier than `sentAt`. */
-  sent(epoch: Epoch, sentAt: Milliseconds): void;
+  recordSent(epoch: Epoch, sentAt: Milliseconds): void;
   /** Notes that a claim or a renewal was read. */
-  read(lease: Lease, now: Milliseconds): void;
+  recordRead(lease: Lease, now: Milliseconds): void;
   /** Whether this box may still act under its own lease. */
-  heldNow(lease: Lease, elapsed: Milliseconds): boolean;
+  isHeld(lease: Lease, elapsed: Milliseconds): boolean;
   /** Whether a rival may claim the lease of another box. */
-  lapsed(lease: Lease, margin: Milliseconds, now: Milliseconds): boolean;
+  hasExpired(lease: Lease, margin: Milliseconds, now: Milliseconds): boolean;
 }
 
-interface ReadMark {
+interface LeaseRead {
   readonly touched: Offset;
   readonly at: Milliseconds;
 }
@@ -24,20 +24,20 @@
 /** Creates a clock that knows no lease. */
 export function createLeaseClock(): LeaseClock {
   const sentAt = new Map<Epoch, Milliseconds>();
-  const readAt = new Map<string, ReadMark>();
+  const readAt = new Map<string, LeaseRead>();
   return {
-    sent(epoch, at) {
+    recordSent(epoch, at) {
       sentAt.set(epoch, Math.max(at, sentAt.get(epoch) ?? -Infinity));
     },
-    read(lease, now) {
+    recordRead(lease, now) {
       if (readAt.get(lease.pool)?.touched === lease.touched) return;
       readAt.set(lease.pool, { touched: lease.touched, at: now });
     },
-    heldNow(lease, elapsed) {
+    isHeld(lease, elapsed) {
       const start = sentAt.get(lease.epoch);
       return start !== undefined && !lease.released && elapsed < start + lease.leaseMs;
     },
-    lapsed(lease, margin, now) {
+    hasExpired(lease, margin, now) {
       if (lease.released) return true;
       const mark = readAt.get(lease.pool);
       if (mark?.touched !== lease.touched) return false;
--- a/packages/lease-holder/src/lease-holder.ts
+++ b/packages/lease-holder/src/lease-holder.ts
@@ -32,13 +32,13 @@
 
 export interface LeaseHolder {
   /** The newest lease of this box on the pool, unless another box's claim has been read. */
-  held(pool: string): HeldLease | undefined;
+  heldLease(pool: string): HeldLease | undefined;
   /** Pools whose newest lease is this box's. */
-  heldPools(): readonly HeldLease[];
+  heldLeases(): readonly HeldLease[];
   /** Pools that this box serves. */
   servedPools(): readonly string[];
   /** Names of the boxes that serve a pool, as this box sees the members. */
-  boxesOf(pool: string): readonly string[];
+  boxesServing(pool: string): readonly string[];
   /** Gives all leases up, at a planned stop. */
   releaseAll(): Promise<void>;
 }
@@ -61,7 +61,7 @@
   let renewedAt = -Infinity;
   let writing = false;
 
-  const note = (lease: Lease) => leases.read(lease, clock.now());
+  const note = (lease: Lease) => leases.recordRead(lease, clock.now());
   store.onFold((event) => {
     if (event.type === "lease_claimed" || event.type === "lease_renewed") note(event.lease);
     if (event.type === "lease_claimed") noteTakeover(event.lease);
@@ -108,7 +108,7 @@
     );
     result.ifRight((folded) => {
       for (const event of folded) {
-        if (event.type === "lease_renewed") leases.sent(event.lease.epoch, sentAt);
+        if (event.type === "lease_renewed") leases.recordSent(event.lease.epoch, sentAt);
       }
     });
   };
@@ -130,7 +130,7 @@
     );
     result.ifRight((folded) => {
       for (const event of folded) {
-        if (event.type === "lease_claimed") leases.sent(event.lease.epoch, sentAt);
+        if (event.type === "lease_claimed") leases.recordSent(event.lease.epoch, sentAt);
       }
     });
     freeSince.delete(pool);
@@ -141,7 +141,7 @@
     if (!lease) return true;
     // A lease of this very process can be renewed, whatever its clock says, while none supersedes it.
     if (lease.holder === incarnation && !lease.released) return false;
-    return leases.lapsed(lease, settings.margin_ms, clock.now());
+    return leases.hasExpired(lease, settings.margin_ms, clock.now());
   };
 
   /** The first pool that is free and that it is this box's turn to claim. */
@@ -174,19 +174,19 @@
   const toHeld = (lease: Lease): HeldLease => ({
     pool: lease.pool,
     epoch: lease.epoch,
-    valid: leases.heldNow(lease, clock.elapsed()),
+    valid: leases.isHeld(lease, clock.elapsed()),
   });
 
   const loop = repeatEvery(clock, kernel.find(randomName), checkMs, check);
   return {
-    held(pool) {
+    heldLease(pool) {
       const lease = store.state().leases.get(pool);
       if (!lease || lease.holder !== incarnation || lease.released) return undefined;
       return toHeld(lease);
     },
-    heldPools: () => mine().map(toHeld),
+    heldLeases: () => mine().map(toHeld),
     servedPools,
-    boxesOf,
+    boxesServing: boxesOf,
     async releaseAll() {
       releasing = true;
       const held = mine();
--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -27,13 +27,13 @@
 }
 
 /** Weight memory of an accelerator in a role. */
-export function capacityOf(engine: Engine, index: number, role: EngineRole): Mebibytes {
+export function weightCapacityMb(engine: Engine, index: number, role: EngineRole): Mebibytes {
   const whole = engine.acceleratorsMb[index];
   return role === "batch" ? whole - engine.batchReserveMb : whole;
 }
 
 /** The least capacity over the reported role and every role that an order may still bring. */
-function capacityNow(
+function minCapacityMb(
   engine: Engine,
   index: number,
   report: EngineReport,
@@ -41,15 +41,15 @@
 ) {
   const ordered = orders.flatMap((order) => (order.kind === "role" ? [order.role] : []));
   const roles = [report.role, ...ordered];
-  return Math.min(...roles.map((role) => capacityOf(engine, index, role)));
+  return Math.min(...roles.map((role) => weightCapacityMb(engine, index, role)));
 }
 
-function sumOf(parts: readonly { readonly sizeMb: Mebibytes }[]): Mebibytes {
+function totalSizeMb(parts: readonly { readonly sizeMb: Mebibytes }[]): Mebibytes {
   return parts.reduce((sum, part) => sum + part.sizeMb, 0);
 }
 
 /** Whether the report already shows the memory that the order asks for. */
-function showsLoad(residents: readonly Resident[], order: LoadOrder): boolean {
+function isLoadReported(residents: readonly Resident[], order: LoadOrder): boolean {
   return residents.some(
     (resident) => resident.artifact === order.artifact && resident.state !== "unloading",
   );
@@ -60,7 +60,7 @@
  *
  * @param unresolved orders that the engine has not yet shown as settled
  */
-export function ledgersOf(
+export function computeLedgers(
   engine: Engine,
   report: EngineReport,
   unresolved: readonly Order[],
@@ -70,28 +70,28 @@
     const here = unresolved.filter((order) => order.kind !== "role" && order.accelerator === index);
     const pendingLoads = here
       .filter((order) => order.kind === "load")
-      .filter((order) => !showsLoad(residents, order));
+      .filter((order) => !isLoadReported(residents, order));
     const unloads = here.flatMap((order) => (order.kind === "unload" ? [order.artifact] : []));
-    const capacityMb = capacityNow(engine, index, report, unresolved);
+    const capacityMb = minCapacityMb(engine, index, report, unresolved);
     return {
       index,
       capacityMb,
       residents,
       pendingLoads,
       pendingUnloads: new Set(unloads),
-      freeMb: capacityMb - sumOf(residents) - sumOf(pendingLoads),
+      freeMb: capacityMb - totalSizeMb(residents) - totalSizeMb(pendingLoads),
     };
   });
 }
 
 /** Asserts, right before an order is given, that it cannot overcommit memory. */
-export function assertRoomFor(
+export function assertMemoryAvailable(
   order: Order,
   engine: Engine,
   report: EngineReport,
   unresolved: readonly Order[],
 ): void {
-  const after = ledgersOf(engine, report, [...unresolved, order]);
+  const after = computeLedgers(engine, report, [...unresolved, order]);
   const mayShrink = order.kind === "load" || order.kind === "role";
   if (!mayShrink) return;
   const touched = order.kind === "load" ? [after[order.accelerator]] : after;
--- a/packages/ledger/src/ledger.steps.ts
+++ b/packages/ledger/src/ledger.steps.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { InvariantBroken } from "@linkfall/errors";
-import { engine, notes, report } from "@linkfall/test-support";
+import { engine, scenarioState, report } from "@linkfall/test-support";
 import type { EngineRole, LoadOrder, Order } from "@linkfall/types";
-import { assertRoomFor, ledgersOf } from "./index.js";
+import { assertMemoryAvailable, computeLedgers } from "./index.js";
 
 const declared = engine("e1");
 const head = { id: "o1", engine: "e1", engineIncarnation: "e1-1", epoch: 1, cause: "reachability" };
@@ -17,28 +17,32 @@
 
 Given("an engine of 100 MB that reports 40 MB in use", function (this: object) {
   const resident = { artifact: "model:a@1", accelerator: 0, sizeMb: 40, state: "ready" } as const;
-  notes(this).set("report", report("e1", { residents: [resident] }));
-  notes(this).set("open", []);
+  scenarioState(this).set("report", report("e1", { residents: [resident] }));
+  scenarioState(this).set("open", []);
 });
 
 When("a load of 30 MB has been ordered and is not in the report yet", function (this: object) {
-  notes(this).set("open", [load(30)]);
+  scenarioState(this).set("open", [load(30)]);
 });
 
 When("its resident has been ordered to go", function (this: object) {
   const unload: Order = { ...load(40), kind: "unload", artifact: "model:a@1" };
-  notes(this).set("open", [unload]);
+  scenarioState(this).set("open", [unload]);
 });
 
 When(
   "the role {string} has been ordered, which takes 20 MB",
   function (this: object, role: EngineRole) {
-    notes(this).set("open", [{ ...head, kind: "role", role }]);
+    scenarioState(this).set("open", [{ ...head, kind: "role", role }]);
   },
 );
 
 Then("{int} MB are free", function (this: object, free: number) {
-  const [ledger] = ledgersOf(declared, notes(this).get("report"), notes(this).get("open"));
+  const [ledger] = computeLedgers(
+    declared,
+    scenarioState(this).get("report"),
+    scenarioState(this).get("open"),
+  );
   assert.equal(ledger.freeMb, free);
 });
 
@@ -46,7 +50,7 @@
   "giving an order to load {int} MB stops with the invariant {string}",
   function (this: object, sizeMb: number, name: string) {
     assert.throws(
-      () => assertRoomFor(load(sizeMb), declared, notes(this).get("report"), []),
+      () => assertMemoryAvailable(load(sizeMb), declared, scenarioState(this).get("report"), []),
       (problem) => problem instanceof InvariantBroken && problem.invariant === name,
     );
   },
--- a/packages/log-follower/src/log-follower.ts
+++ b/packages/log-follower/src/log-follower.ts
@@ -18,13 +18,13 @@
 import { match } from "ts-pattern";
 import { restoreFromLog } from "./restore.js";
 
-const readBatch = 500;
+const maxBatchRecords = 500;
 
 export interface LogFollower {
   /** Reads to the end of the log and answers with the offset that the state has reached. */
   catchUp(): Promise<Either<LogFailure, Offset>>;
   /** Time since the log last answered a read; Infinity before the first answer. */
-  silentFor(): Milliseconds;
+  sinceLastResponseMs(): Milliseconds;
 }
 
 export const logFollowerName = serviceName<LogFollower>("log-follower");
@@ -53,7 +53,7 @@
   };
 
   const restore = async (first: Offset): Promise<Either<LogFailure, Offset>> => {
-    const restored = await restoreFromLog(port, first, readBatch);
+    const restored = await restoreFromLog(port, first, maxBatchRecords);
     return restored.caseOf<Either<LogFailure, Offset>>({
       // No snapshot is no empty state: the box goes on asking, and its peers meanwhile.
       Left: (failure) =>
@@ -71,7 +71,7 @@
 
   /** One read; Right(true) when the end of the log has been reached. */
   const readOnce = async (): Promise<Either<LogFailure, boolean>> => {
-    const read = await port.read(streams.state, store.state().offset + 1, readBatch);
+    const read = await port.read(streams.state, store.state().offset + 1, maxBatchRecords);
     if (read.isLeft()) {
       const failure = read.extract() as LogFailure;
       if (failure.kind !== "log_truncated") return Left(failure);
@@ -120,7 +120,7 @@
   });
   return {
     catchUp,
-    silentFor: () => clock.now() - answeredAt,
+    sinceLastResponseMs: () => clock.now() - answeredAt,
     async start() {
       void catchUp();
       await loop.start();
--- a/packages/log-writer/src/index.ts
+++ b/packages/log-writer/src/index.ts
@@ -14,9 +14,9 @@
 import type { Incarnation, Milliseconds, Offset, StateRecord } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
 
-const appendBurst = 20;
-const firstRetryWait: Milliseconds = 100;
-const longestRetryWait: Milliseconds = 2_000;
+const appendBurstSize = 20;
+const initialRetryWaitMs: Milliseconds = 100;
+const maxRetryWaitMs: Milliseconds = 2_000;
 
 /** The record was not read back in time. It may be in the log, or come there late. */
 export interface AppendUnknown {
@@ -24,7 +24,7 @@
 }
 
 /** Makes the record once its identifier is known. */
-export type RecordOf = (id: string) => StateRecord;
+export type RecordFactory = (id: string) => StateRecord;
 
 export interface LogWriter {
   /**
@@ -32,7 +32,7 @@
    * A record that was given up on becomes void once a later one of this box is in the log.
    */
   append(
-    record: RecordOf,
+    record: RecordFactory,
     limit: Milliseconds,
   ): Promise<Either<AppendUnknown, readonly FoldEvent[]>>;
 }
@@ -49,7 +49,7 @@
   const port = kernel.find(logPortName);
   const incarnation = kernel.find(incarnationName);
   const rate = kernel.find(settingsName).platform.append_rate;
-  const bucket = createTokenBucket(clock, { rate, burst: appendBurst });
+  const bucket = createTokenBucket(clock, { rate, burst: appendBurstSize });
   const seen = new Map<string, FoldEvent[]>();
   let sequence = 0;
   let queue: Promise<unknown> = Promise.resolve();
@@ -63,13 +63,13 @@
     (store.state().writers.get(incarnation)?.highest ?? 0) >= number;
 
   const appendOnce = async (data: string): Promise<Either<LogFailure, Offset>> => {
-    while (!bucket.take()) await sleep(clock, bucket.waitFor());
+    while (!bucket.take()) await sleep(clock, bucket.msUntil());
     metrics.count("linkfall_log_appends_total", "Appends sent to the log", { stream: "state" });
     return port.append(streams.state, data);
   };
 
   const appendUntilFolded = async (data: string, number: number, giveUpAt: Milliseconds) => {
-    let wait = firstRetryWait;
+    let wait = initialRetryWaitMs;
     while (clock.now() < giveUpAt) {
       const appended = await appendOnce(data);
       const read = await follower.catchUp();
@@ -80,14 +80,14 @@
         if (isFolded(number)) return true;
       }
       await sleep(clock, Math.max(0, Math.min(wait, giveUpAt - clock.now())));
-      wait = Math.min(longestRetryWait, 2 * wait);
+      wait = Math.min(maxRetryWaitMs, 2 * wait);
       if (isFolded(number)) return true;
     }
     return false;
   };
 
   const run = async (
-    recordOf: RecordOf,
+    recordOf: RecordFactory,
     giveUpAt: Milliseconds,
   ): Promise<Either<AppendUnknown, readonly FoldEvent[]>> => {
     const number = ++sequence;
--- a/packages/model-demand/src/index.ts
+++ b/packages/model-demand/src/index.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from "@linkfall/types";
 
 /** Weights that a request asks for. */
-export interface Wanted {
+export interface RequestedWeights {
   readonly service: string;
   readonly model: string;
   readonly adapter?: string;
@@ -14,7 +14,7 @@
   /** Time in which its answer is to begin. */
   readonly objectiveMs: Milliseconds;
   /** Time for which an engine has to read its prompt. */
-  readonly readingMs: Milliseconds;
+  readonly prefillMs: Milliseconds;
 }
 
 /** Demand for the weights of one model, as one box or all boxes see it. */
@@ -40,47 +40,47 @@
   readonly idleMs: Milliseconds;
 }
 
-export interface DemandMeter {
+export interface ModelDemandMeter {
   /** Notes a request; the returned function notes its end. */
-  begins(wanted: Wanted, request: RequestDemand): () => void;
+  recordRequest(wanted: RequestedWeights, request: RequestDemand): () => void;
   /** Notes that a request waits for weights; the returned function ends the wait. */
-  waits(wanted: Wanted): () => void;
+  recordWait(wanted: RequestedWeights): () => void;
   /** Demand of now, without models that nobody has asked for lately. */
   read(): readonly ModelDemand[];
 }
 
 /** Time over which requests in flight are averaged. */
-const averageMs: Milliseconds = 1_000;
+const averagingWindowMs: Milliseconds = 1_000;
 /** Time over which the rate before is averaged: longer than a load from disk, so that growth shows before it. */
-const earlierMs: Milliseconds = 3_000;
+const baselineWindowMs: Milliseconds = 3_000;
 const millisecondsPerSecond = 1_000;
 /** Models that were not asked for in this time are left out. */
-const forgetMs: Milliseconds = 120_000;
-const shownDigits = 100;
+const retentionMs: Milliseconds = 120_000;
+const roundingFactor = 100;
 
-interface Entry {
+interface DemandEntry {
   readonly service: string;
   readonly model: string;
   inFlight: number;
-  average: number;
+  averageInFlight: number;
   reading: number;
   rate: number;
   earlierRate: number;
   objectiveMs: Milliseconds;
-  averagedAt: Milliseconds;
-  lastAt: Milliseconds;
+  updatedAt: Milliseconds;
+  lastRequestAt: Milliseconds;
   waiting: number;
-  readonly adapters: Map<string, number>;
+  readonly waitingAdapters: Map<string, number>;
 }
 
 /** Brings the average up to now. */
-function settle(entry: Entry, now: Milliseconds): void {
-  const kept = Math.exp(-(now - entry.averagedAt) / averageMs);
-  entry.average = entry.average * kept + entry.inFlight * (1 - kept);
+function updateAverages(entry: DemandEntry, now: Milliseconds): void {
+  const kept = Math.exp(-(now - entry.updatedAt) / averagingWindowMs);
+  entry.averageInFlight = entry.averageInFlight * kept + entry.inFlight * (1 - kept);
   entry.reading *= kept;
   entry.rate *= kept;
-  entry.earlierRate *= Math.exp(-(now - entry.averagedAt) / earlierMs);
-  entry.averagedAt = now;
+  entry.earlierRate *= Math.exp(-(now - entry.updatedAt) / baselineWindowMs);
+  entry.updatedAt = now;
 }
 
 /** Calls an action at most once. */
@@ -94,74 +94,74 @@
 }
 
 /** Creates the meter of one box. */
-export function createDemandMeter(clock: Clock): DemandMeter {
-  const entries = new Map<string, Entry>();
+export function createModelDemandMeter(clock: Clock): ModelDemandMeter {
+  const entries = new Map<string, DemandEntry>();
 
-  const entryOf = ({ service, model }: Wanted): Entry => {
+  const entryOf = ({ service, model }: RequestedWeights): DemandEntry => {
     const key = `${service} ${model}`;
     const now = clock.now();
-    const entry: Entry = entries.get(key) ?? {
+    const entry: DemandEntry = entries.get(key) ?? {
       service,
       model,
       inFlight: 0,
-      average: 0,
+      averageInFlight: 0,
       reading: 0,
       rate: 0,
       earlierRate: 0,
       objectiveMs: Infinity,
-      averagedAt: now,
-      lastAt: now,
+      updatedAt: now,
+      lastRequestAt: now,
       waiting: 0,
-      adapters: new Map(),
+      waitingAdapters: new Map(),
     };
     entries.set(key, entry);
     return entry;
   };
 
-  const countInFlight = (entry: Entry, by: number) => {
+  const countInFlight = (entry: DemandEntry, by: number) => {
     const now = clock.now();
-    settle(entry, now);
+    updateAverages(entry, now);
     entry.inFlight += by;
-    entry.lastAt = now;
+    entry.lastRequestAt = now;
   };
 
-  const countWaiting = (entry: Entry, adapter: string | undefined, by: number) => {
+  const countWaiting = (entry: DemandEntry, adapter: string | undefined, by: number) => {
     if (adapter === undefined) {
       entry.waiting += by;
       return;
     }
-    const left = (entry.adapters.get(adapter) ?? 0) + by;
-    if (left > 0) entry.adapters.set(adapter, left);
-    else entry.adapters.delete(adapter);
+    const left = (entry.waitingAdapters.get(adapter) ?? 0) + by;
+    if (left > 0) entry.waitingAdapters.set(adapter, left);
+    else entry.waitingAdapters.delete(adapter);
   };
 
-  const toDemand = (entry: Entry): ModelDemand => {
-    settle(entry, clock.now());
+  const toDemand = (entry: DemandEntry): ModelDemand => {
+    updateAverages(entry, clock.now());
     return {
       service: entry.service,
       model: entry.model,
-      inFlight: Math.round(entry.average * shownDigits) / shownDigits,
-      reading: Math.round(entry.reading * shownDigits) / shownDigits,
-      rate: Math.round(entry.rate * shownDigits) / shownDigits,
-      earlierRate: Math.round(entry.earlierRate * shownDigits) / shownDigits,
+      inFlight: Math.round(entry.averageInFlight * roundingFactor) / roundingFactor,
+      reading: Math.round(entry.reading * roundingFactor) / roundingFactor,
+      rate: Math.round(entry.rate * roundingFactor) / roundingFactor,
+      earlierRate: Math.round(entry.earlierRate * roundingFactor) / roundingFactor,
       objectiveMs: entry.objectiveMs,
       waiting: entry.waiting,
-      waitingAdapters: Object.fromEntries(entry.adapters),
-      idleMs: entry.inFlight > 0 ? 0 : Math.round(clock.now() - entry.lastAt),
+      waitingAdapters: Object.fromEntries(entry.waitingAdapters),
+      idleMs: entry.inFlight > 0 ? 0 : Math.round(clock.now() - entry.lastRequestAt),
     };
   };
 
   return {
-    begins(wanted, { objectiveMs, readingMs }) {
+    recordRequest(wanted, { objectiveMs, prefillMs: readingMs }) {
       const entry = entryOf(wanted);
       entry.objectiveMs = Math.min(entry.objectiveMs, objectiveMs);
       countInFlight(entry, 1);
-      entry.reading += readingMs / averageMs;
-      entry.rate += millisecondsPerSecond / averageMs;
-      entry.earlierRate += millisecondsPerSecond / earlierMs;
+      entry.reading += readingMs / averagingWindowMs;
+      entry.rate += millisecondsPerSecond / averagingWindowMs;
+      entry.earlierRate += millisecondsPerSecond / baselineWindowMs;
       return once(() => countInFlight(entry, -1));
     },
-    waits(wanted) {
+    recordWait(wanted) {
       const entry = entryOf(wanted);
       countWaiting(entry, wanted.adapter, 1);
       return once(() => countWaiting(entry, wanted.adapter, -1));
@@ -169,7 +169,7 @@
     read() {
       const now = clock.now();
       for (const [key, entry] of entries) {
-        if (entry.inFlight === 0 && now - entry.lastAt > forgetMs) entries.delete(key);
+        if (entry.inFlight === 0 && now - entry.lastRequestAt > retentionMs) entries.delete(key);
       }
       return [...entries.values()].map(toDemand);
     },
@@ -182,12 +182,12 @@
   for (const demand of readings.flat()) {
     const key = `${demand.service} ${demand.model}`;
     const known = sums.get(key);
-    sums.set(key, known ? add(known, demand) : demand);
+    sums.set(key, known ? addDemand(known, demand) : demand);
   }
   return [...sums.values()];
 }
 
-function add(left: ModelDemand, right: ModelDemand): ModelDemand {
+function addDemand(left: ModelDemand, right: ModelDemand): ModelDemand {
   const adapters: Record<string, number> = { ...left.waitingAdapters };
   for (const [name, waiting] of Object.entries(right.waitingAdapters)) {
     adapters[name] = (adapters[name] ?? 0) + waiting;
--- a/packages/model-demand/src/model-demand.steps.ts
+++ b/packages/model-demand/src/model-demand.steps.ts
@@ -1,11 +1,16 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
-import { createDemandMeter, type DemandMeter, type ModelDemand, sumDemand } from "./index.js";
+import {
+  createModelDemandMeter,
+  type ModelDemandMeter,
+  type ModelDemand,
+  sumDemand,
+} from "./index.js";
 
 interface Scene {
   readonly clock: VirtualClock;
-  readonly meters: readonly DemandMeter[];
+  readonly meters: readonly ModelDemandMeter[];
   readonly ends: (() => void)[];
 }
 
@@ -14,7 +19,7 @@
 
 function begin(world: object, meters: number): Scene {
   const clock = createVirtualClock();
-  const made = Array.from({ length: meters }, () => createDemandMeter(clock));
+  const made = Array.from({ length: meters }, () => createModelDemandMeter(clock));
   const scene = { clock, meters: made, ends: [] };
   scenes.set(world, scene);
   return scene;
@@ -35,7 +40,8 @@
 
 Given("a meter in which {int} requests for m begin", function (this: object, count: number) {
   const { meters, ends } = begin(this, 1);
-  for (let index = 0; index < count; index++) ends.push(meters[0].begins(wanted, requestDemand));
+  for (let index = 0; index < count; index++)
+    ends.push(meters[0].recordRequest(wanted, requestDemand));
 });
 
 Given(
@@ -43,7 +49,8 @@
   function (this: object, count: number) {
     const { meters, ends } = begin(this, 2);
     for (const meter of meters) {
-      for (let index = 0; index < count; index++) ends.push(meter.begins(wanted, requestDemand));
+      for (let index = 0; index < count; index++)
+        ends.push(meter.recordRequest(wanted, requestDemand));
     }
   },
 );
@@ -52,9 +59,9 @@
   "a meter in which {int} requests wait for m and {int} for its adapter x",
   function (this: object, plain: number, adapted: number) {
     const { meters, ends } = begin(this, 1);
-    for (let index = 0; index < plain; index++) ends.push(meters[0].waits(wanted));
+    for (let index = 0; index < plain; index++) ends.push(meters[0].recordWait(wanted));
     for (let index = 0; index < adapted; index++) {
-      ends.push(meters[0].waits({ ...wanted, adapter: "x" }));
+      ends.push(meters[0].recordWait({ ...wanted, adapter: "x" }));
     }
   },
 );
@@ -65,7 +72,7 @@
     const { meters, clock } = begin(this, 1);
     const seconds = 5;
     for (let index = 0; index < count * seconds; index++) {
-      meters[0].begins(wanted, requestDemand)();
+      meters[0].recordRequest(wanted, requestDemand)();
       await clock.runUntil(clock.now() + 1_000 / count);
     }
   },
@@ -77,7 +84,7 @@
     const { meters, clock } = begin(this, 1);
     const come = async (perSecond: number, count: number) => {
       for (let index = 0; index < count; index++) {
-        meters[0].begins(wanted, requestDemand)();
+        meters[0].recordRequest(wanted, requestDemand)();
         await clock.runUntil(clock.now() + 1_000 / perSecond);
       }
     };
--- a/packages/once/src/index.ts
+++ b/packages/once/src/index.ts
@@ -1,3 +1,3 @@
 export * from "./once-memory.js";
-export * from "./shared-answer.js";
+export * from "./shared-response.js";
 export * from "./tickets.js";
--- a/packages/once/src/once-memory.ts
+++ b/packages/once/src/once-memory.ts
@@ -4,22 +4,22 @@
 import type { CallerResponse } from "@linkfall/ports";
 import { notRun, outcomeOf, outcomeUnknown, refusalResponse } from "@linkfall/refusals";
 import type { Milliseconds } from "@linkfall/types";
-import { type SharedAnswer, shareAnswer } from "./shared-answer.js";
-import type { OnceId, TicketOffice } from "./tickets.js";
+import { type SharedResponse, shareResponse } from "./shared-response.js";
+import type { OnceId, TicketIssuer } from "./tickets.js";
 
 /** Limits of the memory. */
 export interface OnceLimits {
   readonly retentionMs: Milliseconds;
-  readonly entries: number;
-  readonly answerBytes: number;
+  readonly maxEntries: number;
+  readonly maxAnswerBytes: number;
 }
 
 interface OnceEntry {
   readonly forgetAt: Milliseconds;
   /** Its answer; given up to save memory, while the entry itself stays. */
-  answer?: Promise<SharedAnswer>;
+  answer?: Promise<SharedResponse>;
   /** The answer once it has ended, while its bytes are counted. */
-  held?: SharedAnswer;
+  held?: SharedResponse;
 }
 
 export interface OnceMemory {
@@ -35,7 +35,7 @@
 /** Creates an empty memory. */
 export function createOnceMemory(
   clock: Clock,
-  office: TicketOffice,
+  office: TicketIssuer,
   limits: OnceLimits,
 ): OnceMemory {
   const entries = new Map<string, OnceEntry>();
@@ -57,14 +57,14 @@
 
   const release = (entry: OnceEntry) => {
     if (!holding.delete(entry)) return;
-    heldBytes -= entry.held?.size() ?? 0;
+    heldBytes -= entry.held?.sizeBytes() ?? 0;
     entry.held = undefined;
   };
 
   /** Gives up the oldest answers; that their requests ran stays remembered. */
   const trimAnswers = () => {
     for (const entry of holding) {
-      if (heldBytes <= limits.answerBytes) return;
+      if (heldBytes <= limits.maxAnswerBytes) return;
       release(entry);
       entry.answer = undefined;
     }
@@ -76,7 +76,7 @@
     if (!answer || entries.get(key) !== entry) return;
     entry.held = answer;
     holding.add(entry);
-    heldBytes += answer.size();
+    heldBytes += answer.sizeBytes();
     trimAnswers();
   };
 
@@ -85,14 +85,14 @@
     id: OnceId,
     execute: () => Promise<CallerResponse>,
   ): Promise<CallerResponse> => {
-    const answer = execute().then(shareAnswer);
+    const answer = execute().then(shareResponse);
     const entry: OnceEntry = {
       forgetAt: id.expiresAt + limits.retentionMs,
       answer,
     };
     invariant(!entries.has(key), "runs-at-most-once", () => key);
     entries.set(key, entry);
-    const first = (await answer).reader();
+    const first = (await answer).createReader();
     if (outcomeOf(first) === "not_run") entries.delete(key);
     else void keepWhenFinished(key, entry);
     return first;
@@ -105,14 +105,14 @@
       );
     }
     const answer = await entry.answer;
-    const response = answer.reader();
+    const response = answer.createReader();
     return { ...response, headers: { ...response.headers, "linkfall-repeated": "true" } };
   };
 
   return {
     async run(id, account, execute) {
       forgetOld();
-      if (!office.isGenuine(id, account)) {
+      if (!office.isValid(id, account)) {
         return refusalResponse(notRun("ticket_invalid", "the ticket is not one of this account"));
       }
       const key = keyOf(id);
@@ -128,7 +128,7 @@
       if (now >= id.expiresAt) {
         return refusalResponse(notRun("ticket_expired", "ask /v1/entries for a new ticket", 0));
       }
-      if (entries.size >= limits.entries) {
+      if (entries.size >= limits.maxEntries) {
         const wait = Math.max(0, ([...entries.values()][0]?.forgetAt ?? now) - now);
         return refusalResponse(
           notRun("once_memory_full", "too many requests are remembered", wait),
--- a/packages/once/src/once.steps.ts
+++ b/packages/once/src/once.steps.ts
@@ -3,10 +3,10 @@
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
 import type { BodyPart, CallerResponse } from "@linkfall/ports";
 import { jsonResponse, notRun, refusalResponse } from "@linkfall/refusals";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { Right } from "purify-ts";
 import { createOnceMemory, type OnceMemory } from "./once-memory.js";
-import { createTicketOffice, type OnceId, parseOnceId } from "./tickets.js";
+import { createTicketIssuer, type OnceId, parseOnceId } from "./tickets.js";
 
 const lifetimeMs = 1_000;
 const retentionMs = 5_000;
@@ -19,15 +19,15 @@
   runs: number;
 }
 
-const ownerOf = (world: object) => notes(world).get<Owner>("owner");
+const ownerOf = (world: object) => scenarioState(world).get<Owner>("owner");
 
 Given(
   "the owner of a ticket of account {string} with room for 2 requests",
   function (this: object, account: string) {
     const clock = createVirtualClock();
-    const office = createTicketOffice(clock, "b@aa", "secret", lifetimeMs);
+    const office = createTicketIssuer(clock, "b@aa", "secret", lifetimeMs);
     const memory = createOnceMemory(clock, office, limits);
-    notes(this).set("owner", { clock, memory, ticket: office.issue(account).id, runs: 0 });
+    scenarioState(this).set("owner", { clock, memory, ticket: office.issue(account).id, runs: 0 });
   },
 );
 
@@ -64,12 +64,12 @@
   const early = [run(owner, "r"), run(owner, "r")].map(async (each) => readAll(await each));
   await owner.clock.runUntil(100);
   const late = readAll(await run(owner, "r"));
-  notes(this).set("texts", await Promise.all([...early, late]));
+  scenarioState(this).set("texts", await Promise.all([...early, late]));
 });
 
 Then("it ran once and all 3 got the whole answer", function (this: object) {
   assert.equal(ownerOf(this).runs, 1);
-  assert.deepEqual(notes(this).get("texts"), Array(3).fill("whole answer"));
+  assert.deepEqual(scenarioState(this).get("texts"), Array(3).fill("whole answer"));
 });
 
 When(
@@ -83,13 +83,13 @@
     await half;
     await parts.return?.();
     await owner.clock.runUntil(100);
-    notes(this).set("texts", [await readAll(await run(owner, "r"))]);
+    scenarioState(this).set("texts", [await readAll(await run(owner, "r"))]);
   },
 );
 
 Then("it ran once and the repeat got the whole answer", function (this: object) {
   assert.equal(ownerOf(this).runs, 1);
-  assert.deepEqual(notes(this).get("texts"), ["whole answer"]);
+  assert.deepEqual(scenarioState(this).get("texts"), ["whole answer"]);
 });
 
 When("a request is refused as not run and comes again", async function (this: object) {
@@ -109,14 +109,17 @@
 When(
   "account {string} sends a request under the ticket",
   async function (this: object, account: string) {
-    notes(this).set("answer", await run(ownerOf(this), "r", [], account));
+    scenarioState(this).set("answer", await run(ownerOf(this), "r", [], account));
   },
 );
 
 When("a request comes under a ticket with another seal", async function (this: object) {
   const owner = ownerOf(this);
   const id = { ...idOf(owner, "r"), seal: "0".repeat(24) };
-  notes(this).set("answer", await owner.memory.run(id, "one", async () => jsonResponse({})));
+  scenarioState(this).set(
+    "answer",
+    await owner.memory.run(id, "one", async () => jsonResponse({})),
+  );
 });
 
 When(
@@ -124,21 +127,21 @@
   async function (this: object) {
     const owner = ownerOf(this);
     await owner.clock.runUntil(lifetimeMs + 1);
-    notes(this).set("answer", await run(owner, "r"));
+    scenarioState(this).set("answer", await run(owner, "r"));
   },
 );
 
 When("a request comes after the time for which runs are remembered", async function (this: object) {
   const owner = ownerOf(this);
   await owner.clock.runUntil(lifetimeMs + retentionMs + 1);
-  notes(this).set("answer", await run(owner, "r"));
+  scenarioState(this).set("answer", await run(owner, "r"));
 });
 
 When("3 different requests come", async function (this: object) {
   const owner = ownerOf(this);
   await run(owner, "r1");
   await run(owner, "r2");
-  notes(this).set("answer", await run(owner, "r3"));
+  scenarioState(this).set("answer", await run(owner, "r3"));
 });
 
 When(
@@ -147,12 +150,12 @@
     const owner = ownerOf(this);
     await run(owner, "r", ["x".repeat(101)]);
     await owner.clock.runUntil(100);
-    notes(this).set("answer", await run(owner, "r"));
+    scenarioState(this).set("answer", await run(owner, "r"));
   },
 );
 
 async function assertRefused(world: object, outcome: string, code: string): Promise<void> {
-  const { error } = JSON.parse(await readAll(notes(world).get<CallerResponse>("answer")));
+  const { error } = JSON.parse(await readAll(scenarioState(world).get<CallerResponse>("answer")));
   assert.deepEqual([error.outcome, error.code], [outcome, code]);
 }
 
--- a/packages/once/src/shared-answer.ts
+++ b/packages/once/src/shared-response.ts
@@ -1,19 +1,19 @@
 /** An answer that is read to its end whether or not its caller stays, and that others may read too. */
 import type { BodyPart, CallerResponse } from "@linkfall/ports";
 
-export interface SharedAnswer {
+export interface SharedResponse {
   /** A response of its own for one more reader, from the first byte on. */
-  reader(): CallerResponse;
+  createReader(): CallerResponse;
   /** Resolves when the last part is in. */
   readonly finished: Promise<void>;
   /** Bytes held. */
-  size(): number;
+  sizeBytes(): number;
   /** Whether the body came to its end whole. */
-  isWhole(): boolean;
+  isComplete(): boolean;
 }
 
 /** Begins to read the answer at once. */
-export function shareAnswer(response: CallerResponse): SharedAnswer {
+export function shareResponse(response: CallerResponse): SharedResponse {
   const parts: BodyPart[] = [];
   let done = false;
   let size = 0;
@@ -47,17 +47,17 @@
   if (response.body instanceof Uint8Array) {
     const whole = response.body;
     return {
-      reader: () => response,
+      createReader: () => response,
       finished: Promise.resolve(),
-      size: () => whole.length,
-      isWhole: () => true,
+      sizeBytes: () => whole.length,
+      isComplete: () => true,
     };
   }
   const finished = readAll(response.body);
   return {
-    reader: () => ({ ...response, body: read() }),
+    createReader: () => ({ ...response, body: read() }),
     finished,
-    size: () => size,
-    isWhole: () => done && parts.every((part) => part.isRight()),
+    sizeBytes: () => size,
+    isComplete: () => done && parts.every((part) => part.isRight()),
   };
 }
--- a/packages/once/src/tickets.ts
+++ b/packages/once/src/tickets.ts
@@ -17,7 +17,7 @@
   readonly ticketNumber: number;
   /** End of the ticket on the owner's own clock. */
   readonly expiresAt: Milliseconds;
-  readonly seal: string;
+  readonly signature: string;
   /** The caller's own part. */
   readonly suffix: string;
 }
@@ -37,26 +37,26 @@
     owner,
     ticketNumber: Number(number),
     expiresAt: Number(expires),
-    seal,
+    signature: seal,
     suffix,
   };
 }
 
-export interface TicketOffice {
+export interface TicketIssuer {
   issue(account: string): Ticket;
   /** Whether this box issued the ticket to this account. */
-  isGenuine(id: OnceId, account: string): boolean;
+  isValid(id: OnceId, account: string): boolean;
   /** Time until the last ticket that was issued ends; 0 when all have. */
-  longestLeft(): Milliseconds;
+  maxRemainingMs(): Milliseconds;
 }
 
 /** Creates the office of one box start, with a secret of its own. */
-export function createTicketOffice(
+export function createTicketIssuer(
   clock: Clock,
   self: Incarnation,
   secret: string,
   lifetime: Milliseconds,
-): TicketOffice {
+): TicketIssuer {
   let issued = 0;
   let lastExpiry = -Infinity;
   const sealOf = (number: number, expiresAt: Milliseconds, account: string) =>
@@ -72,11 +72,11 @@
       const seal = sealOf(issued, expiresAt, account);
       return { id: `${self}.${issued}.${expiresAt}.${seal}`, expiresInMs: lifetime };
     },
-    isGenuine(id, account) {
+    isValid(id, account) {
       const expected = Buffer.from(sealOf(id.ticketNumber, id.expiresAt, account));
-      const given = Buffer.from(id.seal);
+      const given = Buffer.from(id.signature);
       return given.length === expected.length && timingSafeEqual(given, expected);
     },
-    longestLeft: () => Math.max(0, lastExpiry - clock.now()),
+    maxRemainingMs: () => Math.max(0, lastExpiry - clock.now()),
   };
 }
--- a/packages/operator-service/src/status.ts
+++ b/packages/operator-service/src/status-view.ts
@@ -2,9 +2,9 @@
 import type { Kernel } from "@linkfall/kernel";
 import { stateStoreName } from "@linkfall/state-store";
 import { targetWatchName } from "@linkfall/target-watch";
-import { replicasName } from "@linkfall/replicas";
+import { replicaFinderName } from "@linkfall/replicas";
 import { modelArtifact, type Resident } from "@linkfall/types";
-import type { EngineStatus, ModelStatus } from "./answers.js";
+import type { EngineStatus, ModelStatus } from "./api-types.js";
 
 export interface StatusView {
   models(): readonly ModelStatus[];
@@ -15,7 +15,7 @@
 export function createStatusView(kernel: Kernel): StatusView {
   const store = kernel.find(stateStoreName);
   const watch = kernel.find(targetWatchName);
-  const replicas = kernel.find(replicasName);
+  const replicas = kernel.find(replicaFinderName);
 
   const residents = (): readonly Resident[] =>
     [...store.desired().engines.keys()].flatMap(
@@ -32,7 +32,7 @@
         const adapters = [...store.desired().adapters.values()].filter(
           (adapter) => adapter.model === model.name,
         );
-        const callable = adapters.filter((adapter) => replicas.serving(model, adapter).length > 0);
+        const callable = adapters.filter((adapter) => replicas.findServing(model, adapter).length > 0);
         const count = (test: (copy: Resident) => boolean) => copies.filter(test).length;
         return {
           model: model.name,
--- a/packages/order-lease/src/contract.ts
+++ b/packages/order-lease/src/contract.ts
@@ -3,18 +3,18 @@
 import type { Epoch, Incarnation, Milliseconds } from "@linkfall/types";
 
 /** Who holds the right, as far as a box knows. */
-export interface LeaseWord {
+export interface ObservedLease {
   readonly epoch: Epoch;
   readonly holder: Incarnation;
 }
 
-export interface LeaseRules {
+export interface LeaseOptions {
   /** Whether all engines refuse orders of an epoch below one that they have seen. */
   readonly enginesFence: boolean;
   /** Time for which a holder that has not been superseded may go on without the store. */
   readonly leaseMs: Milliseconds;
   /** A holder that has not been heard for this long is taken for gone. */
-  readonly silentMs: Milliseconds;
+  readonly holderTimeoutMs: Milliseconds;
   /** Each later rank among the boxes waits this much longer before it claims. */
   readonly rankStepMs: Milliseconds;
   readonly checkMs: Milliseconds;
@@ -23,33 +23,33 @@
 /** What the lease has to know of the other boxes. */
 export interface LeasePeers {
   /** Time since the box was heard, undefined when it is not known; 0 for this box. */
-  heardMs(incarnation: Incarnation): Milliseconds | undefined;
+  sinceLastMessageMs(incarnation: Incarnation): Milliseconds | undefined;
   /** Whether that is an earlier life of this very box. The platform starts a process of a box only after the one before has
    * ended, so that such a life gives no orders any more. */
-  ownEarlierLife(incarnation: Incarnation): boolean;
+  isOwnEarlierIncarnation(incarnation: Incarnation): boolean;
   /** Whether that box has said that it leaves. */
-  leaving(incarnation: Incarnation): boolean;
+  isLeaving(incarnation: Incarnation): boolean;
   /** Time for which that box may go on giving orders, as it said last; 0 when it may not. */
-  ordersForMs(incarnation: Incarnation): Milliseconds;
+  remainingLeaseMs(incarnation: Incarnation): Milliseconds;
   /** This box's place in the order in which boxes claim. */
   rank(): number;
   /** Tells all boxes of a claim that this one has made. */
-  claimed(): void;
+  announceClaim(): void;
   /** Whether most boxes are heard and none of them reaches the store. */
-  allWithoutStore(): boolean;
+  isStoreDownForAll(): boolean;
 }
 
 export interface OrderLease extends Service {
   /** The epoch under which this box may give orders now. */
   epoch(): Epoch | undefined;
   /** The newest word of the holder. */
-  known(): LeaseWord | undefined;
+  observedLease(): ObservedLease | undefined;
   /** Takes the word of another box. */
-  hear(word: LeaseWord): void;
+  observe(word: ObservedLease): void;
   /** Notes that an engine refused an order of this epoch. */
-  refused(epoch: Epoch): void;
+  recordRefusal(epoch: Epoch): void;
   /** Time for which this box may go on giving orders. */
-  ordersForMs(): Milliseconds;
+  remainingLeaseMs(): Milliseconds;
   release(): Promise<void>;
 }
 
--- a/packages/order-lease/src/order-lease.steps.ts
+++ b/packages/order-lease/src/order-lease.steps.ts
@@ -12,12 +12,12 @@
 import { loggerName, recordingLogger } from "@linkfall/logger";
 import type { KeyedStreamPort } from "@linkfall/ports";
 import { createKeyedStore, type KeyedStore, type StoreAccess } from "@linkfall/test-support";
-import { createOrderLease, type LeasePeers, type LeaseRules, type OrderLease } from "./index.js";
+import { createOrderLease, type LeasePeers, type LeaseOptions, type OrderLease } from "./index.js";
 
-const rules: LeaseRules = {
+const rules: LeaseOptions = {
   enginesFence: false,
   leaseMs: 3_000,
-  silentMs: 1_800,
+  holderTimeoutMs: 1_800,
   rankStepMs: 300,
   checkMs: 150,
 };
@@ -74,16 +74,16 @@
   );
   const find = (other: string) => boxes.find((box) => box.name === other);
   const peers: LeasePeers = {
-    heardMs: (other) => {
+    sinceLastMessageMs: (other) => {
       const box = find(other);
       return box && (other === name ? 0 : clock.now() - box.heardAt);
     },
-    ownEarlierLife: (other) => other !== name && firstLife(other) === firstLife(name),
-    leaving: (other) => find(other)?.leaving ?? false,
-    ordersForMs: (other) => find(other)?.told.ordersForMs ?? 0,
+    isOwnEarlierIncarnation: (other) => other !== name && firstLife(other) === firstLife(name),
+    isLeaving: (other) => find(other)?.leaving ?? false,
+    remainingLeaseMs: (other) => find(other)?.told.ordersForMs ?? 0,
     rank: () => rank,
-    claimed: () => undefined,
-    allWithoutStore: () =>
+    announceClaim: () => undefined,
+    isStoreDownForAll: () =>
       boxes.every((box) => box.silent || access.get(box.name) === "refuses") &&
       boxes.filter((box) => !box.silent).length * 2 > boxes.length,
   };
@@ -117,9 +117,9 @@
     for (const box of boxes) {
       if (box.silent || clock.now() - box.heardAt < wordMs) continue;
       box.heardAt = clock.now();
-      box.told = { ordersForMs: box.lease.ordersForMs() };
-      const word = box.lease.known();
-      if (word) for (const other of boxes) if (!other.silent) other.lease.hear(word);
+      box.told = { ordersForMs: box.lease.remainingLeaseMs() };
+      const word = box.lease.observedLease();
+      if (word) for (const other of boxes) if (!other.silent) other.lease.observe(word);
     }
     look();
   }
@@ -209,27 +209,27 @@
   "{string} hears of a newer claim of {string}",
   function (this: object, name: string, other: string) {
     const { lease } = boxOf(sceneOf(this), name);
-    lease.hear({ epoch: (lease.epoch() ?? 0) + 5, holder: other });
+    lease.observe({ epoch: (lease.epoch() ?? 0) + 5, holder: other });
   },
 );
 
 When("an engine refuses the epoch of {string}", function (this: object, name: string) {
   const { lease } = boxOf(sceneOf(this), name);
-  lease.refused(lease.epoch() ?? 0);
+  lease.recordRefusal(lease.epoch() ?? 0);
 });
 
 When(
   "box {string} starts and hears of the claim while it reads",
   async function (this: object, name: string) {
     const scene = sceneOf(this);
-    const word = boxOf(scene, "a").lease.known();
+    const word = boxOf(scene, "a").lease.observedLease();
     assert.ok(word);
     const port = scene.store.portFor(name);
     const box: LeaseBox = addBox(scene, name, 1, {
       ...port,
-      async newest() {
-        box.lease.hear(word);
-        return port.newest();
+      async readNewest() {
+        box.lease.observe(word);
+        return port.readNewest();
       },
     });
     // It hears of the claim then and not before.
@@ -357,8 +357,8 @@
   };
   for (let step = 0; step < 12; step++) {
     const box = pick(random, scene.boxes);
-    await choices[random.below(choices.length)](scene, box, seed);
-    await pass(scene, 300 + random.below(3_000), look);
+    await choices[random.nextInt(choices.length)](scene, box, seed);
+    await pass(scene, 300 + random.nextInt(3_000), look);
   }
   for (const box of scene.boxes) {
     box.silent = false;
--- a/packages/order-lease/src/order-lease.ts
+++ b/packages/order-lease/src/order-lease.ts
@@ -7,7 +7,7 @@
 import { loggerName } from "@linkfall/logger";
 import type { KeyedBatch, KeyedStreamPort } from "@linkfall/ports";
 import type { Epoch, Incarnation, Milliseconds, Offset } from "@linkfall/types";
-import type { LeasePeers, LeaseRules, OrderLease } from "./contract.js";
+import type { LeasePeers, LeaseOptions, OrderLease } from "./contract.js";
 
 const leaseKey = "orders";
 /** Stands in place of a holder that has given the right up. */
@@ -47,7 +47,7 @@
   self: Incarnation,
   stream: KeyedStreamPort,
   peers: LeasePeers,
-  rules: LeaseRules,
+  rules: LeaseOptions,
 ): OrderLease {
   const clock = kernel.find(clockName);
   const logger = kernel.find(loggerName);
@@ -101,7 +101,7 @@
     reading = true;
     const sentAt = clock.elapsed();
     const read =
-      state.end === undefined ? await stream.newest() : await stream.changes(state.end, 0);
+      state.end === undefined ? await stream.readNewest() : await stream.readChanges(state.end, 0);
     reading = false;
     read.ifLeft(forget).ifRight((batch) => {
       takeBatch(batch);
@@ -113,10 +113,10 @@
   /** Until when the holder that this box has heard of may give orders. */
   const holderMayOrderUntil = (holder: Incarnation): Milliseconds => {
     if (holder === releasedHolder || holder === self) return clock.now();
-    if (peers.ownEarlierLife(holder)) return clock.now();
-    const heard = peers.heardMs(holder);
-    if (heard !== undefined && heard <= rules.silentMs) {
-      return clock.now() + peers.ordersForMs(holder);
+    if (peers.isOwnEarlierIncarnation(holder)) return clock.now();
+    const heard = peers.sinceLastMessageMs(holder);
+    if (heard !== undefined && heard <= rules.holderTimeoutMs) {
+      return clock.now() + peers.remainingLeaseMs(holder);
     }
     // Unheard, it may have proven its lease just now, and go on for the whole of it. Where engines
     // refuse a lower epoch, it is enough that a holder which the store serves has read of the claim.
@@ -126,7 +126,7 @@
 
   const claim = async () => {
     const before = state.claim.offset;
-    const read = await stream.newest();
+    const read = await stream.readNewest();
     if (read.isLeft()) return;
     read.ifRight(takeBatch);
     // Somebody else was faster, as the read or another box has told meanwhile.
@@ -145,7 +145,7 @@
         epoch: epochOf(offset),
         ordersInMs: Math.round(state.from - clock.now()),
       });
-      peers.claimed();
+      peers.announceClaim();
     });
   };
 
@@ -160,26 +160,26 @@
   const hasLostStore = (holder: Incarnation): boolean => {
     const sinceClaim = clock.now() - state.claimHeardAt;
     if (sinceClaim < rules.leaseMs) return false;
-    return peers.ordersForMs(holder) < rules.leaseMs * lostShare;
+    return peers.remainingLeaseMs(holder) < rules.leaseMs * lostShare;
   };
 
   const holderGone = (): boolean => {
     const { holder } = state.claim;
     if (state.claim.offset < 0 || holder === releasedHolder) return true;
-    const heard = peers.heardMs(holder);
+    const heard = peers.sinceLastMessageMs(holder);
     if (heard !== undefined) {
       state.lastHeardHolder = Math.max(state.lastHeardHolder, clock.now() - heard);
     }
-    if (peers.leaving(holder)) return true;
+    if (peers.isLeaving(holder)) return true;
     if (heard !== undefined && hasLostStore(holder)) return true;
-    return clock.now() - state.lastHeardHolder > rules.silentMs;
+    return clock.now() - state.lastHeardHolder > rules.holderTimeoutMs;
   };
 
   const check = async () => {
     if (stopping) return;
     if (state.claim.holder === self) return keep();
     // Only this box knows for sure that the holder has ended: it waits for no silence and no turn.
-    if (peers.ownEarlierLife(state.claim.holder)) return claim();
+    if (peers.isOwnEarlierIncarnation(state.claim.holder)) return claim();
     if (!holderGone()) {
       state.silentSince = undefined;
       return;
@@ -195,21 +195,21 @@
     epoch() {
       const now = clock.now();
       if (!mine() || stopping || now < state.from) return undefined;
-      if (clock.elapsed() >= state.provenUntil && !peers.allWithoutStore()) return undefined;
+      if (clock.elapsed() >= state.provenUntil && !peers.isStoreDownForAll()) return undefined;
       return epochOf(state.claim.offset);
     },
-    known: () =>
+    observedLease: () =>
       state.claim.offset < 0
         ? undefined
         : { epoch: epochOf(state.claim.offset), holder: state.claim.holder },
-    hear: (word) => takeClaim(word.holder, word.epoch - 1),
-    refused(epoch) {
+    observe: (word) => takeClaim(word.holder, word.epoch - 1),
+    recordRefusal(epoch) {
       state.epochRefused = Math.max(state.epochRefused, epoch);
       logger.event("fenceRefused", { pool: leaseKey, epoch });
     },
-    ordersForMs() {
+    remainingLeaseMs() {
       if (!mine() || stopping) return 0;
-      if (peers.allWithoutStore()) return rules.leaseMs;
+      if (peers.isStoreDownForAll()) return rules.leaseMs;
       return Math.max(0, Math.round(state.provenUntil - clock.elapsed()));
     },
     async release() {
--- a/packages/placement/src/placement.steps.ts
+++ b/packages/placement/src/placement.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { ledgersOf } from "@linkfall/ledger";
-import { engine, model, notes, report } from "@linkfall/test-support";
+import { computeLedgers } from "@linkfall/ledger";
+import { engine, model, scenarioState, report } from "@linkfall/test-support";
 import { type Engine, type Model, modelArtifact, type Resident } from "@linkfall/types";
 import fc from "fast-check";
 import { planPool } from "./plan.js";
@@ -15,7 +15,12 @@
   readonly leaving = new Set<string>();
   readonly busy = new Map<string, number>();
   shares = new Map<string, number>();
-  limits: PlanLimits = { attainmentWeight: 1, movesWeight: 1, mayUnload: true, spareMoves: 0 };
+  limits: PlanLimits = {
+    attainmentWeight: 1,
+    movesWeight: 1,
+    mayUnload: true,
+    demandMoveBudget: 0,
+  };
 
   constructor(
     readonly engines: readonly Engine[],
@@ -28,15 +33,15 @@
     return {
       engines: this.engines.map((declared) => ({
         engine: declared,
-        accelerators: ledgersOf(
+        accelerators: computeLedgers(
           declared,
           report(declared.name, { residents: this.residents.get(declared.name) }),
           [],
         ),
         role: "mixed",
-        roleOrdered: false,
-        orderable: !this.leaving.has(declared.name),
-        counted: !this.leaving.has(declared.name),
+        roleChangePending: false,
+        acceptsOrders: !this.leaving.has(declared.name),
+        available: !this.leaving.has(declared.name),
         utilisation: this.busy.get(declared.name) ?? 0,
       })),
       models: this.models.map((entry) => ({
@@ -90,7 +95,7 @@
   }
 }
 
-const poolOf = (world: object) => notes(world).get<SmallPool>("pool");
+const poolOf = (world: object) => scenarioState(world).get<SmallPool>("pool");
 
 Given(
   "3 engines of 100 MB in 3 domains, and 6 models of 30 MB of which {string} wants 2 copies",
@@ -101,7 +106,7 @@
     const models = [0, 1, 2, 3, 4, 5].map((index) =>
       model(`m${index}`, { sizeMb: 30, minReplicas: `m${index}` === name ? 2 : 1 }),
     );
-    notes(this).set("pool", new SmallPool(engines, models));
+    scenarioState(this).set("pool", new SmallPool(engines, models));
   },
 );
 
@@ -222,7 +227,7 @@
   "the plan adds a copy of {string} at equal weights and none when moves weigh 200 times as much",
   function (this: object, name: string) {
     const small = poolOf(this);
-    small.limits = { ...small.limits, spareMoves: 1 };
+    small.limits = { ...small.limits, demandMoveBudget: 1 };
     const [move] = small.plan().moves;
     assert.ok(move.kind === "load" && move.artifact === modelArtifact(name, "1"));
     assert.equal(move.cause, "demand");
--- a/packages/placement/src/pool-view.ts
+++ b/packages/placement/src/pool-view.ts
@@ -7,11 +7,11 @@
   readonly engine: Engine;
   readonly accelerators: readonly AcceleratorLedger[];
   readonly role: EngineRole;
-  readonly roleOrdered: boolean;
+  readonly roleChangePending: boolean;
   /** Whether it can be given orders now. */
-  readonly orderable: boolean;
+  readonly acceptsOrders: boolean;
   /** Whether its replicas count: it has reported lately and is not leaving. */
-  readonly counted: boolean;
+  readonly available: boolean;
   /** Requests in it for each place in its batch, smoothed; above 1 requests wait. */
   readonly utilisation: number;
 }
@@ -33,7 +33,7 @@
   /** False until no other holder's order can take effect anywhere in the pool. */
   readonly mayUnload: boolean;
   /** Moves of spare replicas that the rate limit still allows. */
-  readonly spareMoves: number;
+  readonly demandMoveBudget: number;
 }
 
 export interface PoolView {
@@ -56,7 +56,7 @@
 ] as const;
 export type MoveCause = (typeof moveCauses)[number];
 
-interface PlacedMove {
+interface ArtifactMove {
   readonly engine: string;
   readonly accelerator: number;
   readonly artifact: string;
@@ -65,8 +65,8 @@
 }
 
 export type Move =
-  | ({ readonly kind: "load" } & PlacedMove)
-  | ({ readonly kind: "unload" } & PlacedMove)
+  | ({ readonly kind: "load" } & ArtifactMove)
+  | ({ readonly kind: "unload" } & ArtifactMove)
   | {
       readonly kind: "role";
       readonly engine: string;
--- a/packages/pool-control/src/fences.ts
+++ b/packages/pool-control/src/fences.ts
@@ -9,12 +9,12 @@
 export interface Fences {
   /** Raises the fence wherever it does not stand, and takes in what the engines answer. */
   raise(): Promise<void>;
-  standsOn(engine: Engine): boolean;
+  isRaisedOn(engine: Engine): boolean;
   /** Whether no order of another holder that this session does not know can take effect there. */
   isSafe(engine: Engine): boolean;
-  standsEverywhere(): boolean;
+  isRaisedEverywhere(): boolean;
   /** Notes that an engine refused this session's epoch. */
-  refused(engine: string): void;
+  invalidate(engine: string): void;
 }
 
 /** Creates the fences of a session; none stands yet. */
@@ -59,9 +59,9 @@
       }
       stood = stands;
     },
-    standsOn,
+    isRaisedOn: standsOn,
     isSafe,
-    standsEverywhere,
-    refused: (engine) => void raisedOn.delete(engine),
+    isRaisedEverywhere: standsEverywhere,
+    invalidate: (engine) => void raisedOn.delete(engine),
   };
 }
