--- a/packages/pool-control/src/intents.ts
+++ b/packages/pool-control/src/intents.ts
@@ -9,15 +9,15 @@
 
 export interface Intents {
   /** Brings the book in step with the intents that stand in the log, an earlier holder's included. */
-  adopt(): void;
+  syncWithLog(): void;
   /** Records orders that are in the book; those that did not come into the log leave it again. */
   record(orders: readonly Order[]): Promise<void>;
   /** Removes settled orders from the book and notes in the log that they are. */
   settle(): Promise<void>;
   /** Finds out what became of an append without an answer. */
-  resolveDoubt(): Promise<void>;
+  resolveInDoubt(): Promise<void>;
   /** Whether such an append stands out; nothing new may be planned then. */
-  inDoubt(): boolean;
+  hasInDoubt(): boolean;
 }
 
 /** Creates the intents of a session. */
@@ -26,7 +26,7 @@
   const writer = kernel.find(logWriterName);
   const logger = kernel.find(loggerName);
   const limit = kernel.find(settingsName).lease.lease_ms;
-  const { lease, book } = context;
+  const { lease, openOrders: book } = context;
   let unsettled: Settlement[] = [];
   /** Orders whose intents may or may not be in the log. */
   let doubtful: readonly Order[] = [];
@@ -36,7 +36,7 @@
 
   const dropUnrecorded = (orders: readonly Order[]) => {
     for (const order of orders) {
-      if (!store.state().intents.has(order.id)) book.drop(order.id);
+      if (!store.state().intents.has(order.id)) book.remove(order.id);
     }
   };
 
@@ -48,7 +48,7 @@
     for (const { order } of book.all()) {
       const unfenced = context.engineNamed(order.engine)?.fenced === false;
       const isDoubtful = doubtful.some((other) => other.id === order.id);
-      if (unfenced && !isDoubtful && !store.state().intents.has(order.id)) book.drop(order.id);
+      if (unfenced && !isDoubtful && !store.state().intents.has(order.id)) book.remove(order.id);
     }
   };
 
@@ -63,7 +63,7 @@
   };
 
   return {
-    adopt() {
+    syncWithLog() {
       dropSettledElsewhere();
       for (const intent of store.state().intents.values()) {
         if (intent.pool === lease.pool && !book.has(intent.order.id)) {
@@ -81,21 +81,21 @@
     },
     async settle() {
       takeSettled();
-      if (unsettled.length === 0 || !context.isValid()) return;
+      if (unsettled.length === 0 || !context.isLeaseValid()) return;
       const settlements = unsettled;
       unsettled = [];
       const written = await appendSettled(settlements);
       // What was not written is settled again: the intent still stands in the log.
       if (written.isLeft()) unsettled.push(...settlements);
     },
-    async resolveDoubt() {
-      if (doubtful.length === 0 || !context.isValid()) return;
+    async resolveInDoubt() {
+      if (doubtful.length === 0 || !context.isLeaseValid()) return;
       // Once a later record of this box is in the log, the fold passes over the doubtful one.
       const barrier = await appendSettled([]);
       if (barrier.isLeft()) return;
       dropUnrecorded(doubtful);
       doubtful = [];
     },
-    inDoubt: () => doubtful.length > 0,
+    hasInDoubt: () => doubtful.length > 0,
   };
 }
--- a/packages/pool-control/src/order-book.ts
+++ b/packages/pool-control/src/open-orders.ts
@@ -7,29 +7,29 @@
   sentAt: Milliseconds;
 }
 
-export interface OrderBook {
+export interface OpenOrders {
   add(order: Order, sentAt: Milliseconds): void;
   has(id: string): boolean;
   /** Orders of an engine that are not settled. */
-  openOf(engine: string): readonly Order[];
+  forEngine(engine: string): readonly Order[];
   all(): readonly OpenOrder[];
   /** Removes the orders that the report shows as settled. */
   settle(report: EngineReport): readonly Settlement[];
   /** Removes an order that is certain never to be sent. */
-  drop(id: string): void;
+  remove(id: string): void;
   /** Removes the orders of an engine that is no longer declared. */
-  dropEngine(engine: string): void;
+  removeEngine(engine: string): void;
 }
 
 /** Creates an empty book. */
-export function createOrderBook(): OrderBook {
+export function createOpenOrders(): OpenOrders {
   const open = new Map<string, OpenOrder>();
   const ofEngine = (engine: string) =>
     [...open.values()].filter((entry) => entry.order.engine === engine);
   return {
     add: (order, sentAt) => void open.set(order.id, { order, sentAt }),
     has: (id) => open.has(id),
-    openOf: (engine) => ofEngine(engine).map((entry) => entry.order),
+    forEngine: (engine) => ofEngine(engine).map((entry) => entry.order),
     all: () => [...open.values()],
     settle(report) {
       const shown = new Set(report.settledOrders);
@@ -42,8 +42,8 @@
         sequence: report.sequence,
       }));
     },
-    drop: (id) => void open.delete(id),
-    dropEngine(engine) {
+    remove: (id) => void open.delete(id),
+    removeEngine(engine) {
       for (const entry of ofEngine(engine)) open.delete(entry.order.id);
     },
   };
--- a/packages/pool-control/src/order-sender.ts
+++ b/packages/pool-control/src/order-sender.ts
@@ -9,19 +9,19 @@
 import type { Engine, Order, OrderReply } from "@linkfall/types";
 import { match } from "ts-pattern";
 import type { Fences } from "./fences.js";
-import type { OpenOrder } from "./order-book.js";
+import type { OpenOrder } from "./open-orders.js";
 import type { PoolContext } from "./pool-context.js";
-import type { ServedElsewhere } from "./served-elsewhere.js";
+import type { ServedElsewhereCheck } from "./served-elsewhere.js";
 
 export interface OrderSender {
   /** Sends an order that is in the book, and enters it in the audit trail. */
   issue(order: Order): Promise<void>;
   /** Sends again what has had no effect for some time. */
-  repeatDue(): Promise<void>;
+  resendDue(): Promise<void>;
 }
 
 /** An order in words. */
-export function describe(order: Order): string {
+export function describeOrder(order: Order): string {
   if (order.kind === "role") return `${order.engine}: role ${order.role} (${order.cause})`;
   return `${order.engine}/${order.accelerator}: ${order.kind} ${order.artifact} (${order.cause})`;
 }
@@ -31,7 +31,7 @@
   kernel: Kernel,
   context: PoolContext,
   fences: Fences,
-  servedElsewhere: ServedElsewhere,
+  servedElsewhere: ServedElsewhereCheck,
 ): OrderSender {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
@@ -40,22 +40,22 @@
   const logger = kernel.find(loggerName);
   const metrics = kernel.find(metricsName);
   const repeatMs = kernel.find(settingsName).targets.order_repeat_ms;
-  const { lease, book } = context;
+  const { lease, openOrders: book } = context;
 
   const maySend = (engine: Engine, order: Order) => {
-    if (!context.isCurrent()) return false;
+    if (!context.isLeaseCurrent()) return false;
     // Decided some time ago, perhaps, and the copy that was to stay may be lost since. The order waits in the
     // book until another copy serves.
     if (order.kind === "unload" && !servedElsewhere(order)) return false;
-    if (engine.fenced) return fences.standsOn(engine);
-    return context.isValid() && store.state().intents.has(order.id);
+    if (engine.fenced) return fences.isRaisedOn(engine);
+    return context.isLeaseValid() && store.state().intents.has(order.id);
   };
 
   const takeReply = (engine: Engine, order: Order, reply: OrderReply) =>
     match(reply)
       .with({ kind: "accepted" }, () => undefined)
       .with({ kind: "stale_epoch" }, ({ fence }) => {
-        fences.refused(engine.name);
+        fences.invalidate(engine.name);
         logger.event("fenceRefused", { engine: engine.name, epoch: lease.epoch, fence });
       })
       .with({ kind: "refused" }, ({ reason }) =>
@@ -82,14 +82,14 @@
       subject: { kind: "order", name: order.id },
       oldRevision: 0,
       newRevision: 0,
-      detail: describe(order),
+      detail: describeOrder(order),
     });
   };
 
   const repeat = async (entry: OpenOrder) => {
     const engine = context.engineNamed(entry.order.engine);
     if (!engine) {
-      book.dropEngine(entry.order.engine);
+      book.removeEngine(entry.order.engine);
       return;
     }
     entry.sentAt = clock.now();
@@ -103,7 +103,7 @@
       recordAudit(order);
       await send(engine, order);
     },
-    async repeatDue() {
+    async resendDue() {
       const now = clock.now();
       const due = book.all().filter((entry) => now - entry.sentAt >= repeatMs);
       await Promise.all(due.map(repeat));
--- a/packages/pool-control/src/pool-control.ts
+++ b/packages/pool-control/src/pool-control.ts
@@ -28,12 +28,12 @@
   const ticking = new Set<PoolSession>();
 
   kernel.find(targetWatchName).onReport((watched) => {
-    for (const session of sessions.values()) session.takeReport(watched);
+    for (const session of sessions.values()) session.handleReport(watched);
   });
 
   /** Ends the sessions of leases that are gone, and starts one for each new lease. */
   const alignSessions = () => {
-    const held = leases.heldPools();
+    const held = leases.heldLeases();
     const epochs = new Map(held.map((lease) => [lease.pool, lease.epoch]));
     for (const [pool, session] of sessions) {
       if (epochs.get(pool) !== session.epoch) sessions.delete(pool);
--- a/packages/pool-control/src/pool-session.ts
+++ b/packages/pool-control/src/pool-session.ts
@@ -7,19 +7,19 @@
 import { invariant } from "@linkfall/errors";
 import { clockName, type Kernel, randomName } from "@linkfall/kernel";
 import type { HeldLease } from "@linkfall/lease-holder";
-import { assertRoomFor } from "@linkfall/ledger";
+import { assertMemoryAvailable } from "@linkfall/ledger";
 import { loggerName } from "@linkfall/logger";
 import { type Move, type Plan, planPool } from "@linkfall/placement";
-import type { WatchedReport } from "@linkfall/target-watch";
+import type { EngineReportRecord } from "@linkfall/target-watch";
 import { createTokenBucket } from "@linkfall/token-bucket";
 import type { Milliseconds, Order } from "@linkfall/types";
 import { createFences } from "./fences.js";
 import { createIntents } from "./intents.js";
-import { createLoadSlots, loadsUnderWay, mayStillLoad } from "./load-slots.js";
-import { createOrderSender, describe } from "./order-sender.js";
+import { createStoreLoadLimiter, countActiveLoads, mayStillLoad } from "./store-load-limiter.js";
+import { createOrderSender, describeOrder } from "./order-sender.js";
 import { createPoolContext } from "./pool-context.js";
-import { createPoolViewer } from "./pool-view.js";
-import { createServedElsewhere } from "./served-elsewhere.js";
+import { createPoolViewBuilder } from "./pool-view.js";
+import { createServedElsewhereCheck } from "./served-elsewhere.js";
 
 const secondsPerMinute = 60;
 
@@ -37,7 +37,7 @@
   /** One round: raise fences, settle, repeat, plan and order. */
   tick(): Promise<void>;
   /** Takes a report of one of the pool's engines. */
-  takeReport(watched: WatchedReport): void;
+  handleReport(watched: EngineReportRecord): void;
   status(): SessionStatus;
 }
 
@@ -50,29 +50,29 @@
   const context = createPoolContext(kernel, lease);
   const fences = createFences(kernel, context);
   const intents = createIntents(kernel, context);
-  const servedElsewhere = createServedElsewhere(kernel, context);
+  const servedElsewhere = createServedElsewhereCheck(kernel, context);
   const sender = createOrderSender(kernel, context, fences, servedElsewhere);
-  const viewer = createPoolViewer(kernel, context, fences);
-  const slots = createLoadSlots(clock, context.pool());
+  const viewer = createPoolViewBuilder(kernel, context, fences);
+  const slots = createStoreLoadLimiter(clock, context.pool());
   const spareMoves = createTokenBucket(clock, {
     rate: placement.moves_per_minute / secondsPerMinute,
     burst: placement.moves_per_minute,
   });
-  const { book } = context;
+  const { openOrders: book } = context;
   const movedAt = new Map<string, Milliseconds>();
   let unplaceable: readonly string[] = [];
 
   /** Right after a takeover the engines are given time to report before anything is missed. */
   const isSettling = () => {
     const allReported = context.engines().every((engine) => context.reportOf(engine.name));
-    return !allReported && clock.now() - context.takenAt < targets.silent_lost_ms;
+    return !allReported && clock.now() - context.startedAt < targets.silent_lost_ms;
   };
 
   const coolingDown = (model: string) =>
     clock.now() - (movedAt.get(model) ?? -Infinity) < placement.cooldown_ms;
 
   const plan = (): Plan => {
-    const planned = planPool(viewer.view(spareMoves.waitFor() === 0 ? 1 : 0, coolingDown));
+    const planned = planPool(viewer.build(spareMoves.msUntil() === 0 ? 1 : 0, coolingDown));
     if (planned.unplaceable.length > 0 && unplaceable.length === 0) {
       logger.event("unplaceable", { pool: lease.pool, models: planned.unplaceable.join(",") });
     }
@@ -86,8 +86,8 @@
     let loads = 0;
     for (const engine of context.engines()) {
       const report = context.reportOf(engine.name)?.report;
-      if (report) loads += loadsUnderWay(report, context.openOrdersOf(engine.name));
-      else if (mayStillLoad(context.takenAt, targets.load_timeout_ms, now)) loads += 1;
+      if (report) loads += countActiveLoads(report, context.openOrdersOf(engine.name));
+      else if (mayStillLoad(context.startedAt, targets.load_timeout_ms, now)) loads += 1;
     }
     return loads;
   };
@@ -119,7 +119,7 @@
     for (const move of moves) {
       const report = context.reportOf(move.engine)?.report;
       if (!report) continue;
-      if (move.kind === "load" && !slots.take(context.pool(), loads)) continue;
+      if (move.kind === "load" && !slots.tryAcquire(context.pool(), loads)) continue;
       if (move.kind === "load") loads += 1;
       noteSpareMove(move);
       orders.push(toOrder(move, report.engineIncarnation));
@@ -133,9 +133,9 @@
       const engine = context.engineNamed(order.engine);
       const report = context.reportOf(order.engine)?.report;
       if (!engine || !report) continue;
-      assertRoomFor(order, engine, report, context.openOrdersOf(order.engine));
+      assertMemoryAvailable(order, engine, report, context.openOrdersOf(order.engine));
       invariant(order.kind !== "unload" || servedElsewhere(order), "last-replica-stays", () =>
-        describe(order),
+        describeOrder(order),
       );
       book.add(order, clock.now());
     }
@@ -149,25 +149,25 @@
     await Promise.all(fenced.map(sender.issue));
     if (unfenced.length === 0) return;
     await intents.record(unfenced);
-    if (!intents.inDoubt()) await Promise.all(unfenced.map(sender.issue));
+    if (!intents.hasInDoubt()) await Promise.all(unfenced.map(sender.issue));
   };
 
   return {
     epoch: lease.epoch,
-    takeReport: viewer.takeReport,
+    handleReport: viewer.handleReport,
     async tick() {
-      intents.adopt();
+      intents.syncWithLog();
       await fences.raise();
       await intents.settle();
-      await sender.repeatDue();
-      await intents.resolveDoubt();
-      if (!context.isCurrent() || isSettling() || intents.inDoubt()) return;
+      await sender.resendDue();
+      await intents.resolveInDoubt();
+      if (!context.isLeaseCurrent() || isSettling() || intents.hasInDoubt()) return;
       await planAndOrder();
     },
     status: () => ({
       pool: lease.pool,
       epoch: lease.epoch,
-      fenceStands: fences.standsEverywhere(),
+      fenceStands: fences.isRaisedEverywhere(),
       openOrders: book.all().length,
       unplaceable,
     }),
--- a/packages/pool-control/src/pool-view.ts
+++ b/packages/pool-control/src/pool-view.ts
@@ -2,33 +2,37 @@
 import { settingsName } from "@linkfall/config";
 import { demandShares } from "@linkfall/demand-meter";
 import { clockName, type Kernel } from "@linkfall/kernel";
-import { ledgersOf } from "@linkfall/ledger";
+import { computeLedgers } from "@linkfall/ledger";
 import type { EngineView, ModelView, PoolView } from "@linkfall/placement";
 import { stateStoreName } from "@linkfall/state-store";
-import { targetWatchName, type WatchedReport } from "@linkfall/target-watch";
+import { targetWatchName, type EngineReportRecord } from "@linkfall/target-watch";
 import type { Engine } from "@linkfall/types";
 import { usageReportsName } from "@linkfall/usage-report";
 import type { Fences } from "./fences.js";
 import type { PoolContext } from "./pool-context.js";
 
 /** Weight of one report in an engine's smoothed utilisation: it rises at once and falls slowly. */
-const risingStep = 0.5;
-const fallingStep = 0.1;
+const risingWeight = 0.5;
+const fallingWeight = 0.1;
 
-export interface PoolViewer {
+export interface PoolViewBuilder {
   /**
    * The pool now.
    *
    * @param spareMoves moves of spare replicas that the rate limit still allows
    * @param coolingDown whether a model's spare replicas were moved too short a time ago
    */
-  view(spareMoves: number, coolingDown: (model: string) => boolean): PoolView;
+  build(spareMoves: number, coolingDown: (model: string) => boolean): PoolView;
   /** Takes a report of one of the pool's engines. */
-  takeReport(watched: WatchedReport): void;
+  handleReport(watched: EngineReportRecord): void;
 }
 
 /** Creates the viewer of a session. */
-export function createPoolViewer(kernel: Kernel, context: PoolContext, fences: Fences): PoolViewer {
+export function createPoolViewBuilder(
+  kernel: Kernel,
+  context: PoolContext,
+  fences: Fences,
+): PoolViewBuilder {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
   const watch = kernel.find(targetWatchName);
@@ -40,9 +44,9 @@
     engine,
     accelerators: [],
     role: engine.role,
-    roleOrdered: false,
-    orderable: false,
-    counted: false,
+    roleChangePending: false,
+    acceptsOrders: false,
+    available: false,
     utilisation: 0,
   });
 
@@ -51,15 +55,15 @@
     if (!watched) return unseen(engine);
     const open = context.openOrdersOf(engine.name);
     const silentMs = clock.now() - watched.receivedAt;
-    const mayOrder = engine.fenced ? fences.standsOn(engine) : context.isValid();
+    const mayOrder = engine.fenced ? fences.isRaisedOn(engine) : context.isLeaseValid();
     const leaving = watch.isLeaving(engine);
     return {
       engine,
-      accelerators: ledgersOf(engine, watched.report, open),
+      accelerators: computeLedgers(engine, watched.report, open),
       role: watched.report.role,
-      roleOrdered: open.some((order) => order.kind === "role"),
-      orderable: silentMs <= settings.report_stale_ms && mayOrder && !leaving,
-      counted: silentMs <= settings.silent_lost_ms && !leaving,
+      roleChangePending: open.some((order) => order.kind === "role"),
+      acceptsOrders: silentMs <= settings.report_stale_ms && mayOrder && !leaving,
+      available: silentMs <= settings.silent_lost_ms && !leaving,
       utilisation: utilisation.get(engine.name) ?? 0,
     };
   };
@@ -79,23 +83,23 @@
   };
 
   return {
-    view(spareMoves, coolingDown) {
+    build(spareMoves, coolingDown) {
       const { attainmentWeight, movesWeight } = store.desired().deployment;
       const engines = context.engines().map(viewOf);
       // Replicas on an engine that does not count protect nothing, so its fence is not waited for.
-      const mayUnload = engines.every((view) => !view.counted || fences.isSafe(view.engine));
+      const mayUnload = engines.every((view) => !view.available || fences.isSafe(view.engine));
       return {
         engines,
         models: modelViews(coolingDown),
-        limits: { attainmentWeight, movesWeight, mayUnload, spareMoves },
+        limits: { attainmentWeight, movesWeight, mayUnload, demandMoveBudget: spareMoves },
       };
     },
-    takeReport({ report }) {
+    handleReport({ report }) {
       const engine = context.engineNamed(report.engine);
       if (engine?.pool !== context.lease.pool) return;
       const now = (report.running + report.queued) / engine.concurrency;
       const before = utilisation.get(report.engine) ?? now;
-      const step = now > before ? risingStep : fallingStep;
+      const step = now > before ? risingWeight : fallingWeight;
       utilisation.set(report.engine, before + step * (now - before));
     },
   };
--- a/packages/pool-control/src/served-elsewhere.ts
+++ b/packages/pool-control/src/served-elsewhere.ts
@@ -8,10 +8,10 @@
 type UnloadOrder = Extract<Order, { readonly kind: "unload" }>;
 
 /** Says whether another copy, of any version, serves as far as is known now. */
-export type ServedElsewhere = (order: UnloadOrder) => boolean;
+export type ServedElsewhereCheck = (order: UnloadOrder) => boolean;
 
 /** One key for a copy on an accelerator. */
-function slotOf(copy: {
+function copyKey(copy: {
   readonly engine: string;
   readonly accelerator: number;
   readonly artifact: string;
@@ -20,7 +20,10 @@
 }
 
 /** Creates the question for one session. */
-export function createServedElsewhere(kernel: Kernel, context: PoolContext): ServedElsewhere {
+export function createServedElsewhereCheck(
+  kernel: Kernel,
+  context: PoolContext,
+): ServedElsewhereCheck {
   const clock = kernel.find(clockName);
   const watch = kernel.find(targetWatchName);
   const { silent_lost_ms: lostMs } = kernel.find(settingsName).targets;
@@ -36,9 +39,9 @@
     // What nobody declares any more needs no copy.
     if (order.cause === "undeclared") return true;
     const anyVersion = order.artifact.slice(0, order.artifact.lastIndexOf("@") + 1);
-    const unloads = context.book.all().map((entry) => entry.order);
+    const unloads = context.openOrders.all().map((entry) => entry.order);
     const going = new Set(
-      [...unloads, order].flatMap((each) => (each.kind === "unload" ? [slotOf(each)] : [])),
+      [...unloads, order].flatMap((each) => (each.kind === "unload" ? [copyKey(each)] : [])),
     );
     return context
       .engines()
@@ -47,7 +50,7 @@
           (copy) =>
             copy.state === "ready" &&
             copy.artifact.startsWith(anyVersion) &&
-            !going.has(slotOf({ ...copy, engine: engine.name })),
+            !going.has(copyKey({ ...copy, engine: engine.name })),
         ),
       );
   };
--- a/packages/pool-control/src/load-slots.ts
+++ b/packages/pool-control/src/store-load-limiter.ts
@@ -6,13 +6,13 @@
 import { createTokenBucket } from "@linkfall/token-bucket";
 import type { EngineReport, Milliseconds, Order, Pool } from "@linkfall/types";
 
-export interface LoadSlots {
+export interface StoreLoadLimiter {
   /** Takes a slot for one more load if there is one. */
-  take(pool: Pool, underWay: number): boolean;
+  tryAcquire(pool: Pool, underWay: number): boolean;
 }
 
 /** Loads that an engine shows, and load orders that may still start there. */
-export function loadsUnderWay(report: EngineReport, open: readonly Order[]): number {
+export function countActiveLoads(report: EngineReport, open: readonly Order[]): number {
   const loading = report.residents.filter((resident) => resident.state === "loading");
   const shown = new Set(loading.map((resident) => resident.artifact));
   const coming = open.filter((order) => order.kind === "load" && !shown.has(order.artifact));
@@ -20,12 +20,12 @@
 }
 
 /** Creates the slots of one session; its rate starts from nothing, since the former holder's is not known. */
-export function createLoadSlots(clock: Clock, pool: Pool): LoadSlots {
+export function createStoreLoadLimiter(clock: Clock, pool: Pool): StoreLoadLimiter {
   const burst = (limits: Pool) => Math.max(1, Math.floor(limits.loadsPerSecond));
   const bucket = createTokenBucket(clock, { rate: pool.loadsPerSecond, burst: burst(pool) }, 0);
   return {
-    take(current, underWay) {
-      bucket.limit({ rate: current.loadsPerSecond, burst: burst(current) });
+    tryAcquire(current, underWay) {
+      bucket.setLimits({ rate: current.loadsPerSecond, burst: burst(current) });
       return underWay < current.loadsAtOnce && bucket.take();
     },
   };
--- a/packages/process-soak/src/tests/fault-series.ts
+++ b/packages/process-soak/src/tests/fault-series.ts
@@ -28,8 +28,8 @@
   const able = kinds.filter((kind) => kind.subjects.length > 0);
   const faults = Array.from({ length: count }, (): Fault => {
     const { kind, subjects, mostMs } = pick(random, able);
-    const atMs = random.below(lengthMs);
-    const forMs = leastMs + random.below(Math.max(1, Math.min(mostMs, lengthMs - atMs)));
+    const atMs = random.nextInt(lengthMs);
+    const forMs = leastMs + random.nextInt(Math.max(1, Math.min(mostMs, lengthMs - atMs)));
     return { atMs, kind, subject: pick(random, subjects), forMs };
   });
   return faults.sort((left, right) => left.atMs - right.atMs);
--- a/packages/replicas/src/index.ts
+++ b/packages/replicas/src/index.ts
@@ -1,10 +1,10 @@
 /** Finds the engines that can serve a model now. */
 import { clockName, type Kernel, serviceName } from "@linkfall/kernel";
 import { settingsName } from "@linkfall/config";
-import { type Candidate, type EngineLoad, estimateWait, loadOf } from "@linkfall/routing";
+import { type Candidate, type EngineLoad, estimateWaitMs, loadPerSlot } from "@linkfall/routing";
 import { stateStoreName } from "@linkfall/state-store";
 import { targetLoadName } from "@linkfall/target-load";
-import { targetWatchName, type WatchedReport } from "@linkfall/target-watch";
+import { targetWatchName, type EngineReportRecord } from "@linkfall/target-watch";
 import {
   type Adapter,
   adapterArtifact,
@@ -21,22 +21,22 @@
   readonly adapterArtifact?: string;
 }
 
-export interface Replicas {
+export interface ReplicaFinder {
   /**
    * Engines that can serve the model, the adapter with it. Those with the current version come
    * alone; while none has it the older versions serve.
    */
-  serving(model: Model, adapter?: Adapter): readonly Replica[];
+  findServing(model: Model, adapter?: Adapter): readonly Replica[];
   /** Whether a copy is being loaded, so that a wait may be worth it. */
-  isComing(model: Model, adapter?: Adapter): boolean;
+  isLoading(model: Model, adapter?: Adapter): boolean;
 }
 
-export const replicasName = serviceName<Replicas>("replicas");
+export const replicaFinderName = serviceName<ReplicaFinder>("replicas");
 
 /** What one engine offers for a request. */
-interface Offer {
+interface ServingEngine {
   readonly engine: Engine;
-  readonly watched: WatchedReport;
+  readonly watched: EngineReportRecord;
   readonly artifact: string;
   readonly adapterArtifact?: string;
   readonly isCurrent: boolean;
@@ -45,7 +45,7 @@
 const isReady = (resident: Resident) => resident.state === "ready";
 
 /** The ready copy to use on an engine: of the current version, else of any other. */
-function bestCopy(residents: readonly Resident[], current: string): Resident | undefined {
+function selectReadyCopy(residents: readonly Resident[], current: string): Resident | undefined {
   const anyVersion = current.slice(0, current.lastIndexOf("@") + 1);
   const copies = residents.filter(
     (resident) => isReady(resident) && resident.artifact.startsWith(anyVersion),
@@ -54,28 +54,28 @@
 }
 
 /** An adapter copy beside the model copy, on the same accelerator. */
-function adapterBeside(report: EngineReport, base: Resident, adapter: Adapter) {
+function findColocatedAdapter(report: EngineReport, base: Resident, adapter: Adapter) {
   const beside = report.residents.filter((resident) => resident.accelerator === base.accelerator);
-  return bestCopy(beside, adapterArtifact(adapter.name, adapter.version));
+  return selectReadyCopy(beside, adapterArtifact(adapter.name, adapter.version));
 }
 
 /** Creates the finder of one box. */
-export function createReplicas(kernel: Kernel): Replicas {
+export function createReplicaFinder(kernel: Kernel): ReplicaFinder {
   const clock = kernel.find(clockName);
   const store = kernel.find(stateStoreName);
   const watch = kernel.find(targetWatchName);
   const load = kernel.find(targetLoadName);
   const staleMs = kernel.find(settingsName).targets.report_stale_ms;
 
-  const offerOf = (engine: Engine, model: Model, adapter?: Adapter): Offer | undefined => {
+  const offerOf = (engine: Engine, model: Model, adapter?: Adapter): ServingEngine | undefined => {
     const watched = watch.reportOf(engine.name);
     if (!watched || watch.isLeaving(engine)) return undefined;
     // A box that was paused does not know yet which targets have begun to leave meanwhile.
     if (clock.now() - watched.requestedAt > staleMs) return undefined;
     const current = modelArtifact(model.name, model.version);
-    const base = bestCopy(watched.report.residents, current);
+    const base = selectReadyCopy(watched.report.residents, current);
     if (!base) return undefined;
-    const beside = adapter && adapterBeside(watched.report, base, adapter);
+    const beside = adapter && findColocatedAdapter(watched.report, base, adapter);
     if (adapter && !beside) return undefined;
     const isCurrent = base.artifact === current;
     return {
@@ -87,20 +87,20 @@
     };
   };
 
-  const toReplica = (offer: Offer): Replica => {
+  const toReplica = (offer: ServingEngine): Replica => {
     const { engine, watched } = offer;
     const engineLoad: EngineLoad = {
       running: watched.report.running,
       queued: watched.report.queued,
       concurrency: engine.concurrency,
-      sentSince: load.sentSince(engine.name, watched.requestedAt),
-      serviceMs: load.serviceMs(engine.name),
+      unreportedRequests: load.unreportedRequests(engine.name, watched.requestedAt),
+      meanServiceMs: load.meanServiceMs(engine.name),
     };
     return {
       target: engine.name,
       address: engine.address,
-      load: loadOf(engineLoad),
-      waitMs: estimateWait(engineLoad),
+      load: loadPerSlot(engineLoad),
+      waitMs: estimateWaitMs(engineLoad),
       artifact: offer.artifact,
       adapterArtifact: offer.adapterArtifact,
     };
@@ -109,22 +109,22 @@
   const poolEngines = (model: Model) => store.desired().enginesByPool.get(model.pool) ?? [];
 
   /** Those that fulfil the test, or all where none does. */
-  const prefer = (offers: readonly Offer[], test: (offer: Offer) => boolean) => {
+  const prefer = (offers: readonly ServingEngine[], test: (offer: ServingEngine) => boolean) => {
     const preferred = offers.filter(test);
     return preferred.length > 0 ? preferred : offers;
   };
 
   return {
-    serving(model, adapter) {
+    findServing(model, adapter) {
       const now = clock.now();
       const offers = poolEngines(model)
         .map((engine) => offerOf(engine, model, adapter))
         .filter((offer) => offer !== undefined);
       const current = prefer(offers, (offer) => offer.isCurrent);
-      const kept = load.ejection().keep(current, (offer) => offer.engine.name, now);
+      const kept = load.ejection().selectAvailable(current, (offer) => offer.engine.name, now);
       return kept.map(toReplica);
     },
-    isComing(model, adapter) {
+    isLoading(model, adapter) {
       const wanted = [modelArtifact(model.name, model.version)];
       if (adapter) wanted.push(adapterArtifact(adapter.name, adapter.version));
       return poolEngines(model).some((engine) =>
--- a/packages/report-relay/src/incoming.ts
+++ b/packages/report-relay/src/incoming.ts
@@ -21,7 +21,7 @@
   heldFrom(): Incarnation;
   held(): readonly HeldPlacement[];
   /** Takes an answer to a request that was sent at `askedAt`. */
-  take(reply: ReportsReply, askedAt: Milliseconds): readonly ReceivedReport[];
+  applyReply(reply: ReportsReply, askedAt: Milliseconds): readonly ReceivedReport[];
 }
 
 /** Creates the reports of one other box; none has come. */
@@ -39,7 +39,7 @@
     heldFrom: () => heldFrom,
     held: () =>
       [...placements].map(([engine, { version }]) => ({ engine, placementVersion: version })),
-    take(reply, askedAt) {
+    applyReply(reply, askedAt) {
       noteStart(reply.from);
       return reply.reports.flatMap(({ load, ageMs, placementVersion, placement }) => {
         const known = placements.get(load.engine);
--- a/packages/report-relay/src/outgoing.ts
+++ b/packages/report-relay/src/outgoing.ts
@@ -1,10 +1,10 @@
 /** What this box tells others of the engines that it reads itself. */
 import type { RelayedReport, ReportsRequest } from "@linkfall/ports";
-import type { WatchedReport } from "@linkfall/target-watch";
+import type { EngineReportRecord } from "@linkfall/target-watch";
 import type { Milliseconds, ReportLoad, ReportPlacement } from "@linkfall/types";
 
 /** A placement that was seen, and how many there were before it. */
-interface NumberedPlacement {
+interface VersionedPlacement {
   readonly text: string;
   readonly version: number;
 }
@@ -13,20 +13,20 @@
 export interface OutgoingReports {
   /** The answer to a box that holds some placements of this one's numbering. */
   answer(
-    reports: readonly WatchedReport[],
+    reports: readonly EngineReportRecord[],
     held: ReportsRequest["held"],
     now: Milliseconds,
   ): readonly RelayedReport[];
 }
 
-function split({ report }: WatchedReport): { load: ReportLoad; placement: ReportPlacement } {
+function split({ report }: EngineReportRecord): { load: ReportLoad; placement: ReportPlacement } {
   const { engineIncarnation, fence, role, residents, settledOrders, ...load } = report;
   return { load, placement: { engineIncarnation, fence, role, residents, settledOrders } };
 }
 
 /** Creates the outgoing reports of one process start; its numbering ends with it. */
 export function createOutgoingReports(): OutgoingReports {
-  const numbered = new Map<string, NumberedPlacement>();
+  const numbered = new Map<string, VersionedPlacement>();
 
   const versionOf = (engine: string, placement: ReportPlacement): number => {
     const text = JSON.stringify(placement);
--- a/packages/report-relay/src/report-relay.steps.ts
+++ b/packages/report-relay/src/report-relay.steps.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { Then, When } from "@cucumber/cucumber";
 import type { RelayedReport } from "@linkfall/ports";
-import type { WatchedReport } from "@linkfall/target-watch";
-import { notes } from "@linkfall/test-support";
+import type { EngineReportRecord } from "@linkfall/target-watch";
+import { scenarioState } from "@linkfall/test-support";
 import type { EngineReport, Milliseconds } from "@linkfall/types";
 import fc from "fast-check";
 import { createIncomingReports, type IncomingReports } from "./incoming.js";
@@ -28,11 +28,11 @@
   settledOrders: [],
 });
 
-const watched = (report: EngineReport, requestedAt: Milliseconds): WatchedReport => ({
+const watched = (report: EngineReport, requestedAt: Milliseconds): EngineReportRecord => ({
   report,
   requestedAt,
   receivedAt: requestedAt,
-  way: "read",
+  source: "read",
 });
 
 /** One box asks another; with `lost` the answer does not come. */
@@ -40,13 +40,13 @@
   from: OutgoingReports,
   start: string,
   to: IncomingReports,
-  report: WatchedReport,
+  report: EngineReportRecord,
   lost = false,
 ): readonly EngineReport[] {
   const held = to.heldFrom() === start ? to.held() : [];
   const reports = from.answer([report], held, report.requestedAt);
   if (lost) return [];
-  return to.take({ from: start, reports }, 0).map((received) => received.report);
+  return to.applyReply({ from: start, reports }, 0).map((received) => received.report);
 }
 
 Then(
@@ -84,24 +84,27 @@
     const answeredAt = askedAt + took / 2;
     const read = watched(reportOf(1, 1, 1), answeredAt - age);
     const reports = createOutgoingReports().answer([read], [], answeredAt);
-    const [received] = createIncomingReports().take({ from: "b@1", reports }, askedAt);
-    notes(this).set("requestedAt", received.requestedAt);
+    const [received] = createIncomingReports().applyReply({ from: "b@1", reports }, askedAt);
+    scenarioState(this).set("requestedAt", received.requestedAt);
   },
 );
 
 Then("it counts as asked for at {int} ms", function (this: object, expected: number) {
-  assert.equal(notes(this).get("requestedAt"), expected);
+  assert.equal(scenarioState(this).get("requestedAt"), expected);
 });
 
 When("a box asks twice and only the load of the engine has changed", function (this: object) {
   const outgoing = createOutgoingReports();
   const incoming = createIncomingReports();
   exchange(outgoing, "b@1", incoming, watched(reportOf(1, 1, 2), 0));
-  notes(this).set("second", outgoing.answer([watched(reportOf(2, 5, 2), 9)], incoming.held(), 9));
+  scenarioState(this).set(
+    "second",
+    outgoing.answer([watched(reportOf(2, 5, 2), 9)], incoming.held(), 9),
+  );
 });
 
 Then("the second answer carries no placement", function (this: object) {
-  const [second] = notes(this).get<readonly RelayedReport[]>("second");
+  const [second] = scenarioState(this).get<readonly RelayedReport[]>("second");
   assert.equal(second.placement, undefined);
   assert.equal(second.load.running, 5);
 });
--- a/packages/report-relay/src/report-relay.ts
+++ b/packages/report-relay/src/report-relay.ts
@@ -22,7 +22,7 @@
 
 export interface ReportRelay {
   /** Answers a box that asks for reports. */
-  receive(request: ReportsRequest): ReportsReply;
+  answerRequest(request: ReportsRequest): ReportsReply;
 }
 
 export const reportRelayName = serviceName<ReportRelay>("report-relay");
@@ -43,7 +43,7 @@
   /** The pools whose engines each other box reads for this one. */
   const poolsByReader = (): ReadonlyMap<string, ReadonlySet<string>> => {
     const byReader = new Map<string, Set<string>>();
-    for (const engine of watch.watched()) {
+    for (const engine of watch.watchedEngines()) {
       for (const reader of watch.readersOf(engine)) {
         const pools = byReader.get(reader) ?? new Set();
         byReader.set(reader, pools.add(engine.pool));
@@ -67,7 +67,7 @@
     });
     asking.delete(peerAddress);
     answer.ifRight((reply) => {
-      for (const { report, requestedAt } of from.take(reply, askedAt)) {
+      for (const { report, requestedAt } of from.applyReply(reply, askedAt)) {
         watch.ingest(report, requestedAt, "relayed");
       }
     });
@@ -86,14 +86,14 @@
   const interval = settings.targets.report_poll_ms;
   const loop = repeatEvery(clock, kernel.find(randomName), interval, round);
   return {
-    receive(request) {
+    answerRequest(request) {
       const pools = new Set(request.pools);
       const held = request.heldFrom === self ? request.held : [];
-      const reports = watch.ownReports().filter(({ pool }) => pools.has(pool));
+      const reports = watch.polledReports().filter(({ pool }) => pools.has(pool));
       return {
         from: self,
         reports: outgoing.answer(
-          reports.map(({ watched }) => watched),
+          reports.map(({ record: watched }) => watched),
           held,
           clock.now(),
         ),
--- a/packages/soak/src/scenarios/box-faults.ts
+++ b/packages/soak/src/scenarios/box-faults.ts
@@ -43,7 +43,7 @@
 /** Every box, or every box but one, is replaced at the same moment. */
 export function replaceBoxes(world: World): End {
   const running = world.boxes.filter((box) => box.process.state() === "running" && !box.draining);
-  const replaced = running.slice(world.random.below(2));
+  const replaced = running.slice(world.random.nextInt(2));
   for (const box of replaced) world.removeBox(box);
   return () => {
     for (const box of replaced) void world.startBox(box.name);
@@ -65,7 +65,7 @@
 function holder(world: World): WorldBox | undefined {
   const steady = world.boxes.filter((box) => box.process.state() === "running" && !box.draining);
   if (steady.length <= fewestBoxes) return undefined;
-  return steady.find((box) => box.box.kernel.find(leaseHolderName).heldPools().length > 0);
+  return steady.find((box) => box.box.kernel.find(leaseHolderName).heldLeases().length > 0);
 }
 
 export function killHolder(world: World): End {
--- a/packages/soak/src/scenarios/callers.ts
+++ b/packages/soak/src/scenarios/callers.ts
@@ -81,7 +81,7 @@
     path,
     headers: { authorization: `Bearer ${tokenOf(account)}`, ...headers },
     body: Buffer.from(body === undefined ? "" : JSON.stringify(body)),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
 
   const directoryOf = async (account: AccountName): Promise<Directory | undefined> => {
@@ -188,7 +188,7 @@
   const converseOnce = async (directory: Directory, conversation: Conversation, send: Send) => {
     const id = `${directory.ticket}/${conversation.key.replaceAll(" ", ".")}`;
     const headers = { "linkfall-repeatable": "false", "linkfall-request-id": id };
-    const twiceAtOnce = random.fraction() < 0.2;
+    const twiceAtOnce = random.nextFloat() < 0.2;
     if (twiceAtOnce) void send(pick(random, directory.entries), headers);
     for (let sending = 0; sending < sendings; sending++) {
       await send(pick(random, directory.entries), headers);
@@ -203,11 +203,11 @@
     const number = ++sent;
     const directory = await directoryOf(account);
     if (!directory || directory.entries.length === 0) return;
-    const kind = random.fraction();
-    const index = accounts.indexOf(account) + 2 * random.below(modelsCalled / 2);
-    const withAdapter = index < 3 && random.fraction() < 0.3;
+    const kind = random.nextFloat();
+    const index = accounts.indexOf(account) + 2 * random.nextInt(modelsCalled / 2);
+    const withAdapter = index < 3 && random.nextFloat() < 0.3;
     const model = withAdapter ? `a${index}` : `m${index}`;
-    const streamed = random.fraction() < 0.5;
+    const streamed = random.nextFloat() < 0.5;
     const isService = kind > 0.75;
     const repeatable = isService ? kind > 0.9 : kind > 0.35;
     const key = `request ${number}`;
@@ -232,7 +232,7 @@
       while (clock.now() < until) {
         const one: Promise<void> = converse().finally(() => open.delete(one));
         open.add(one);
-        await sleep(clock, 2 * meanGapMs * random.fraction());
+        await sleep(clock, 2 * meanGapMs * random.nextFloat());
       }
       await Promise.all(open);
     },
--- a/packages/soak/src/scenarios/crashing-requests.steps.ts
+++ b/packages/soak/src/scenarios/crashing-requests.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import type { CallerResponse } from "@linkfall/ports";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { tokenOf } from "./resources.js";
 import { worldOf } from "./rest.js";
 import type { World, WorldBox } from "./world.js";
@@ -40,7 +40,7 @@
       "linkfall-repeatable": "true",
     },
     body: Buffer.from(body),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
   let answered = false;
   void asked.then(() => (answered = true));
@@ -55,7 +55,7 @@
     const world = worldOf(this);
     for (let time = 0; time < Number(times); time++) {
       const box = world.boxes[time % world.boxes.length];
-      notes(this).set("last", await sendOnce(world, box, account, bodies[what](text)));
+      scenarioState(this).set("last", await sendOnce(world, box, account, bodies[what](text)));
     }
   },
 );
@@ -76,7 +76,7 @@
 Then(
   "the last one is told {string} and that it did not run",
   function (this: object, code: string) {
-    const { status, body } = notes(this).get<CallerResponse>("last");
+    const { status, body } = scenarioState(this).get<CallerResponse>("last");
     const { error } = JSON.parse(Buffer.from(body as Uint8Array).toString("utf8"));
     assert.deepEqual([status, error.code, error.outcome], [503, code, "not_run"]);
   },
--- a/packages/soak/src/scenarios/faults.ts
+++ b/packages/soak/src/scenarios/faults.ts
@@ -174,12 +174,12 @@
       if (ends.delete(once)) end();
     };
     ends.add(once);
-    clock.after(shortest + random.fraction() * (longest - shortest), once);
+    clock.after(shortest + random.nextFloat() * (longest - shortest), once);
   };
   while (clock.now() < until) {
     inject();
-    if (random.fraction() < 0.5) inject();
-    await sleep(clock, 1_000 + random.fraction() * 6_000);
+    if (random.nextFloat() < 0.5) inject();
+    await sleep(clock, 1_000 + random.nextFloat() * 6_000);
   }
   for (const end of [...ends]) end();
   world.network.healAll();
--- a/packages/soak/src/scenarios/left-alone.steps.ts
+++ b/packages/soak/src/scenarios/left-alone.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import type { CallerResponse } from "@linkfall/ports";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { bodies, sendOnce } from "./crashing-requests.steps.js";
 import { worldOf } from "./rest.js";
 
@@ -25,7 +25,7 @@
       const call = bodies["a call of the service"](`call ${index}`);
       answers.push(await sendOnce(world, box, account, call, betweenMs));
     }
-    notes(this).set("answers of the service", answers);
+    scenarioState(this).set("answers of the service", answers);
   },
 );
 
@@ -36,6 +36,6 @@
 });
 
 Then("every call was answered {int}", function (this: object, status: number) {
-  const answers = notes(this).get<CallerResponse[]>("answers of the service");
+  const answers = scenarioState(this).get<CallerResponse[]>("answers of the service");
   assert.deepEqual([...new Set(answers.map((answer) => answer.status))], [status]);
 });
--- a/packages/soak/src/scenarios/network.ts
+++ b/packages/soak/src/scenarios/network.ts
@@ -63,8 +63,8 @@
     cuts.delete(link);
     healedAt.set(link, clock.now());
   };
-  const delay = () => sleep(clock, shortestDelay + random.fraction() * delaySpread);
-  const isLost = () => random.fraction() < faults.loss;
+  const delay = () => sleep(clock, shortestDelay + random.nextFloat() * delaySpread);
+  const isLost = () => random.nextFloat() < faults.loss;
   return {
     faults,
     cut: (from, to) => void cuts.set(key(from, to), (cuts.get(key(from, to)) ?? 0) + 1),
@@ -93,7 +93,7 @@
       return Left(lost(true));
     },
     async *carry(from, to, body) {
-      const cutAfter = random.fraction() < faults.cutStreams ? random.below(8) : Infinity;
+      const cutAfter = random.nextFloat() < faults.cutStreams ? random.nextInt(8) : Infinity;
       let count = 0;
       for await (const part of body) {
         if (count++ >= cutAfter || isCut(from, to)) {
@@ -104,7 +104,7 @@
       }
     },
     deliverLate(act) {
-      clock.after(random.fraction() * latestOrder, act);
+      clock.after(random.nextFloat() * latestOrder, act);
     },
   };
 }
--- a/packages/soak/src/scenarios/rest.ts
+++ b/packages/soak/src/scenarios/rest.ts
@@ -1,5 +1,5 @@
 /** What the steps of several scenarios share: a deployment at rest, and callers that ask for everything. */
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { createCallers, type Told } from "./callers.js";
 import { createOperators } from "./operators.js";
 import { accounts, soakModel } from "./resources.js";
@@ -14,11 +14,11 @@
   for (const name of ["b1", "b2", "b3"]) await created.startBox(name);
   void createOperators(created).begin();
   await created.clock.runUntil(settledMs);
-  notes(world).set("world", created);
+  scenarioState(world).set("world", created);
 }
 
 /** The deployment of the running scenario. */
-export const worldOf = (world: object) => notes(world).get<World>("world");
+export const worldOf = (world: object) => scenarioState(world).get<World>("world");
 
 /** Asks a box for every model and answers with what came of it. */
 export async function probeAll(world: World, box: WorldBox): Promise<readonly Told[]> {
--- a/packages/soak/src/scenarios/world-ports.ts
+++ b/packages/soak/src/scenarios/world-ports.ts
@@ -6,7 +6,7 @@
   BoxListPort,
   CallerResponse,
   EnginePort,
-  Listening,
+  ListenerStatus,
   LogPort,
   PeerPort,
   TargetPort,
@@ -100,8 +100,8 @@
         const engine = engineAt(world, address);
         if (engine && !engine.down) engine.core.order(order);
       };
-      if (random.fraction() < network.faults.repeatedOrders) network.deliverLate(again);
-      if (random.fraction() < network.faults.lateOrders) {
+      if (random.nextFloat() < network.faults.repeatedOrders) network.deliverLate(again);
+      if (random.nextFloat() < network.faults.lateOrders) {
         network.deliverLate(again);
         return process.gate(Promise.resolve(Left(targetLost(true))));
       }
@@ -128,13 +128,13 @@
 function createTargetPort({ world, name, process, trace }: Place): TargetPort {
   const { network, services } = world;
   return {
-    async listens(address) {
+    async probeListener(address) {
       const engine = engineAt(world, address);
       const service = services.find((entry) => entry.address === address);
       const place = engine?.core.engine.name ?? address;
       const look = async () => Right((engine ?? service)?.down ? "refuses" : "listens");
       const looked = await process.gate(network.exchange(name, place, targetLost, look));
-      return looked.orDefault("unknown") as Listening;
+      return looked.orDefault("unknown") as ListenerStatus;
     },
     async send(request, signal) {
       const engine = engineAt(world, request.address);
--- a/packages/stand-ins/src/http-stand-ins.ts
+++ b/packages/stand-ins/src/http-stand-ins.ts
@@ -42,7 +42,7 @@
       const [path, query] = request.path.split("?", 2);
       return handle(request, path, new URLSearchParams(query));
     },
-    defect(problem) {
+    onDefect(problem) {
       throw problem;
     },
   });
@@ -126,7 +126,7 @@
       .with(["POST", "/v1/completions"], () => {
         const attempt = request.headers["x-attempt-id"] ?? "";
         const response = core.complete(attempt, bodyOf<EngineRequest>(request));
-        return passed({ ...response, body: untilGone(response.body, request.gone) });
+        return passed({ ...response, body: untilGone(response.body, request.signal) });
       })
       .with(["GET", P._], () => passed(core.resume(attemptOf(path), Number(query.get("from")))))
       .with(["DELETE", P._], () => {
--- a/packages/stand-ins/src/weight-store-core.ts
+++ b/packages/stand-ins/src/weight-store-core.ts
@@ -51,9 +51,9 @@
       let cancel: CancelLoad = () => undefined;
       const begin = () => {
         if (bucket.take()) cancel = run(sizeMb, done);
-        else cancel = clock.after(bucket.waitFor(), begin);
+        else cancel = clock.after(bucket.msUntil(), begin);
       };
-      if (bucket.waitFor() > 0) waited += 1;
+      if (bucket.msUntil() > 0) waited += 1;
       begin();
       return () => cancel();
     },
--- a/packages/state-fold/src/apply.ts
+++ b/packages/state-fold/src/apply.ts
@@ -25,12 +25,12 @@
 import type { FoldedState, Lease } from "./state.js";
 
 /** Records after which a silent process start is forgotten; none of its appends can still come. */
-const writerMemoryRecords = 20_000;
-const writerSweepRecords = 1_000;
+const writerRetentionRecords = 20_000;
+const writerSweepIntervalRecords = 1_000;
 /** Accepted writes that the state remembers for the audit trail. */
-const historyLength = 500;
+const maxHistoryWrites = 500;
 /** Requests that the state remembers as held back or released. */
-const mostHeldRequests = 1_000;
+const maxHeldRequests = 1_000;
 
 /** What one record did to the state. */
 export type FoldEvent =
@@ -66,14 +66,14 @@
 }
 
 /** Whether the record is a repeat, or one that its writer had given up before a later one. */
-function isRepeat(state: FoldedState, identity: RecordIdentity): boolean {
+function isDuplicate(state: FoldedState, identity: RecordIdentity): boolean {
   return identity.sequence <= (state.writers.get(identity.writer)?.highest ?? 0);
 }
 
 function forgetSilentWriters(state: FoldedState): void {
-  if (state.offset % writerSweepRecords !== 0) return;
+  if (state.offset % writerSweepIntervalRecords !== 0) return;
   for (const [writer, mark] of state.writers) {
-    if (state.offset - mark.offset > writerMemoryRecords) state.writers.delete(writer);
+    if (state.offset - mark.offset > writerRetentionRecords) state.writers.delete(writer);
   }
 }
 
@@ -94,7 +94,7 @@
 
 function applyRecord(state: FoldedState, record: StateRecord): readonly FoldEvent[] {
   const identity = identityOf(record.id);
-  if (isRepeat(state, identity)) return [];
+  if (isDuplicate(state, identity)) return [];
   state.writers.set(identity.writer, { highest: identity.sequence, offset: state.offset });
   return match(record)
     .with({ type: "write" }, (write) => applyWrite(state, write))
@@ -122,7 +122,7 @@
 }
 
 /** Says whether a write would be accepted by the state as it stands. */
-export function judgeWrite(
+export function checkWrite(
   state: FoldedState,
   changes: readonly Change[],
 ): RevisionConflict | InvalidInput | undefined {
@@ -141,10 +141,10 @@
 }
 
 function applyWrite(state: FoldedState, record: WriteRecord): readonly FoldEvent[] {
-  const why = judgeWrite(state, record.changes);
+  const why = checkWrite(state, record.changes);
   if (why) return [{ type: "write_rejected", id: record.id, why }];
   const revision = state.offset;
-  remember(state, record);
+  addToHistory(state, record);
   for (const change of record.changes) {
     const key = resourceKey(subjectOf(change));
     invariant(
@@ -167,7 +167,7 @@
 }
 
 /** Adds the write to the history. */
-function remember(state: FoldedState, record: WriteRecord): void {
+function addToHistory(state: FoldedState, record: WriteRecord): void {
   const changes = record.changes.map((change) => {
     const subject = subjectOf(change);
     const before = state.resources.get(resourceKey(subject))?.resource;
@@ -175,7 +175,7 @@
     return { action: change.action, subject, oldRevision: change.base, fields };
   });
   state.history.push({ revision: state.offset, who: record.who, at: record.at, changes });
-  if (state.history.length > historyLength) state.history.shift();
+  if (state.history.length > maxHistoryWrites) state.history.shift();
 }
 
 function applyClaim(state: FoldedState, claim: ClaimRecord): readonly FoldEvent[] {
@@ -262,7 +262,7 @@
   state.heldRequests.delete(word.request);
   state.heldRequests.set(word.request, word);
   const [oldest] = state.heldRequests.keys();
-  if (state.heldRequests.size > mostHeldRequests) state.heldRequests.delete(oldest);
+  if (state.heldRequests.size > maxHeldRequests) state.heldRequests.delete(oldest);
   return [{ type: "request_held", id, word }];
 }
 
--- a/packages/state-fold/src/references.ts
+++ b/packages/state-fold/src/references.ts
@@ -10,10 +10,10 @@
 } from "@linkfall/types";
 
 /** Resources by key, as they would stand after a write. */
-export type ResourceLookup = ReadonlyMap<string, Resource>;
+export type ResourcesByKey = ReadonlyMap<string, Resource>;
 
-function missing(
-  lookup: ResourceLookup,
+function missingReference(
+  lookup: ResourcesByKey,
   from: Resource,
   field: string,
   kind: ResourceKind,
@@ -23,27 +23,27 @@
   return [{ field: `${resourceKey(from)}.${field}`, reason: `there is no ${kind} "${name}"` }];
 }
 
-function accountProblems(lookup: ResourceLookup, from: Resource, accounts: readonly string[]) {
+function accountProblems(lookup: ResourcesByKey, from: Resource, accounts: readonly string[]) {
   return accounts.flatMap((account, index) =>
-    missing(lookup, from, `accounts.${index}`, "account", account),
+    missingReference(lookup, from, `accounts.${index}`, "account", account),
   );
 }
 
-function resourceProblems(lookup: ResourceLookup, resource: Resource): readonly FieldProblem[] {
+function resourceProblems(lookup: ResourcesByKey, resource: Resource): readonly FieldProblem[] {
   switch (resource.kind) {
     case "model":
       return [
-        ...missing(lookup, resource, "pool", "pool", resource.pool),
+        ...missingReference(lookup, resource, "pool", "pool", resource.pool),
         ...accountProblems(lookup, resource, resource.accounts),
       ];
     case "adapter":
       return [
-        ...missing(lookup, resource, "model", "model", resource.model),
+        ...missingReference(lookup, resource, "model", "model", resource.model),
         ...accountProblems(lookup, resource, resource.accounts),
         ...adapterNameProblems(lookup, resource),
       ];
     case "engine":
-      return missing(lookup, resource, "pool", "pool", resource.pool);
+      return missingReference(lookup, resource, "pool", "pool", resource.pool);
     case "service":
       return accountProblems(lookup, resource, resource.accounts);
     default:
@@ -52,7 +52,7 @@
 }
 
 /** Callers name models and adapters in one field, so the names must differ. */
-function adapterNameProblems(lookup: ResourceLookup, adapter: Adapter): readonly FieldProblem[] {
+function adapterNameProblems(lookup: ResourcesByKey, adapter: Adapter): readonly FieldProblem[] {
   if (!lookup.has(resourceKey({ kind: "model", name: adapter.name }))) return [];
   return [{ field: `${resourceKey(adapter)}.name`, reason: "a model has this name" }];
 }
@@ -114,7 +114,7 @@
 }
 
 /** All that is wrong between the resources; empty when the state may stand. */
-export function referenceProblems(lookup: ResourceLookup): readonly FieldProblem[] {
+export function referenceProblems(lookup: ResourcesByKey): readonly FieldProblem[] {
   const resources = [...lookup.values()];
   return [
     ...resources.flatMap((resource) => resourceProblems(lookup, resource)),
--- a/packages/state-fold/src/schemas.ts
+++ b/packages/state-fold/src/schemas.ts
@@ -5,10 +5,10 @@
 import { type Either, Left, Right } from "purify-ts";
 import { z } from "zod";
 
-const highestRate = 1_000_000;
-const highestPriority = 9;
-const highestMemoryMb = 10_000_000;
-const highestCount = 1_000;
+const maxRate = 1_000_000;
+const maxPriorityValue = 9;
+const maxMemoryMb = 10_000_000;
+const maxCount = 1_000;
 
 const name = z
   .string()
@@ -17,10 +17,10 @@
 const address = z
   .string()
   .regex(/^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/, "an IP number and a port");
-const memory = z.number().int().min(1).max(highestMemoryMb);
-const names = z.array(name).max(highestCount);
-const priority = z.number().int().min(0).max(highestPriority);
-const rate = z.number().positive().max(highestRate);
+const memory = z.number().int().min(1).max(maxMemoryMb);
+const names = z.array(name).max(maxCount);
+const priority = z.number().int().min(0).max(maxPriorityValue);
+const rate = z.number().positive().max(maxRate);
 
 /** A resource, with the defaults of the fields that may be left out. */
 export const resourceSchema = z.discriminatedUnion("kind", [
@@ -30,7 +30,7 @@
     attainmentWeight: rate.default(1),
     movesWeight: rate.default(1),
     weightStoreLoadsPerSecond: rate.default(2),
-    weightStoreLoadsAtOnce: z.number().int().min(1).max(highestCount).default(8),
+    weightStoreLoadsAtOnce: z.number().int().min(1).max(maxCount).default(8),
   }),
   z.strictObject({
     kind: z.literal("account"),
@@ -44,7 +44,7 @@
     kind: z.literal("pool"),
     name,
     loadsPerSecond: rate.default(2),
-    loadsAtOnce: z.number().int().min(1).max(highestCount).default(8),
+    loadsAtOnce: z.number().int().min(1).max(maxCount).default(8),
   }),
   z.strictObject({
     kind: z.literal("model"),
@@ -54,7 +54,7 @@
     sizeMb: memory,
     accounts: names,
     priority: priority.default(5),
-    minReplicas: z.number().int().min(1).max(highestCount).default(1),
+    minReplicas: z.number().int().min(1).max(maxCount).default(1),
   }),
   z.strictObject({
     kind: z.literal("adapter"),
@@ -71,10 +71,10 @@
     address,
     domain: name,
     acceleratorsMb: z.array(memory).min(1).max(64),
-    batchReserveMb: z.number().int().min(0).max(highestMemoryMb).default(0),
+    batchReserveMb: z.number().int().min(0).max(maxMemoryMb).default(0),
     role: z.enum(engineRoles).default("mixed"),
     fenced: z.boolean(),
-    concurrency: z.number().int().min(1).max(highestCount).default(8),
+    concurrency: z.number().int().min(1).max(maxCount).default(8),
     leaving: z.boolean().default(false),
   }),
   z.strictObject({
@@ -83,9 +83,9 @@
     targets: z
       .array(z.strictObject({ address, domain: name }))
       .min(1)
-      .max(highestCount),
+      .max(maxCount),
     accounts: names,
-    notRepeatablePaths: z.array(z.string().startsWith("/")).max(highestCount).default([]),
+    notRepeatablePaths: z.array(z.string().startsWith("/")).max(maxCount).default([]),
   }),
 ]);
 
@@ -99,19 +99,23 @@
   z.strictObject({ action: z.literal("delete"), name: resourceName, base: offset }),
 ]);
 
-const orderHead = {
+const commonOrderFields = {
   id: z.string(),
   engine: name,
   engineIncarnation: z.string(),
   epoch: offset,
   cause: z.string(),
 };
-const placed = { artifact: z.string(), accelerator: z.number().int().min(0), sizeMb: memory };
+const artifactFields = {
+  artifact: z.string(),
+  accelerator: z.number().int().min(0),
+  sizeMb: memory,
+};
 
 const orderSchema = z.discriminatedUnion("kind", [
-  z.strictObject({ ...orderHead, kind: z.literal("load"), ...placed }),
-  z.strictObject({ ...orderHead, kind: z.literal("unload"), ...placed }),
-  z.strictObject({ ...orderHead, kind: z.literal("role"), role: z.enum(engineRoles) }),
+  z.strictObject({ ...commonOrderFields, kind: z.literal("load"), ...artifactFields }),
+  z.strictObject({ ...commonOrderFields, kind: z.literal("unload"), ...artifactFields }),
+  z.strictObject({ ...commonOrderFields, kind: z.literal("role"), role: z.enum(engineRoles) }),
 ]);
 
 const settlementSchema = z.strictObject({
--- a/packages/state-fold/src/state.ts
+++ b/packages/state-fold/src/state.ts
@@ -58,7 +58,7 @@
 }
 
 /** How far the records of one process start have been folded. */
-export interface WriterMark {
+export interface WriterPosition {
   readonly highest: number;
   readonly offset: Offset;
 }
@@ -77,7 +77,7 @@
   readonly leases: Map<string, Lease>;
   readonly intents: Map<string, Intent>;
   readonly settledThrough: Map<string, SettledThrough>;
-  readonly writers: Map<string, WriterMark>;
+  readonly writers: Map<string, WriterPosition>;
   /** Requests that are held back or were released, oldest word first, bounded. */
   readonly heldRequests: Map<Fingerprint, HeldRequest>;
   /** The newest accepted writes, oldest first, bounded. */
--- a/packages/state-fold/src/views.ts
+++ b/packages/state-fold/src/views.ts
@@ -28,7 +28,7 @@
 }
 
 /** Weights where operators have declared none. */
-const standardDeployment: Deployment = {
+const defaultDeployment: Deployment = {
   kind: "deployment",
   name: "default",
   attainmentWeight: 1,
@@ -63,7 +63,7 @@
   const accounts = byName(resources, "account");
   const engines = byName(resources, "engine");
   return {
-    deployment: [...byName(resources, "deployment").values()][0] ?? standardDeployment,
+    deployment: [...byName(resources, "deployment").values()][0] ?? defaultDeployment,
     accounts,
     accountsByToken: new Map([...accounts.values()].map((entry) => [entry.tokenHash, entry])),
     pools: byName(resources, "pool"),
--- a/packages/state-store/src/index.ts
+++ b/packages/state-store/src/index.ts
@@ -12,7 +12,7 @@
 import type { LogEntry, Offset } from "@linkfall/types";
 
 /** Newest records kept for peers; one that lacks more takes the whole state. */
-const relayedRecords = 512;
+const minRecentRecords = 512;
 
 /** Called for each thing that a record did. */
 export type FoldListener = (event: FoldEvent, entry: LogEntry) => void;
@@ -50,7 +50,7 @@
   const fold = (entry: LogEntry) => {
     const foldEvents = applyEntry(state, entry);
     recent.push(entry);
-    if (recent.length > 2 * relayedRecords) recent = recent.slice(-relayedRecords);
+    if (recent.length > 2 * minRecentRecords) recent = recent.slice(-minRecentRecords);
     for (const event of foldEvents) {
       if (event.type === "write_accepted") desired = undefined;
       for (const listener of foldListeners) listener(event, entry);
--- a/packages/target-limits/src/closed-targets.ts
+++ b/packages/target-limits/src/closed-targets.ts
@@ -10,15 +10,15 @@
   comeBackAt: Milliseconds;
 }
 
-export interface ClosedTargets {
+export interface ExhaustedTargets {
   /** Notes that no permit was to be had within that time; `waitMs` is when there will be one. */
-  refused(target: string, withinMs: Milliseconds, waitMs: Milliseconds): void;
+  recordRefusal(target: string, withinMs: Milliseconds, waitMs: Milliseconds): void;
   /** Whether an ask for a permit within that time would be refused. */
-  isClosed(target: string, withinMs: Milliseconds): boolean;
+  isExhausted(target: string, withinMs: Milliseconds): boolean;
   /** Time until a permit is due for a request that is refused now. */
-  dueMs(target: string): Milliseconds;
+  msUntilPermit(target: string): Milliseconds;
   /** Notes that one more request has been told to come back when its permit is due. */
-  noteComeBack(target: string, perSecond: number): void;
+  reserveRetry(target: string, perSecond: number): void;
   forget(target: string): void;
 }
 
@@ -26,23 +26,23 @@
 /** A refusal is repeated for this long without asking again. */
 const repeatMs: Milliseconds = 200;
 
-export function createClosedTargets(clock: Clock): ClosedTargets {
+export function createExhaustedTargets(clock: Clock): ExhaustedTargets {
   const refusals = new Map<string, Refusal>();
   return {
-    refused(target, withinMs, waitMs) {
+    recordRefusal(target, withinMs, waitMs) {
       const now = clock.now();
       const until = now + Math.min(waitMs, repeatMs);
       refusals.set(target, { withinMs, until, comeBackAt: now + waitMs });
     },
-    isClosed(target, withinMs) {
+    isExhausted(target, withinMs) {
       const refusal = refusals.get(target);
       return refusal !== undefined && clock.now() < refusal.until && withinMs <= refusal.withinMs;
     },
-    dueMs(target) {
+    msUntilPermit(target) {
       const refusal = refusals.get(target);
       return refusal ? Math.max(0, Math.ceil(refusal.comeBackAt - clock.now())) : 0;
     },
-    noteComeBack(target, perSecond) {
+    reserveRetry(target, perSecond) {
       const refusal = refusals.get(target);
       if (refusal) refusal.comeBackAt += millisecondsPerSecond / perSecond;
     },
--- a/packages/target-limits/src/index.ts
+++ b/packages/target-limits/src/index.ts
@@ -2,39 +2,39 @@
  * Limits that targets name: what they take from all boxes together. One box hands out the permits of each target, since
  * boxes that keep a limit each for itself send it as many times over as there are boxes.
  */
-import { type AllocationPeers, createAllocation } from "@linkfall/allocation";
+import { type AllocationPeers, createDistributedAllocator } from "@linkfall/allocation";
 import { type Clock, sleep } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
-import { createClosedTargets } from "./closed-targets.js";
-import { type BornOf, createLimitBook, type LimitBook } from "./limit-book.js";
-import type { PermitAsk, PermitGrant } from "./messages.js";
-import { createPermitAllocator, leastPerSecond } from "./permit-allocator.js";
+import { createExhaustedTargets } from "./closed-targets.js";
+import { type TargetStartLookup, createLimitRegistry, type LimitRegistry } from "./limit-book.js";
+import type { PermitRequest, PermitGrant } from "./messages.js";
+import { createPermitAllocator, minPerSecond } from "./permit-allocator.js";
 
 export * from "./limit-book.js";
 export * from "./messages.js";
 export { createPermitAllocator, type PermitAllocator } from "./permit-allocator.js";
 
 /** The other boxes, as far as the limits of targets need them. */
-export interface PermitPeers extends AllocationPeers<PermitAsk, PermitGrant> {
+export interface PermitPeers extends AllocationPeers<PermitRequest, PermitGrant> {
   /** Part of each limit that is this box's own while it is cut off. */
-  ownPart(): number;
+  ownShare(): number;
   /** Parts of the boxes that are silent, and may be sending by their own parts. */
-  silentPart(): number;
+  silentShare(): number;
   /** Boxes that send requests. */
-  boxes(): number;
+  boxCount(): number;
 }
 
-export interface TargetLimits extends LimitBook {
+export interface TargetLimits extends LimitRegistry {
   /** Waits for a permit to send one request; false where there is none within that time, or it has lapsed meanwhile. */
-  takePermit(target: string, withinMs: Milliseconds): Promise<boolean>;
+  acquirePermit(target: string, withinMs: Milliseconds): Promise<boolean>;
   /** Whether a request that can wait so long is known to get no permit now. */
-  isClosed(target: string, withinMs: Milliseconds): boolean;
+  isExhausted(target: string, withinMs: Milliseconds): boolean;
   /** Whether the target is to be tried although others are there, to learn whether its limit still holds. */
-  isTrialDue(target: string): boolean;
+  isProbeDue(target: string): boolean;
   /** When a request that gets no permit at these targets may come back; each one behind the one before it. */
-  comeBackMs(targets: readonly string[]): Milliseconds;
+  retryAfterMs(targets: readonly string[]): Milliseconds;
   /** Hands out a permit to another box that has asked. */
-  allocate(ask: PermitAsk): Promise<PermitGrant>;
+  allocate(ask: PermitRequest): Promise<PermitGrant>;
 }
 
 /** However many boxes are silent, this part of a limit is left to those that are not. */
@@ -48,57 +48,61 @@
 const declined: PermitGrant = { granted: false, waitMs: 0, declined: true };
 
 /** Creates the limits as one box keeps them. */
-export function createTargetLimits(clock: Clock, peers: PermitPeers, bornOf: BornOf): TargetLimits {
-  const book = createLimitBook(clock, bornOf);
-  const closed = createClosedTargets(clock);
+export function createTargetLimits(
+  clock: Clock,
+  peers: PermitPeers,
+  bornOf: TargetStartLookup,
+): TargetLimits {
+  const book = createLimitRegistry(clock, bornOf);
+  const closed = createExhaustedTargets(clock);
   const shared = createPermitAllocator(clock);
   /** Used while this box is cut off; its rates are a part of the limits. */
   const alone = createPermitAllocator(clock);
 
-  const allocation = createAllocation(
+  const allocation = createDistributedAllocator(
     clock,
     peers,
     {
-      shared(ask) {
+      grantShared(ask) {
         // Boxes that ask may have older words of the target than this one.
         const perSecond = book.limitOf(ask.target) ?? ask.perSecond;
-        const part = Math.max(leastConnectedPart, 1 - peers.silentPart());
+        const part = Math.max(leastConnectedPart, 1 - peers.silentShare());
         return shared.grant({ ...ask, perSecond }, part);
       },
-      alone: (ask) => alone.grant(ask, peers.ownPart()),
-      onCutOff: alone.restart,
-      onReconnected: shared.restart,
-      declined,
+      grantIsolated: (ask) => alone.grant(ask, peers.ownShare()),
+      onDisconnected: alone.reset,
+      onReconnected: shared.reset,
+      declinedGrant: declined,
     },
     ({ target }) => target,
   );
 
-  const rateOf = (target: string) => Math.max(leastPerSecond, book.limitOf(target) ?? 0);
+  const rateOf = (target: string) => Math.max(minPerSecond, book.limitOf(target) ?? 0);
 
   return {
     ...book,
-    async takePermit(target, withinMs) {
+    async acquirePermit(target, withinMs) {
       const perSecond = book.limitOf(target);
       if (perSecond === undefined) return true;
       const askedAt = clock.elapsed();
-      const { granted, waitMs } = await allocation.obtain({ target, perSecond, withinMs });
+      const { granted, waitMs } = await allocation.acquire({ target, perSecond, withinMs });
       if (!granted) {
-        closed.refused(target, withinMs, waitMs);
+        closed.recordRefusal(target, withinMs, waitMs);
         return false;
       }
       if (waitMs > 0) await sleep(clock, waitMs);
       return clock.elapsed() - askedAt <= waitMs + lapsesMs;
     },
-    isClosed: closed.isClosed,
-    isTrialDue(target) {
-      const everyMs = (peers.boxes() * millisecondsPerSecond) / rateOf(target);
-      return book.unheardMs(target) >= Math.max(leastTrialMs, everyMs);
+    isExhausted: closed.isExhausted,
+    isProbeDue(target) {
+      const everyMs = (peers.boxCount() * millisecondsPerSecond) / rateOf(target);
+      return book.msSinceConfirmed(target) >= Math.max(leastTrialMs, everyMs);
     },
-    comeBackMs(targets) {
-      const due = targets.map((target) => ({ target, ms: closed.dueMs(target) }));
+    retryAfterMs(targets) {
+      const due = targets.map((target) => ({ target, ms: closed.msUntilPermit(target) }));
       const [soonest] = due.sort((left, right) => left.ms - right.ms);
       if (!soonest) return 0;
-      closed.noteComeBack(soonest.target, rateOf(soonest.target));
+      closed.reserveRetry(soonest.target, rateOf(soonest.target));
       return soonest.ms;
     },
     allocate: allocation.allocate,
--- a/packages/target-limits/src/limit-book.steps.ts
+++ b/packages/target-limits/src/limit-book.steps.ts
@@ -1,41 +1,41 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
-import type { LimitNotice } from "@linkfall/types";
-import { createLimitBook, type LimitBook } from "./index.js";
+import { scenarioState } from "@linkfall/test-support";
+import type { AdvertisedLimit } from "@linkfall/types";
+import { createLimitRegistry, type LimitRegistry } from "./index.js";
 
 interface Scene {
   readonly clock: VirtualClock;
-  readonly book: LimitBook;
+  readonly book: LimitRegistry;
   readonly changes: string[];
 }
 
 const target = "t1";
-const sceneOf = (world: object) => notes(world).get<Scene>("limit book");
+const sceneOf = (world: object) => scenarioState(world).get<Scene>("limit book");
 
 async function hear(
   world: object,
   sentAt: number,
   at: number,
-  notice: LimitNotice,
+  notice: AdvertisedLimit,
   served = true,
 ): Promise<void> {
   const { clock, book } = sceneOf(world);
   await clock.runUntil(at);
-  book.hear({ target, notice, sentMsAgo: at - sentAt, served });
+  book.recordAnswer({ target, notice, sentMsAgo: at - sentAt, served });
 }
 
-const limited = (perSecond: number): LimitNotice => ({ kind: "limited", perSecond });
+const limited = (perSecond: number): AdvertisedLimit => ({ kind: "limited", perSecond });
 
 Given(
   "a target that named a limit of {float} a second at {int} ms",
   async function (this: object, perSecond: number, at: number) {
     const clock = createVirtualClock();
-    const book = createLimitBook(clock, () => undefined);
+    const book = createLimitRegistry(clock, () => undefined);
     const changes: string[] = [];
     book.onChange((change) => changes.push(String(change.perSecond ?? "none")));
-    notes(this).set("limit book", { clock, book, changes } satisfies Scene);
+    scenarioState(this).set("limit book", { clock, book, changes } satisfies Scene);
     await hear(this, at, at, limited(perSecond));
   },
 );
--- a/packages/target-limits/src/limit-book.ts
+++ b/packages/target-limits/src/limit-book.ts
@@ -1,13 +1,13 @@
 /** What one box knows of the limits that targets have named: from its own answers, and from other boxes. */
-import { createFollowedNews } from "@linkfall/followed-news";
+import { createReceivedUpdates } from "@linkfall/followed-news";
 import type { Clock } from "@linkfall/kernel";
 import type {
   Incarnation,
   LimitedTarget,
-  LimitNotice,
+  AdvertisedLimit,
   Milliseconds,
   TargetLimitRecord,
-  TargetLimitWord,
+  TargetLimitMessage,
 } from "@linkfall/types";
 
 /** One target that has named a limit; changed in place by the book that owns it. */
@@ -23,9 +23,9 @@
 }
 
 /** What one answer of a target shows. */
-export interface HeardAnswer {
+export interface ObservedAnswer {
   readonly target: string;
-  readonly notice: LimitNotice;
+  readonly notice: AdvertisedLimit;
   /** Time since the request was sent that it answers. */
   readonly sentMsAgo: Milliseconds;
   /** Whether the target has made the answer as it should; failures may lack what it says of itself. */
@@ -41,23 +41,23 @@
   readonly source: "target" | "box";
 }
 
-export interface LimitBook {
+export interface LimitRegistry {
   /** Takes what an answer says. */
-  hear(answer: HeardAnswer): void;
+  recordAnswer(answer: ObservedAnswer): void;
   /** Requests a second that the target takes; undefined where it takes any number. */
   limitOf(target: string): number | undefined;
   /** Time since the target itself was last heard to name its limit; 0 where it has none. */
-  unheardMs(target: string): Milliseconds;
+  msSinceConfirmed(target: string): Milliseconds;
   /** Targets whose limits hold now. */
   limited(): readonly LimitedTarget[];
   /** Forgets a target whose life has ended. */
   forget(target: string): void;
   /** What another box lacks that has followed this one to `number`. */
-  tell(number: number): TargetLimitWord;
+  changesSince(number: number): TargetLimitMessage;
   /** Takes the word of another box. */
-  take(from: Incarnation, word: TargetLimitWord): void;
+  applyChanges(from: Incarnation, word: TargetLimitMessage): void;
   /** How far this box has followed another one. */
-  followed(other: Incarnation): number;
+  appliedSequence(other: Incarnation): number;
   /** Calls the listener with each change. */
   onChange(listener: (change: LimitChange) => void): void;
 }
@@ -66,12 +66,12 @@
 const mostEntries = 5_000;
 
 /** Start of a target's life, as far as this box knows it. */
-export type BornOf = (target: string) => Milliseconds | undefined;
+export type TargetStartLookup = (target: string) => Milliseconds | undefined;
 
 /** Creates a book in which no target has a limit. */
-export function createLimitBook(clock: Clock, bornOf: BornOf): LimitBook {
+export function createLimitRegistry(clock: Clock, bornOf: TargetStartLookup): LimitRegistry {
   const entries = new Map<string, Entry>();
-  const followed = createFollowedNews();
+  const followed = createReceivedUpdates();
   const listeners: ((change: LimitChange) => void)[] = [];
   let newest = 0;
 
@@ -114,7 +114,7 @@
   };
 
   return {
-    hear({ target, notice, sentMsAgo, served }) {
+    recordAnswer({ target, notice, sentMsAgo, served }) {
       const now = clock.elapsed();
       if (notice.kind === "limited") return set(target, notice.perSecond, now, "target");
       const known = entries.get(target);
@@ -123,7 +123,7 @@
       if (served && now - sentMsAgo > known.heardAt) set(target, undefined, now, "target");
     },
     limitOf: (target) => entries.get(target)?.perSecond,
-    unheardMs(target) {
+    msSinceConfirmed(target) {
       const known = entries.get(target);
       return known?.perSecond === undefined ? 0 : clock.elapsed() - known.heardAt;
     },
@@ -132,7 +132,7 @@
         perSecond === undefined ? [] : { target, perSecond, forMs: clock.elapsed() - since },
       ),
     forget: (target) => void entries.delete(target),
-    tell(number) {
+    changesSince(number) {
       const news = [...entries].filter(([, entry]) => entry.number > number);
       const records = news.map(([target, { perSecond, heardAt }]) => {
         const ageMs = Math.round(clock.elapsed() - heardAt);
@@ -140,11 +140,11 @@
       });
       return { number: newest, records };
     },
-    take(from, word) {
+    applyChanges(from, word) {
       for (const record of word.records) takeRecord(record);
-      followed.note(from, word.number);
+      followed.record(from, word.number);
     },
-    followed: followed.of,
+    appliedSequence: followed.latestFrom,
     onChange: (listener) => void listeners.push(listener),
   };
 }
--- a/packages/target-limits/src/messages.ts
+++ b/packages/target-limits/src/messages.ts
@@ -1,12 +1,12 @@
 /** What boxes say to each other of permits at targets that have named limits. */
-import type { AllocationAsk, AllocationGrant } from "@linkfall/allocation";
+import type { AllocationRequest, AllocationGrant } from "@linkfall/allocation";
 import type { Milliseconds } from "@linkfall/types";
 
 /** Where a box answers operators: GET lists the targets whose limits hold. */
 export const limitedTargetsPath = "/v1/limited-targets";
 
 /** A box asks the allocator of a target for a permit to send one request there. */
-export interface PermitAsk extends AllocationAsk {
+export interface PermitRequest extends AllocationRequest {
   readonly target: string;
   /** The limit as the asking box knows it, in requests a second. */
   readonly perSecond: number;
--- a/packages/target-limits/src/permit-allocator.ts
+++ b/packages/target-limits/src/permit-allocator.ts
@@ -1,7 +1,7 @@
 /** Hands out permits at targets that have named limits: one after the other, at the rate that each target takes. */
 import type { Clock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
-import type { PermitAsk, PermitGrant } from "./messages.js";
+import type { PermitRequest, PermitGrant } from "./messages.js";
 
 /** The permits of one target. */
 interface Permits {
@@ -14,9 +14,9 @@
 
 export interface PermitAllocator {
   /** @param part part of the target's limit that is handed out here */
-  grant(ask: PermitAsk, part: number): PermitGrant;
+  grant(ask: PermitRequest, part: number): PermitGrant;
   /** Begins again with no permit saved up: others have handed out permits meanwhile. */
-  restart(): void;
+  reset(): void;
   forget(target: string): void;
 }
 
@@ -24,7 +24,7 @@
 /** Permits that are not taken are saved up for this long, one at least. */
 const savedSeconds = 0.5;
 /** A target that takes less is still tried this often: nobody else would learn that it takes more again. */
-export const leastPerSecond = 0.1;
+export const minPerSecond = 0.1;
 /** Refused requests are believed to come again for this long. */
 const refusedSeconds = 10;
 
@@ -57,7 +57,7 @@
 
   return {
     grant({ target, perSecond, withinMs }, part) {
-      const rate = Math.max(leastPerSecond, perSecond) * part;
+      const rate = Math.max(minPerSecond, perSecond) * part;
       const permits = permitsOf(target);
       fill(permits, rate, clock.now());
       const waitMs = Math.max(0, Math.ceil(((1 - permits.level) * millisecondsPerSecond) / rate));
@@ -65,7 +65,7 @@
       permits.level -= 1;
       return { granted: true, waitMs };
     },
-    restart() {
+    reset() {
       for (const permits of known.values()) {
         permits.level = Math.min(0, permits.level);
         permits.filledAt = clock.now();
--- a/packages/target-limits/src/permits.steps.ts
+++ b/packages/target-limits/src/permits.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { Left } from "purify-ts";
 import {
   createTargetLimits,
@@ -27,24 +27,25 @@
 
 const target = "t1";
 const millisecondsPerSecond = 1000;
-const permitsOf = (world: object) => notes(world).get<Permits>("permits at a target");
-const boxesOf = (world: object) => notes(world).get<Boxes>("boxes with limits");
+const permitsOf = (world: object) => scenarioState(world).get<Permits>("permits at a target");
+const boxesOf = (world: object) => scenarioState(world).get<Boxes>("boxes with limits");
 
 const alone: PermitPeers = {
   self: "b1",
   allocators: () => ["b1"],
-  ask: async () => Left({ kind: "peer_unreachable", reason: "no peers", mayHaveArrived: false }),
+  sendRequest: async () =>
+    Left({ kind: "peer_unreachable", reason: "no peers", mayHaveArrived: false }),
   connected: () => true,
-  ownPart: () => 1,
-  silentPart: () => 0,
-  boxes: () => 2,
+  ownShare: () => 1,
+  silentShare: () => 0,
+  boxCount: () => 2,
 };
 
 function setUpBoxes(world: object, births: readonly (number | undefined)[]): Boxes {
   const clock = createVirtualClock();
   const limits = births.map((born) => createTargetLimits(clock, alone, () => born));
   const boxes: Boxes = { clock, limits };
-  notes(world).set("boxes with limits", boxes);
+  scenarioState(world).set("boxes with limits", boxes);
   return boxes;
 }
 
@@ -56,7 +57,7 @@
     perSecond === undefined
       ? ({ kind: "none" } as const)
       : ({ kind: "limited", perSecond } as const);
-  limits[box].hear({ target, notice, sentMsAgo: 1, served: true });
+  limits[box].recordAnswer({ target, notice, sentMsAgo: 1, served: true });
 }
 
 Given(
@@ -64,7 +65,7 @@
   function (this: object, perSecond: number) {
     const clock = createVirtualClock();
     const allocator = createPermitAllocator(clock);
-    notes(this).set("permits at a target", {
+    scenarioState(this).set("permits at a target", {
       clock,
       allocator,
       perSecond,
@@ -147,8 +148,8 @@
 When("the boxes tell each other what they know", function (this: object) {
   const { limits } = boxesOf(this);
   const [first, second] = limits;
-  second.take("b1", first.tell(second.followed("b1")));
-  first.take("b2", second.tell(first.followed("b2")));
+  second.applyChanges("b1", first.changesSince(second.appliedSequence("b1")));
+  first.applyChanges("b2", second.changesSince(first.appliedSequence("b2")));
 });
 
 const limitAt = (world: object, which: string) =>
@@ -173,7 +174,7 @@
   async function (this: object, seconds: number) {
     const boxes = boxesOf(this);
     const asked = boxes.limits[0]
-      .takePermit(target, 1_000)
+      .acquirePermit(target, 1_000)
       .then((permit) => (boxes.permit = permit));
     await passes(boxes, 100);
     boxes.clock.suspend(seconds * millisecondsPerSecond);
@@ -191,5 +192,5 @@
 });
 
 Then(/^the target is (not )?due for a trial$/, function (this: object, not: string | null) {
-  assert.equal(boxesOf(this).limits[0].isTrialDue(target), not === null);
+  assert.equal(boxesOf(this).limits[0].isProbeDue(target), not === null);
 });
--- a/packages/token-bucket/src/index.ts
+++ b/packages/token-bucket/src/index.ts
@@ -16,11 +16,11 @@
   /** Takes `count` tokens if they are there. */
   take(count?: number): boolean;
   /** Adds tokens beside the steady rate, for budgets that grow with use. */
-  give(count: number): void;
+  add(count: number): void;
   /** Time until `count` tokens will be there, 0 when they are. */
-  waitFor(count?: number): Milliseconds;
+  msUntil(count?: number): Milliseconds;
   /** Changes how it fills from now on; what it holds stays, up to the new burst. */
-  limit(limits: BucketLimits): void;
+  setLimits(limits: BucketLimits): void;
 }
 
 /** Creates a bucket that holds `initial` tokens, by default its whole burst. */
@@ -45,17 +45,17 @@
       tokens -= count;
       return true;
     },
-    give(count) {
+    add(count) {
       fill();
       tokens = Math.min(limits.burst, tokens + count);
     },
-    waitFor(count = 1) {
+    msUntil(count = 1) {
       fill();
       if (tokens >= count) return 0;
       if (limits.rate === 0) return Infinity;
       return Math.ceil(((count - tokens) * millisecondsPerSecond) / limits.rate);
     },
-    limit(changed) {
+    setLimits(changed) {
       fill();
       limits = changed;
       tokens = Math.min(limits.burst, tokens);
--- a/packages/usage-report/src/index.ts
+++ b/packages/usage-report/src/index.ts
@@ -26,7 +26,7 @@
 
 export interface UsageReports {
   /** Counts one request. */
-  note(account: string, model?: string, tokens?: number): void;
+  recordRequest(account: string, model?: string, tokens?: number): void;
   /** This box's own rate of an account, in requests a second. */
   ownRate(account: string): number;
   /** The account's rate over all boxes as its home last told it; undefined when it has not. */
@@ -50,7 +50,9 @@
 }
 
 function toRates(meter: DemandMeter): readonly AccountRate[] {
-  return meter.own().map(({ model, requestsPerSecond }) => ({ account: model, requestsPerSecond }));
+  return meter
+    .localDemand()
+    .map(({ model, requestsPerSecond }) => ({ account: model, requestsPerSecond }));
 }
 
 /** Creates the reports of one box; its life cycle is the reporting. */
@@ -89,7 +91,7 @@
   const homeOf = (account: string): Incarnation => {
     const serving = membership.serving();
     const pool = mainPoolOf(account);
-    const boxes = pool === undefined ? undefined : leases.boxesOf(pool);
+    const boxes = pool === undefined ? undefined : leases.boxesServing(pool);
     const candidates = serving.filter((entry) => boxes?.includes(entry.box) ?? true);
     const names = candidates.map((entry) => entry.incarnation);
     return rankNodes(account, names)[0] ?? self;
@@ -103,7 +105,8 @@
       byBox.set(box, report);
       return report;
     };
-    for (const sample of models.own()) of(holderOf(sample.model) ?? self).demand.push(sample);
+    for (const sample of models.localDemand())
+      of(holderOf(sample.model) ?? self).demand.push(sample);
     for (const rate of toRates(accounts)) of(homeOf(rate.account)).accounts.push(rate);
     return new Map([...byBox].map(([box, report]) => [box, { from: self, ...report }]));
   };
@@ -142,16 +145,16 @@
 
   const loop = repeatEvery(clock, kernel.find(randomName), everyMs, round);
   return {
-    note(account, model, tokens = 0) {
-      accounts.note(account, 0);
-      if (model !== undefined) models.note(model, tokens);
+    recordRequest(account, model, tokens = 0) {
+      accounts.recordRequest(account, 0);
+      if (model !== undefined) models.recordRequest(model, tokens);
     },
     ownRate: (account) =>
       toRates(accounts).find((entry) => entry.account === account)?.requestsPerSecond ?? 0,
     totalRate: (account) => totals.get(account)?.value,
     demand() {
       const others = [...reports].filter(([box]) => box !== self);
-      return [models.own(), ...others.map(([, held]) => held.value.demand)];
+      return [models.localDemand(), ...others.map(([, held]) => held.value.demand)];
     },
     receive,
     start: loop.start,
--- a/packages/weight-orders/src/index.ts
+++ b/packages/weight-orders/src/index.ts
@@ -1,2 +1,2 @@
-export type { OrderGiverInput, OrderRules } from "./giver-context.js";
-export * from "./order-giver.js";
+export type { OrderDispatcherInput, DispatchRules } from "./dispatcher-context.js";
+export * from "./order-dispatcher.js";
--- a/packages/weight-orders/src/store-loads.ts
+++ b/packages/weight-orders/src/store-load-window.ts
@@ -3,10 +3,10 @@
 
 export interface StoreLoadWindow {
   /** Loads that may begin now. */
-  left(perSecond: number, now: Milliseconds): number;
-  began(now: Milliseconds): void;
+  remaining(perSecond: number, now: Milliseconds): number;
+  record(now: Milliseconds): void;
   /** Takes back the last that was counted: it was refused. */
-  undo(): void;
+  removeLast(): void;
   /** Counts the window as full: loads of another holder may have just begun. */
   assumeFull(perSecond: number, now: Milliseconds): void;
 }
@@ -19,12 +19,12 @@
   const allowed = (perSecond: number) =>
     Math.max(1, Math.floor((perSecond * windowMs) / millisecondsPerSecond));
   return {
-    left(perSecond, now) {
+    remaining(perSecond, now) {
       begun = begun.filter((at) => now - at < windowMs);
       return allowed(perSecond) - begun.length;
     },
-    began: (now) => void begun.push(now),
-    undo: () => void begun.pop(),
+    record: (now) => void begun.push(now),
+    removeLast: () => void begun.pop(),
     assumeFull(perSecond, now) {
       // Spread over the window, as they would be on average.
       const count = allowed(perSecond);
--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { createFleet, type Fleet, holds } from "@linkfall/fleet";
+import { createFleet, type Fleet, hasModelLoaded } from "@linkfall/fleet";
 import {
   clockName,
   createKernel,
@@ -19,11 +19,11 @@
   DeclaredModel,
   FencedOrder,
   ListedTarget,
-  OrderAnswer,
+  OrderResult,
   RoutedConfiguration,
 } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
-import { createOrderGiver, type OrderGiver } from "./index.js";
+import { createOrderDispatcher, type OrderDispatcher } from "./index.js";
 
 const service = "s";
 const modelMb = 100;
@@ -58,7 +58,7 @@
   readonly fates: Fate[];
   readonly refused: number[];
   readonly storeLoads: number[];
-  giver?: OrderGiver;
+  giver?: OrderDispatcher;
   epoch: number | undefined;
   demand: readonly ModelDemand[];
   perSecond: number;
@@ -87,9 +87,9 @@
   return {
     name,
     memoryMb: modelMb,
-    fromMemoryMs: loadMs,
-    fromDiskMs: loadMs,
-    fromStoreMs: loadMs,
+    loadFromMemoryMs: loadMs,
+    loadFromDiskMs: loadMs,
+    loadFromStoreMs: loadMs,
     adapterMb: 1,
   };
 }
@@ -111,7 +111,7 @@
 }
 
 /** Carries an order out, unless the engine refuses it. */
-function carryOut(scene: Scene, engine: FakeEngine, order: FencedOrder): OrderAnswer {
+function carryOut(scene: Scene, engine: FakeEngine, order: FencedOrder): OrderResult {
   const now = scene.clock.now();
   if (order.epoch < engine.seenEpoch) return "fenced";
   engine.seenEpoch = order.epoch;
@@ -149,7 +149,7 @@
     });
   const find = (id: string) => scene.engines.find((engine) => engine.id === id);
   return {
-    async state({ id }) {
+    async readState({ id }) {
       await after(scene.answerMs);
       const engine = find(id);
       if (!engine) {
@@ -199,13 +199,13 @@
 function leaseOf(scene: Scene): OrderLease {
   return {
     epoch: () => scene.epoch,
-    known: () => undefined,
-    hear: () => undefined,
-    refused(epoch) {
+    observedLease: () => undefined,
+    observe: () => undefined,
+    recordRefusal(epoch) {
       scene.refused.push(epoch);
       scene.epoch = undefined;
     },
-    ordersForMs: () => 1_000,
+    remainingLeaseMs: () => 1_000,
     release: async () => undefined,
     start: async () => undefined,
     stop: async () => undefined,
@@ -227,10 +227,10 @@
     recordingLogger(() => undefined),
   );
   const fleet = createFleet(kernel, {
-    lapse: { graceMs: 1_600, share: 0.3 },
-    ejection: { failuresInARow: 3, firstMs: 1_000, longestMs: 8_000 },
+    lapse: { graceMs: 1_600, minShare: 0.3 },
+    ejection: { consecutiveFailures: 3, initialMs: 1_000, maxMs: 8_000 },
   });
-  fleet.takeList(engineIds.map(listed));
+  fleet.applyList(engineIds.map(listed));
   const scene: Scene = {
     clock,
     fleet,
@@ -256,22 +256,22 @@
     names,
     onDisk: names,
   };
-  scene.giver = createOrderGiver(kernel, {
+  scene.giver = createOrderDispatcher(kernel, {
     self: "b1",
     fleet,
     engines: portOf(scene),
-    takesPerSecond: () => undefined,
-    noteLimit: () => undefined,
+    maxRequestsPerSecond: () => undefined,
+    onLimitReported: () => undefined,
     lease: leaseOf(scene),
     configuration: () => configurationOf(scene),
     demand: () => scene.demand,
-    announce: () => undefined,
+    notifyPeers: () => undefined,
     rules: {
-      plan: { loadOfReplica: 0.6, horizonMs: 10_000 },
-      stateMs: 300,
-      busyStateMs: 60,
-      resendMs: 800,
-      giveUpMs: 8_000,
+      plan: { targetReplicaLoad: 0.6, horizonMs: 10_000 },
+      pollIntervalMs: 300,
+      activePollIntervalMs: 60,
+      resendAfterMs: 800,
+      moveTimeoutMs: 8_000,
     },
   });
   return scene;
@@ -316,7 +316,7 @@
     assert.ok(engine);
     await scene.clock.runUntil(scene.clock.now() + 300);
     engine.sequence += 1;
-    scene.fleet.takeHoldings(id, { sequence: engine.sequence, models: [] });
+    scene.fleet.applyRelayedHoldings(id, { sequence: engine.sequence, models: [] });
     await scene.clock.runUntil(scene.clock.now() + 2_000);
     engine.models.push(name);
   },
@@ -350,7 +350,7 @@
   const now = sceneOf(this).clock.now();
   const holding = sceneOf(this)
     .fleet.all()
-    .filter((belief) => holds(belief, name, adapter, now));
+    .filter((belief) => hasModelLoaded(belief, name, adapter, now));
   assert.equal(holding.length, 1);
 });
 
@@ -475,9 +475,9 @@
 });
 
 function randomFate(random: Random): Fate {
-  const choice = random.below(5);
+  const choice = random.nextInt(5);
   if (choice === 0) return "lost";
-  if (choice === 1) return { lateMs: 200 + random.below(6_000) };
+  if (choice === 1) return { lateMs: 200 + random.nextInt(6_000) };
   return "taken";
 }
 
@@ -494,8 +494,8 @@
       await scene.giver?.start();
       for (let step = 0; step < 10; step++) {
         for (let index = 0; index < 4; index++) scene.fates.push(randomFate(random));
-        waitFor(scene, scene.names[random.below(scene.names.length)], random.below(20));
-        await pass(scene, 500 + random.below(2_000));
+        waitFor(scene, scene.names[random.nextInt(scene.names.length)], random.nextInt(20));
+        await pass(scene, 500 + random.nextInt(2_000));
       }
       for (const engine of scene.engines)
         assert.ok(!engine.overfilled, `seed ${seed} ${engine.id}`);
@@ -508,7 +508,7 @@
   const scene = sceneOf(this);
   // The second copy began while the first was under way, so it is there later.
   assert.equal(scene.orders.filter(({ order }) => order.model === name).length, 2);
-  const expected = scene.giver?.expected()[`${service} ${name}`];
+  const expected = scene.giver?.timesToReady()[`${service} ${name}`];
   // Loads on engines at work are taken to last a little longer than declared.
   const overrun = 1.15;
   const first = Math.min(...scene.orders.map(({ at }) => at));
--- a/packages/weight-plan/src/adapters.ts
+++ b/packages/weight-plan/src/adapters.ts
@@ -1,9 +1,9 @@
 /** Plans where adapters that requests wait for are loaded, and which idle ones make way. */
 import type { DeclaredModel, WeightOrder } from "@linkfall/types";
-import { adaptersTaken, type EngineView, usedMb } from "./engine-view.js";
+import { usedAdapterSlots, type EngineView, usedMb } from "./engine-view.js";
 
 /** Adapters of one model that requests wait for. */
-export interface AdapterNeed {
+export interface AdapterDemand {
   readonly model: string;
   readonly adapter: string;
   readonly waiting: number;
@@ -16,30 +16,30 @@
 }
 
 /** Adapters on their way to one engine at once. */
-const mostComing = 4;
+const maxConcurrentAdapterLoads = 4;
 
 function holdsModel(engine: EngineView, model: string): boolean {
-  return engine.outgoing !== model && engine.residents.some((held) => held.name === model);
+  return engine.unloadingModel !== model && engine.residents.some((held) => held.name === model);
 }
 
-function isThereOrComing(engine: EngineView, { model, adapter }: AdapterNeed): boolean {
-  if (engine.adaptersComing.includes(`${model}/${adapter}`)) return true;
+function isLoadedOrLoading(engine: EngineView, { model, adapter }: AdapterDemand): boolean {
+  if (engine.loadingAdapters.includes(`${model}/${adapter}`)) return true;
   const resident = engine.residents.find((held) => held.name === model);
   return resident?.adapters.includes(adapter) ?? false;
 }
 
-function hasRoom(
+function hasCapacity(
   engine: EngineView,
   models: ReadonlyMap<string, DeclaredModel>,
   model: string,
 ): boolean {
   const sizeMb = models.get(model)?.adapterMb ?? 0;
-  if (adaptersTaken(engine) >= engine.adapterSlots) return false;
+  if (usedAdapterSlots(engine) >= engine.adapterSlots) return false;
   return usedMb(engine, models) + sizeMb <= engine.memoryMb;
 }
 
 /** An adapter that nobody waits for, to make way. */
-function idleAdapter(
+function selectIdleAdapter(
   engine: EngineView,
   wanted: ReadonlySet<string>,
   lastUsed: (key: string) => number,
@@ -56,7 +56,7 @@
 /** Orders about adapters to send now: at most one an engine. */
 export function planAdapters(
   engines: readonly EngineView[],
-  needs: readonly AdapterNeed[],
+  needs: readonly AdapterDemand[],
   models: ReadonlyMap<string, DeclaredModel>,
   lastUsed: (key: string) => number,
 ): readonly AdapterMove[] {
@@ -64,20 +64,20 @@
   const wanted = new Set(needs.map((need) => `${need.model}/${need.adapter}`));
   const planned = new Set<string>();
   for (const need of needs) {
-    if (engines.some((engine) => isThereOrComing(engine, need))) continue;
+    if (engines.some((engine) => isLoadedOrLoading(engine, need))) continue;
     const holding = engines
-      .filter((engine) => engine.freeInMs === 0 && !planned.has(engine.id))
+      .filter((engine) => engine.availableInMs === 0 && !planned.has(engine.id))
       .filter((engine) => holdsModel(engine, need.model))
-      .filter((engine) => engine.adaptersComing.length < mostComing)
-      .sort((left, right) => adaptersTaken(left) - adaptersTaken(right));
-    const roomy = holding.find((engine) => hasRoom(engine, models, need.model));
+      .filter((engine) => engine.loadingAdapters.length < maxConcurrentAdapterLoads)
+      .sort((left, right) => usedAdapterSlots(left) - usedAdapterSlots(right));
+    const roomy = holding.find((engine) => hasCapacity(engine, models, need.model));
     if (roomy) {
       planned.add(roomy.id);
       moves.push({ engine: roomy.id, action: "load", model: need.model, adapter: need.adapter });
       continue;
     }
     for (const engine of holding) {
-      const idle = idleAdapter(engine, wanted, lastUsed);
+      const idle = selectIdleAdapter(engine, wanted, lastUsed);
       if (!idle) continue;
       planned.add(engine.id);
       moves.push({ engine: engine.id, action: "unload", ...idle });
--- a/packages/weight-plan/src/engine-view.ts
+++ b/packages/weight-plan/src/engine-view.ts
@@ -1,5 +1,5 @@
 /** What the planner knows: engines with what they hold, and what is asked of each model. */
-import type { DeclaredModel, Mebibytes, Milliseconds, ResidentModel } from "@linkfall/types";
+import type { DeclaredModel, Mebibytes, Milliseconds, LoadedModel } from "@linkfall/types";
 
 /** One engine as the planner sees it. */
 export interface EngineView {
@@ -7,32 +7,32 @@
   readonly domain: string;
   readonly memoryMb: Mebibytes;
   readonly adapterSlots: number;
-  readonly residents: readonly ResidentModel[];
+  readonly residents: readonly LoadedModel[];
   /** Adapters on their way, as `model/adapter`. */
-  readonly adaptersComing: readonly string[];
-  readonly inMemory: ReadonlySet<string>;
-  readonly onDisk: ReadonlySet<string>;
+  readonly loadingAdapters: readonly string[];
+  readonly cachedInMemory: ReadonlySet<string>;
+  readonly cachedOnDisk: ReadonlySet<string>;
   /** Time until a move that is under way is expected to end; 0 where nothing is under way. */
-  readonly freeInMs: Milliseconds;
+  readonly availableInMs: Milliseconds;
   /** Whether the move under way brings its model from the weight store. */
-  readonly loadsFromStore: boolean;
+  readonly isLoadingFromStore: boolean;
   /** The model that the move under way brings in, if any. */
-  readonly incoming?: string;
+  readonly loadingModel?: string;
   /** The model that the move under way drops, if any. */
-  readonly outgoing?: string;
+  readonly unloadingModel?: string;
   /** Requests at work there. */
   readonly inFlight: number;
   /** Requests a second that it takes; absent where it takes any number. */
-  readonly takesPerSecond?: number;
+  readonly maxRequestsPerSecond?: number;
 }
 
 /** What is asked of one model over all boxes. */
-export interface ModelNeed {
+export interface DemandView {
   readonly model: DeclaredModel;
   /** Requests at work or waiting, averaged. */
   readonly inFlight: number;
   /** What its requests take of engines: 1 is all that one engine can do. */
-  readonly load: number;
+  readonly engineLoad: number;
   /** Shortest objective of the requests that asked for it. */
   readonly objectiveMs: Milliseconds;
   /** Requests a second that ask for it, those that are refused included. */
@@ -46,20 +46,20 @@
 export type LoadSource = "memory" | "disk" | "store";
 
 /** Where a load on this engine would come from. */
-export function sourceOf(engine: EngineView, model: string): LoadSource {
-  if (engine.inMemory.has(model)) return "memory";
-  return engine.onDisk.has(model) ? "disk" : "store";
+export function loadSourceOf(engine: EngineView, model: string): LoadSource {
+  if (engine.cachedInMemory.has(model)) return "memory";
+  return engine.cachedOnDisk.has(model) ? "disk" : "store";
 }
 
 /** How long a load of the model takes. */
 export function loadTimeMs(source: LoadSource, model: DeclaredModel): Milliseconds {
   switch (source) {
     case "memory":
-      return model.fromMemoryMs;
+      return model.loadFromMemoryMs;
     case "disk":
-      return model.fromDiskMs;
+      return model.loadFromDiskMs;
     case "store":
-      return model.fromStoreMs;
+      return model.loadFromStoreMs;
   }
 }
 
@@ -73,7 +73,7 @@
     if (!model) return sum;
     return sum + model.memoryMb + held.adapters.length * model.adapterMb;
   }, 0);
-  const coming = engine.adaptersComing.reduce(
+  const coming = engine.loadingAdapters.reduce(
     (sum, name) => sum + (models.get(name.split("/", 1)[0])?.adapterMb ?? 0),
     0,
   );
@@ -81,7 +81,7 @@
 }
 
 /** Adapter places that are taken. */
-export function adaptersTaken(engine: Pick<EngineView, "residents" | "adaptersComing">): number {
+export function usedAdapterSlots(engine: Pick<EngineView, "residents" | "adaptersComing">): number {
   const held = engine.residents.reduce((sum, resident) => sum + resident.adapters.length, 0);
-  return held + engine.adaptersComing.length;
+  return held + engine.loadingAdapters.length;
 }
--- a/packages/weight-plan/src/index.ts
+++ b/packages/weight-plan/src/index.ts
@@ -1,5 +1,5 @@
 export * from "./adapters.js";
 export * from "./engine-view.js";
-export * from "./copies.js";
+export * from "./eviction-cost.js";
 export * from "./plan.js";
 export * from "./plan-input.js";
--- a/packages/weight-plan/src/places.ts
+++ b/packages/weight-plan/src/placements.ts
@@ -1,71 +1,71 @@
 /** Where a model would come in best: on which engine, in the place of which others. */
 import type { DeclaredModel, Mebibytes, Milliseconds } from "@linkfall/types";
-import { copyLoss, lastCopyLoss, unknownLastMs } from "./copies.js";
-import { type EngineView, type LoadSource, loadTimeMs, sourceOf, usedMb } from "./engine-view.js";
+import { evictionCostMs, lastReplicaCostMs, initialLastReplicaCostMs } from "./eviction-cost.js";
+import { type EngineView, type LoadSource, loadTimeMs, loadSourceOf, usedMb } from "./engine-view.js";
 import type { PlanInput } from "./plan-input.js";
-import type { Wish } from "./wishes.js";
+import type { LoadCandidate } from "./load-candidates.js";
 
 /** An engine that is not free yet may be taken for something else before it is. */
-const notFreeFactor = 2;
+const busyEngineFactor = 2;
 /** An engine that takes only so many requests is a place where no other is. */
-const limitedMs: Milliseconds = 60_000;
+const rateLimitedPenaltyMs: Milliseconds = 60_000;
 /** What a request at work on an engine costs one more there. */
-const crowdMs: Milliseconds = 20;
+const inFlightPenaltyMs: Milliseconds = 20;
 /** What bringing a model that no engine has at hand is worth. */
-const unreachableGainMs: Milliseconds = 150;
+const unreachableBenefitMs: Milliseconds = 150;
 /** What a model on standby displaces has to be worth this much less, so that two do not take turns. */
 const standbyMargin = 2;
 /** An engine with no more requests at work can be held up by a load for nobody yet. */
-const quietRequests = 6;
+const maxQuietInFlight = 6;
 /** Loads from the weight store that are kept for models that requests wait for. */
-const storeLoadsReserved = 3;
+const reservedStoreLoads = 3;
 /** Beyond this, requests of a model on one replica earn a further one. */
-const replicaGainMs: Milliseconds = 250;
+const replicaBenefitMs: Milliseconds = 250;
 
 /** A place for a model on one engine. */
-export interface Place {
+export interface Placement {
   readonly engine: EngineView;
   readonly source: LoadSource;
   readonly victims: readonly string[];
   /** What the victims' requests lose, in milliseconds. */
-  readonly loss: number;
+  readonly evictionCostMs: number;
   /** Time until the model is there. */
   readonly readyMs: Milliseconds;
 }
 
 /** A resident model that could make room. */
-interface PricedResident {
+interface EvictableResident {
   readonly name: string;
   /** What its requests lose if it goes, in milliseconds. */
-  readonly loss: number;
+  readonly evictionCostMs: number;
   readonly memoryMb: Mebibytes;
 }
 
 /** What an engine has to offer any model. */
-interface PricedEngine {
+interface EvictionOptions {
   readonly freeMb: Mebibytes;
   /** The cheapest first. */
-  readonly residents: readonly PricedResident[];
+  readonly residents: readonly EvictableResident[];
 }
 
 /**
  * Prices of the engines of one plan. Each is worked out once and not for each wish: the box that plans does nothing else meanwhile.
  */
-export interface PriceList {
-  of(engine: EngineView): PricedEngine;
+export interface EvictionOptionsCache {
+  optionsFor(engine: EngineView): EvictionOptions;
   /** Drops the prices that hang on these models, whose copies have changed. */
-  drop(models: ReadonlySet<string>): void;
+  invalidate(models: ReadonlySet<string>): void;
 }
 
-function priceEngine(
+function listEvictionOptions(
   input: PlanInput,
   copies: ReadonlyMap<string, number>,
   engine: EngineView,
-): PricedEngine {
+): EvictionOptions {
   const residents = engine.residents.flatMap(({ name, adapters }) => {
     const model = input.models.get(name);
     if (!model) return [];
-    const loss = copyLoss(input, copies, engine, name);
+    const loss = evictionCostMs(input, copies, engine, name);
     return [{ name, loss, memoryMb: model.memoryMb + adapters.length * model.adapterMb }];
   });
   return {
@@ -75,15 +75,15 @@
 }
 
 /** Creates the prices of a plan that changes `copies` as it goes. */
-export function createPriceList(input: PlanInput, copies: ReadonlyMap<string, number>): PriceList {
-  const known = new Map<string, PricedEngine>();
+export function createEvictionOptionsCache(input: PlanInput, copies: ReadonlyMap<string, number>): EvictionOptionsCache {
+  const known = new Map<string, EvictionOptions>();
   return {
-    of(engine) {
-      const price = known.get(engine.id) ?? priceEngine(input, copies, engine);
+    optionsFor(engine) {
+      const price = known.get(engine.id) ?? listEvictionOptions(input, copies, engine);
       known.set(engine.id, price);
       return price;
     },
-    drop(models) {
+    invalidate(models) {
       for (const [id, { residents }] of known) {
         if (residents.some(({ name }) => models.has(name))) known.delete(id);
       }
@@ -92,86 +92,86 @@
 }
 
 /** The cheapest victims that make room on an engine; undefined when there is no room to be had. */
-function placeOn(prices: PriceList, engine: EngineView, model: DeclaredModel): Place | undefined {
-  if (engine.incoming === model.name) return undefined;
+function findPlacement(prices: EvictionOptionsCache, engine: EngineView, model: DeclaredModel): Placement | undefined {
+  if (engine.loadingModel === model.name) return undefined;
   if (engine.residents.some((resident) => resident.name === model.name)) return undefined;
-  const { freeMb, residents } = prices.of(engine);
+  const { freeMb, residents } = prices.optionsFor(engine);
   let room = freeMb;
   let loss = 0;
   const victims: string[] = [];
   for (const resident of residents) {
     if (room >= model.memoryMb) break;
     victims.push(resident.name);
-    loss += resident.loss;
+    loss += resident.evictionCostMs;
     room += resident.memoryMb;
   }
   if (room < model.memoryMb || !Number.isFinite(loss)) return undefined;
-  const source = sourceOf(engine, model.name);
-  return { engine, source, victims, loss, readyMs: engine.freeInMs + loadTimeMs(source, model) };
+  const source = loadSourceOf(engine, model.name);
+  return { engine, source, victims, evictionCostMs: loss, readyMs: engine.availableInMs + loadTimeMs(source, model) };
 }
 
 /** Whether the load earns what its victims lose. */
-function isWorth(input: PlanInput, wish: Wish, place: Place): boolean {
+function isWorthwhile(input: PlanInput, wish: LoadCandidate, place: Placement): boolean {
   switch (wish.reason) {
     case "waiting":
       return true;
     case "demand":
-      if (place.engine.takesPerSecond !== undefined) return false;
-      return place.loss < (wish.weight + wish.carried / 2) * replicaGainMs;
+      if (place.engine.maxRequestsPerSecond !== undefined) return false;
+      return place.evictionCostMs < (wish.priority + wish.targetInFlight / 2) * replicaBenefitMs;
     case "standby":
-      if (input.needs.size === 0) return place.loss < unknownLastMs;
-      return place.loss * standbyMargin < lastCopyLoss(input, wish.model.name);
+      if (input.demand.size === 0) return place.evictionCostMs < initialLastReplicaCostMs;
+      return place.evictionCostMs * standbyMargin < lastReplicaCostMs(input, wish.model.name);
     case "unreachable":
-      return place.loss < unreachableGainMs && place.engine.inFlight <= quietRequests;
+      return place.evictionCostMs < unreachableBenefitMs && place.engine.inFlight <= maxQuietInFlight;
   }
 }
 
-function costOf(place: Place): number {
-  const risk = place.engine.freeInMs * (notFreeFactor - 1);
-  const limited = place.engine.takesPerSecond === undefined ? 0 : limitedMs;
-  return place.readyMs + risk + place.loss + place.engine.inFlight * crowdMs + limited;
+function placementCostMs(place: Placement): number {
+  const risk = place.engine.availableInMs * (busyEngineFactor - 1);
+  const limited = place.engine.maxRequestsPerSecond === undefined ? 0 : rateLimitedPenaltyMs;
+  return place.readyMs + risk + place.evictionCostMs + place.engine.inFlight * inFlightPenaltyMs + limited;
 }
 
 /** Share of the engines that may load from the store at once for callers who get their answer late in any case,
  * or for nobody yet: without it loads from the store took the orders of eight engines for 86 % of the time. */
-const lateShare = 0.25;
+const maxDeferrableLoadShare = 0.25;
 
 /** Whether a load from the store is for nobody yet, or for callers for whom only one from disk comes in time. */
-function isLate({ reason, model }: Wish, needs: PlanInput["needs"]): boolean {
+function isDeferrable({ reason, model }: LoadCandidate, needs: PlanInput["demand"]): boolean {
   if (reason === "unreachable") return true;
   const need = needs.get(model.name);
   if (!need) return false;
-  return need.objectiveMs > model.fromDiskMs && need.objectiveMs < model.fromStoreMs;
+  return need.objectiveMs > model.loadFromDiskMs && need.objectiveMs < model.loadFromStoreMs;
 }
 
 /** Loads from the store that may begin: one takes all orders of an engine for seconds, so most engines stay
  * free for what is urgent. */
-function storeLoadsFor(input: PlanInput, wish: Wish, storeLoadsLeft: number): number {
-  const reserved = wish.reason === "waiting" ? 0 : storeLoadsReserved;
+function allowedStoreLoads(input: PlanInput, wish: LoadCandidate, storeLoadsLeft: number): number {
+  const reserved = wish.reason === "waiting" ? 0 : reservedStoreLoads;
   const allowed = storeLoadsLeft - reserved;
   // Before there is demand nothing is urgent.
-  if (input.needs.size === 0 || !isLate(wish, input.needs)) return allowed;
-  const loading = input.engines.filter((engine) => engine.loadsFromStore).length;
-  const share = Math.max(1, Math.floor(input.engines.length * lateShare));
+  if (input.demand.size === 0 || !isDeferrable(wish, input.demand)) return allowed;
+  const loading = input.engines.filter((engine) => engine.isLoadingFromStore).length;
+  const share = Math.max(1, Math.floor(input.engines.length * maxDeferrableLoadShare));
   return Math.min(allowed, share - loading);
 }
 
 /** The best place, which may be an engine that is not free yet. */
-export function bestPlace(
+export function selectPlacement(
   input: PlanInput,
-  prices: PriceList,
-  wish: Wish,
+  prices: EvictionOptionsCache,
+  wish: LoadCandidate,
   storeLoadsLeft: number,
-): Place | undefined {
-  const allowed = storeLoadsFor(input, wish, storeLoadsLeft);
-  let best: Place | undefined;
+): Placement | undefined {
+  const allowed = allowedStoreLoads(input, wish, storeLoadsLeft);
+  let best: Placement | undefined;
   for (const engine of input.engines) {
-    const place = placeOn(prices, engine, wish.model);
-    if (!place || !isWorth(input, wish, place)) continue;
-    if (place.readyMs > (wish.withinMs ?? Infinity)) continue;
+    const place = findPlacement(prices, engine, wish.model);
+    if (!place || !isWorthwhile(input, wish, place)) continue;
+    if (place.readyMs > (wish.maxReadyMs ?? Infinity)) continue;
     // What nobody asks for yet is not worth an engine's orders for seconds.
     const mayLoad = place.source !== "store" || (wish.reason !== "standby" && allowed > 0);
-    if (mayLoad && (!best || costOf(place) < costOf(best))) best = place;
+    if (mayLoad && (!best || placementCostMs(place) < placementCostMs(best))) best = place;
   }
   return best;
 }
--- a/packages/weight-plan/src/plan-input.ts
+++ b/packages/weight-plan/src/plan-input.ts
@@ -1,11 +1,11 @@
 /** What a plan is made from, and what comes of it. */
 import type { DeclaredModel, Milliseconds } from "@linkfall/types";
-import type { EngineView, ModelNeed } from "./engine-view.js";
+import type { EngineView, DemandView } from "./engine-view.js";
 
 /** One swap on one engine: the victims go, then the model comes. */
 export interface WeightMove {
   readonly engine: string;
-  readonly load: string;
+  readonly model: string;
   readonly victims: readonly string[];
   readonly source: "memory" | "disk" | "store";
   /** Requests wait for it; its replicas are too few; its next requests could not wait for a load; or no
@@ -16,18 +16,18 @@
 /** Settings of the plan. */
 export interface PlanRules {
   /** Load that one replica is to carry, as a share of what an engine can do. */
-  readonly loadOfReplica: number;
+  readonly targetReplicaLoad: number;
   /** Time over which the next request of a rare model is weighed. */
   readonly horizonMs: Milliseconds;
 }
 
 export interface PlanInput {
   readonly engines: readonly EngineView[];
-  readonly needs: ReadonlyMap<string, ModelNeed>;
+  readonly demand: ReadonlyMap<string, DemandView>;
   readonly models: ReadonlyMap<string, DeclaredModel>;
   /** Time for which demand has been watched. */
-  readonly watchedMs: Milliseconds;
+  readonly observedMs: Milliseconds;
   /** Loads that the weight store's rate still permits now. */
-  readonly storeLoadsLeft: number;
+  readonly storeLoadBudget: number;
   readonly rules: PlanRules;
 }
--- a/packages/weight-plan/src/plan.ts
+++ b/packages/weight-plan/src/plan.ts
@@ -1,31 +1,36 @@
 /** Plans which models engines swap: what is missed most comes in, what is missed least goes. */
-import { bestPlace, createPriceList } from "./places.js";
+import { selectPlacement, createEvictionOptionsCache } from "./placements.js";
 import type { PlanInput, WeightMove } from "./plan-input.js";
-import { locate, wishesOf } from "./wishes.js";
+import { summarizeAvailability, selectCandidates } from "./load-candidates.js";
 
 /** Moves to begin now: at most one an engine. */
 export function planMoves(input: PlanInput): readonly WeightMove[] {
-  const where = locate(input);
-  const { copies } = where;
-  const prices = createPriceList(input, copies);
+  const where = summarizeAvailability(input);
+  const { replicaCounts: copies } = where;
+  const prices = createEvictionOptionsCache(input, copies);
   const moves: WeightMove[] = [];
-  let { storeLoadsLeft, engines } = input;
-  for (const { model, ...wish } of wishesOf(input, where)) {
-    const place = bestPlace({ ...input, engines }, prices, { model, ...wish }, storeLoadsLeft);
+  let { storeLoadBudget: storeLoadsLeft, engines } = input;
+  for (const { model, ...wish } of selectCandidates(input, where)) {
+    const place = selectPlacement(
+      { ...input, engines },
+      prices,
+      { model, ...wish },
+      storeLoadsLeft,
+    );
     // An engine that is soon free and has the weights at hand is better than a slow load now.
-    if (!place || place.engine.freeInMs > 0) continue;
+    if (!place || place.engine.availableInMs > 0) continue;
     const { id } = place.engine;
     const { source } = place;
     if (source === "store") storeLoadsLeft -= 1;
     moves.push({
       engine: id,
-      load: model.name,
+      model: model.name,
       victims: place.victims,
       source,
       reason: wish.reason,
     });
     copies.set(model.name, (copies.get(model.name) ?? 0) + 1);
-    prices.drop(new Set([model.name, ...place.victims]));
+    prices.invalidate(new Set([model.name, ...place.victims]));
     for (const victim of place.victims) copies.set(victim, (copies.get(victim) ?? 0) - 1);
     const occupied = {
       freeInMs: Math.max(1, place.readyMs),
--- a/packages/weight-plan/src/weight-plan.steps.ts
+++ b/packages/weight-plan/src/weight-plan.steps.ts
@@ -3,9 +3,9 @@
 import type { DeclaredModel } from "@linkfall/types";
 import fc from "fast-check";
 import {
-  type AdapterNeed,
+  type AdapterDemand,
   type EngineView,
-  type ModelNeed,
+  type DemandView,
   planAdapters,
   planMoves,
   type PlanInput,
@@ -24,9 +24,9 @@
   return {
     name,
     memoryMb: modelMb,
-    fromMemoryMs: 400,
-    fromDiskMs: 800,
-    fromStoreMs: 4_000,
+    loadFromMemoryMs: 400,
+    loadFromDiskMs: 800,
+    loadFromStoreMs: 4_000,
     adapterMb: 60,
   };
 }
@@ -42,11 +42,11 @@
     memoryMb,
     adapterSlots: 4,
     residents: residents.map((name) => ({ name, version: 1, adapters: [] })),
-    adaptersComing: [],
-    inMemory: new Set(),
-    onDisk: new Set(residents),
-    freeInMs: 0,
-    loadsFromStore: false,
+    loadingAdapters: [],
+    cachedInMemory: new Set(),
+    cachedOnDisk: new Set(residents),
+    availableInMs: 0,
+    isLoadingFromStore: false,
     inFlight: 0,
     ...more,
   };
@@ -55,8 +55,8 @@
 interface Scene {
   models: Map<string, DeclaredModel>;
   engines: EngineView[];
-  needs: Map<string, ModelNeed>;
-  adapterNeeds: AdapterNeed[];
+  needs: Map<string, DemandView>;
+  adapterNeeds: AdapterDemand[];
   storeLoadsLeft: number;
   watchedMs: number;
 }
@@ -72,7 +72,14 @@
 const words = (text: string) => text.split(" ");
 
 function input({ models, engines, needs, watchedMs, storeLoadsLeft }: Scene): PlanInput {
-  return { models, engines, needs, watchedMs, storeLoadsLeft, rules };
+  return {
+    models,
+    engines,
+    demand: needs,
+    observedMs: watchedMs,
+    storeLoadBudget: storeLoadsLeft,
+    rules,
+  };
 }
 
 const planOf = (world: object): readonly WeightMove[] => planMoves(input(sceneOf(world)));
@@ -96,7 +103,7 @@
   "engine {string} holds {string} with {string} on disk",
   function (this: object, id: string, held: string, onDisk: string) {
     sceneOf(this).engines.push(
-      engine(id, words(held), { onDisk: new Set([...words(held), ...words(onDisk)]) }),
+      engine(id, words(held), { cachedOnDisk: new Set([...words(held), ...words(onDisk)]) }),
     );
   },
 );
@@ -112,14 +119,16 @@
   /^engine "([^"]*)" holds "([^"]*)" and takes ([\d.]+) requests? a second$/,
   function (this: object, id: string, held: string, perSecond: string) {
     const takesPerSecond = Number(perSecond);
-    sceneOf(this).engines.push(engine(id, words(held), { takesPerSecond }));
+    sceneOf(this).engines.push(engine(id, words(held), { maxRequestsPerSecond: takesPerSecond }));
   },
 );
 
 Given(
   "engine {string} holds {string} and loads from the store for {int} ms",
   function (this: object, id: string, held: string, freeInMs: number) {
-    sceneOf(this).engines.push(engine(id, words(held), { freeInMs, loadsFromStore: true }));
+    sceneOf(this).engines.push(
+      engine(id, words(held), { availableInMs: freeInMs, isLoadingFromStore: true }),
+    );
   },
 );
 
@@ -134,7 +143,7 @@
 Given(
   "engine {string} holds {string} and is free in {int} ms",
   function (this: object, id: string, held: string, freeInMs: number) {
-    sceneOf(this).engines.push(engine(id, words(held), { freeInMs }));
+    sceneOf(this).engines.push(engine(id, words(held), { availableInMs: freeInMs }));
   },
 );
 
@@ -156,7 +165,7 @@
   sceneOf(this).storeLoadsLeft = left;
 });
 
-function need(world: object, name: string, part: Partial<ModelNeed>): void {
+function need(world: object, name: string, part: Partial<DemandView>): void {
   const { needs, models } = sceneOf(world);
   const declared = models.get(name);
   assert.ok(declared);
@@ -164,7 +173,7 @@
   needs.set(name, {
     model: declared,
     inFlight: 0,
-    load,
+    engineLoad: load,
     rate: 0,
     objectiveMs,
     waiting: 0,
@@ -209,7 +218,7 @@
   /^engine "(.*)" swaps in "(.*)" from (memory|disk|store) for (one model|".*")$/,
   function (this: object, id: string, name: string, source: string, victims: string) {
     const move = planOf(this).find((planned) => planned.engine === id);
-    assert.equal(move?.load, name);
+    assert.equal(move?.model, name);
     assert.equal(move.source, source);
     if (victims === "one model") assert.equal(move.victims.length, 1);
     else assert.deepEqual(move.victims, words(victims.slice(1, -1)));
@@ -241,7 +250,7 @@
 Then(
   "{string} is planned and {string} is not",
   function (this: object, planned: string, left: string) {
-    const loads = planOf(this).map((move) => move.load);
+    const loads = planOf(this).map((move) => move.model);
     assert.ok(loads.includes(planned) && !loads.includes(left), loads.join(" "));
   },
 );
@@ -255,7 +264,7 @@
   function (this: object, name: string, victims: string) {
     const moves = planOf(this);
     assert.equal(moves.length, 1);
-    assert.equal(moves[0].load, name);
+    assert.equal(moves[0].model, name);
     assert.ok(moves[0].victims.every((victim) => words(victims).includes(victim)));
   },
 );
@@ -299,7 +308,7 @@
 /** What an engine holds after a move. */
 function after(view: EngineView, move: WeightMove): EngineView {
   const kept = view.residents.filter((held) => !move.victims.includes(held.name));
-  return { ...view, residents: [...kept, { name: move.load, version: 1, adapters: [] }] };
+  return { ...view, residents: [...kept, { name: move.model, version: 1, adapters: [] }] };
 }
 
 Then(
@@ -314,7 +323,7 @@
     fc.assert(
       fc.property(scenesOf, ([views, wanted, storeLoadsLeft]) => {
         const engines = views.map(({ residents, onDisk, ...view }, index) =>
-          engine(String(index), residents, { ...view, onDisk: new Set(onDisk) }),
+          engine(String(index), residents, { ...view, cachedOnDisk: new Set(onDisk) }),
         );
         const placed = engines.map((view, index) => ({
           ...view,
@@ -325,10 +334,10 @@
         );
         const moves = planMoves({
           engines: placed,
-          needs,
+          demand: needs,
           models,
-          watchedMs: 10_000,
-          storeLoadsLeft,
+          observedMs: 10_000,
+          storeLoadBudget: storeLoadsLeft,
           rules,
         });
         const loads = moves.filter((move) => move.source === "store");
@@ -336,7 +345,7 @@
         const left = placed.map((view) => {
           const move = moves.find((planned) => planned.engine === view.id);
           if (!move) return view;
-          assert.equal(view.freeInMs, 0);
+          assert.equal(view.availableInMs, 0);
           const then = after(view, move);
           assert.ok(usedMb(then, models) <= memoryMb);
           return then;
