--- a/packages/bench/src/box-cost.ts
+++ b/packages/bench/src/box-cost.ts
@@ -6,11 +6,11 @@
 import { createOperatorClient } from "@linkfall/operator-client";
 import {
   DeploymentProcesses,
-  type EngineShape,
+  type EngineSpec,
   hashToken,
   operatorToken,
   type RunningBox,
-  until,
+  waitUntil,
 } from "@linkfall/stand-ins";
 import type { Resource } from "@linkfall/types";
 
@@ -41,7 +41,7 @@
   process.stdout.write(`${text}\n`);
 }
 
-function shape(index: number): EngineShape {
+function shape(index: number): EngineSpec {
   return {
     name: `e${index}`,
     pool: "p",
@@ -87,7 +87,7 @@
     const extra = { callers: { max_in_flight: 5_000 }, log: { level: "warn" } };
     await deployment.startBox(`box-${index}`, `d${index % 4}`, extra);
   }
-  await Promise.all(deployment.boxes.map((box) => deployment.untilReady(box)));
+  await Promise.all(deployment.boxes.map((box) => deployment.waitUntilReady(box)));
   const url = `http://${deployment.boxes[0].operatorAddress}`;
   const operator = createOperatorClient({ url, token: operatorToken });
   const changes = resources(engines).map(
@@ -98,7 +98,7 @@
     const status = await operator.status();
     return status.map(({ models }) => models.every((model) => model.ready > 0)).orDefault(false);
   };
-  await until(placed, () => "models were not placed", 120_000);
+  await waitUntil(placed, () => "models were not placed", 120_000);
 }
 
 /** Sends streams through one box until the time is up; answers with the tokens that came. */
--- a/packages/bench/src/deployments.ts
+++ b/packages/bench/src/deployments.ts
@@ -69,7 +69,7 @@
   stepMs: 160,
   stepPerRequestMs: 12,
   prefillMsPerCharacter: 0.12,
-  cachedPrefixes: 24,
+  maxCachedPrefixes: 24,
   prefixCharacters: 512,
 };
 
--- a/packages/cli/src/operators.steps.ts
+++ b/packages/cli/src/operators.steps.ts
@@ -4,7 +4,7 @@
 import { join } from "node:path";
 import { PassThrough } from "node:stream";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { DeploymentProcesses, hashToken, operatorToken, until } from "@linkfall/stand-ins";
+import { DeploymentProcesses, hashToken, operatorToken, waitUntil } from "@linkfall/stand-ins";
 import { account, engine, model, notes, pool } from "@linkfall/test-support";
 import type { Resource } from "@linkfall/types";
 import { stringify } from "yaml";
@@ -25,7 +25,7 @@
   await deployment.startPlatform();
   const running = await deployment.startEngine(engine("e1"));
   for (const name of ["box-1", "box-2"]) await deployment.startBox(name, "north");
-  await Promise.all(deployment.boxes.map((box) => deployment.untilReady(box)));
+  await Promise.all(deployment.boxes.map((box) => deployment.waitUntilReady(box)));
   const owner = account("one", { tokenHash: hashToken("one") });
   notes(this).set("office", { deployment, folder, declared: [owner, pool(), running, notices] });
 });
@@ -80,7 +80,7 @@
         await ask(this, ["get", "model", "notices"], operatorToken, box);
         return notes(this).get("code") === 0;
       };
-      await until(inForce, () => notes(this).get("text"));
+      await waitUntil(inForce, () => notes(this).get("text"));
     }
   },
 );
--- a/packages/daemon/src/addresses.steps.ts
+++ b/packages/daemon/src/addresses.steps.ts
@@ -1,7 +1,12 @@
 import assert from "node:assert/strict";
 import { createServer, type Server } from "node:net";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { DeploymentProcesses, freeAddresses, loopback, type RunningBox } from "@linkfall/stand-ins";
+import {
+  DeploymentProcesses,
+  freeAddresses,
+  loopbackHost,
+  type RunningBox,
+} from "@linkfall/stand-ins";
 import { notes } from "@linkfall/test-support";
 
 interface Taken {
@@ -28,7 +33,7 @@
     const address = addresses[`${which}_address`];
     const occupant = createServer();
     const port = Number(address.split(":")[1]);
-    await new Promise<void>((resolve) => occupant.listen(port, loopback, resolve));
+    await new Promise<void>((resolve) => occupant.listen(port, loopbackHost, resolve));
     const section = { name: "box-1", domain: "north", ...addresses };
     notes(this).set("taken", { deployment, occupant, section, address });
   },
@@ -43,9 +48,9 @@
   "it ends with exit code {int} and names the address, not a broken invariant",
   async function (this: object, code: number) {
     const box = notes(this).get<RunningBox>("box");
-    assert.equal(await box.exited, code, box.errors());
-    assert.match(box.errors(), new RegExp(`cannot listen on ${takenOf(this).address}`));
-    assert.doesNotMatch(box.errors(), /invariantBroken/);
+    assert.equal(await box.exited, code, box.stderrText());
+    assert.match(box.stderrText(), new RegExp(`cannot listen on ${takenOf(this).address}`));
+    assert.doesNotMatch(box.stderrText(), /invariantBroken/);
   },
 );
 
--- a/packages/daemon/src/processes.steps.ts
+++ b/packages/daemon/src/processes.steps.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import {
-  answerLength,
+  answerTokenCount,
   DeploymentProcesses,
-  type EngineShape,
+  type EngineSpec,
   hashToken,
   operatorToken,
   type RunningBox,
   tokenAt,
-  until,
+  waitUntil,
 } from "@linkfall/stand-ins";
 import { account, model, notes, pool } from "@linkfall/test-support";
 import type { Change, Resource } from "@linkfall/types";
@@ -23,7 +23,7 @@
   placement: { plan_ms: 300 },
 };
 
-const shapes: readonly EngineShape[] = [1, 2, 3, 4].map((number) => ({
+const shapes: readonly EngineSpec[] = [1, 2, 3, 4].map((number) => ({
   name: `e${number}`,
   pool: "p",
   domain: number % 2 === 0 ? "north" : "south",
@@ -71,7 +71,7 @@
     revision = answer.revision;
     return answer.kind === "accepted";
   };
-  await until(accepted, () => "the write was not accepted");
+  await waitUntil(accepted, () => "the write was not accepted");
   return revision;
 }
 
@@ -88,7 +88,7 @@
     for (const [index, domain] of ["north", "south", "north"].entries()) {
       await deployment.startBox(`box-${index + 1}`, domain, times);
     }
-    await Promise.all(deployment.boxes.map((box) => deployment.untilReady(box)));
+    await Promise.all(deployment.boxes.map((box) => deployment.waitUntilReady(box)));
     const owner = account("one", { tokenHash: hashToken(token) });
     // Two copies of each, so that a stream can go on elsewhere.
     const models = modelNames.map((name) => model(name, { sizeMb: 20, minReplicas: 2 }));
@@ -99,7 +99,7 @@
         (status) => status.models.length > 0 && status.models.every((each) => each.ready >= 2),
       );
     };
-    await until(placed, () => "the models were not placed");
+    await waitUntil(placed, () => "the models were not placed");
   },
 );
 
@@ -129,7 +129,7 @@
 
 function expectedText(prompt: string): string {
   const asked = { model: "model:a@1", prompt, max_tokens: longAnswer };
-  return Array.from({ length: answerLength(asked) }, (_, at) => tokenAt(asked, at)).join("");
+  return Array.from({ length: answerTokenCount(asked) }, (_, at) => tokenAt(asked, at)).join("");
 }
 
 /** The text of a stream that came to its end marker. */
@@ -161,7 +161,7 @@
       () => "answered",
       () => "broken",
     );
-    await until(
+    await waitUntil(
       () => runsOf(deployment, prompt) === 1,
       () => "the request never started",
     );
@@ -199,7 +199,7 @@
     assert.ok(holder);
     const others = deployment.boxes.filter((box) => box !== holder);
     holder.child.kill("SIGSTOP");
-    await until(
+    await waitUntil(
       async () => (await holderAmong(others)) !== undefined,
       () => "nobody took over",
     );
@@ -222,7 +222,7 @@
       const statuses = await Promise.all(deployment.boxes.map(statusOf));
       return statuses.every((status) => isReady(status, "a", "2"));
     };
-    await until(everywhere, () => "version 2 did not become ready");
+    await waitUntil(everywhere, () => "version 2 did not become ready");
     assert.deepEqual(deployment.violations(), []);
   },
 );
@@ -238,17 +238,17 @@
   async function (this: object) {
     const deployment = deploymentOf(this);
     const box = notes(this).get<RunningBox>("box");
-    await deployment.untilReady(box);
+    await deployment.waitUntilReady(box);
     const prompt = "during the outage";
     const answers = async () => (await complete(box, { prompt })).status === 200;
-    await until(answers, () => "the new box did not answer");
+    await waitUntil(answers, () => "the new box did not answer");
     await deployment.post(deployment.logAddress, "/faults", { down: false });
     const revision = await write(box, [account("two")], 0);
     const inForce = async () => {
       const statuses = await Promise.all(deployment.boxes.map(statusOf));
       return statuses.every((status) => status.offset >= revision);
     };
-    await until(inForce, () => "the change did not reach every box");
+    await waitUntil(inForce, () => "the change did not reach every box");
   },
 );
 
@@ -261,7 +261,7 @@
   for (const name of ["box-1", "box-2", "box-3"]) {
     started.push(await deployment.startBox(name, "north", times));
   }
-  await Promise.all(started.map((box) => deployment.untilReady(box)));
+  await Promise.all(started.map((box) => deployment.waitUntilReady(box)));
   notes(this).set("started", started);
 });
 
@@ -271,10 +271,10 @@
     const deployment = deploymentOf(this);
     for (const box of notes(this).get<RunningBox[]>("started")) {
       const serves = async () => (await complete(box, { prompt: "after the kill" })).status === 200;
-      await until(serves, () => "a new box does not serve");
+      await waitUntil(serves, () => "a new box does not serve");
       const seesBothCopies = async () =>
         (await statusOf(box)).models.every((each) => each.ready === 2);
-      await until(seesBothCopies, () => "a new box does not see the copies");
+      await waitUntil(seesBothCopies, () => "a new box does not see the copies");
     }
     assert.deepEqual(deployment.violations(), []);
   },
@@ -288,7 +288,7 @@
   const streams = prompts.map((prompt) =>
     complete(box, { prompt, stream: true }).then(wholeStream),
   );
-  await until(
+  await waitUntil(
     () => prompts.every((prompt) => runsOf(deployment, prompt) > 0),
     () => "not all streams began",
   );
@@ -324,7 +324,7 @@
   const deployment = deploymentOf(this);
   const prompt = "a long bulletin";
   const stream = complete(deployment.boxes[0], { prompt, stream: true }).then(wholeStream);
-  await until(
+  await waitUntil(
     () => runsOf(deployment, prompt) === 1,
     () => "the stream never began",
   );
--- a/packages/daemon/src/tls.steps.ts
+++ b/packages/daemon/src/tls.steps.ts
@@ -3,7 +3,7 @@
 import { request } from "node:https";
 import { After, Given, Then } from "@cucumber/cucumber";
 import { createOperatorClient } from "@linkfall/operator-client";
-import { DeploymentProcesses, operatorToken, until } from "@linkfall/stand-ins";
+import { DeploymentProcesses, operatorToken, waitUntil } from "@linkfall/stand-ins";
 import { notes } from "@linkfall/test-support";
 
 const folder = "packages/daemon/test-certificates";
@@ -48,7 +48,7 @@
       const boxes = (await operator.boxes()).orDefault([]);
       return boxes.filter((line) => line.state === "alive").length === 2;
     };
-    await until(bothAlive, () => box.errors().slice(-1_000));
+    await waitUntil(bothAlive, () => box.stderrText().slice(-1_000));
     const unauthenticated = 401;
     assert.equal(await statusOverTls(box.callerAddress), unauthenticated);
     await assert.rejects(fetch(`http://${box.callerAddress}/v1/entries`));
--- a/packages/soak/src/scenarios/callers.ts
+++ b/packages/soak/src/scenarios/callers.ts
@@ -1,7 +1,7 @@
 /** Callers of a run. Each checks what it is told against what the targets really did. */
 import { pick, sleep } from "@linkfall/kernel";
 import type { BodyPart, CallerRequest, CallerResponse, HeaderMap } from "@linkfall/ports";
-import { answerLength, tokenAt } from "@linkfall/stand-ins";
+import { answerTokenCount, tokenAt } from "@linkfall/stand-ins";
 import type { Milliseconds } from "@linkfall/types";
 import { type AccountName, accounts, tokenOf } from "./resources.js";
 import type { World, WorldBox } from "./world.js";
@@ -152,7 +152,7 @@
     const response =
       box && (await world.call(box, request(account, "/v1/completions", body, headers)));
     const asked = { model: `model:${model.replace("a", "m")}@`, prompt, max_tokens: maxTokens };
-    const length = answerLength(asked);
+    const length = answerTokenCount(asked);
     const expected = Array.from({ length }, (_, position) => tokenAt(asked, position)).join("");
     const told = await toldBy(response, expected, streamed, prompt);
     checkIsolation(box, sentAt, told);
--- a/packages/soak/src/scenarios/faults.ts
+++ b/packages/soak/src/scenarios/faults.ts
@@ -101,8 +101,8 @@
 }
 
 function weightsSlow(world: World): End {
-  world.weights.slow(3);
-  return () => world.weights.slow(1);
+  world.weights.setSlowdown(3);
+  return () => world.weights.setSlowdown(1);
 }
 
 function listDown(world: World): End {
--- a/packages/soak/src/scenarios/left-alone.steps.ts
+++ b/packages/soak/src/scenarios/left-alone.steps.ts
@@ -31,7 +31,7 @@
 
 Then("that target got no more than one call from each box", function (this: object) {
   const { services, boxes } = worldOf(this);
-  const { arrivals } = services[0];
+  const { receivedCalls: arrivals } = services[0];
   assert.ok(arrivals > 0 && arrivals <= boxes.length, `${arrivals} calls`);
 });
 
--- a/packages/soak/src/scenarios/run-seed.ts
+++ b/packages/soak/src/scenarios/run-seed.ts
@@ -119,7 +119,8 @@
 
 /** The boxes keep their own limits, so that the log never has to refuse them. */
 function checkAppends({ log, violation }: World): void {
-  if (log.refusedBusy() > 0) violation(`the log refused ${log.refusedBusy()} appends as too many`);
+  if (log.refusedAppends() > 0)
+    violation(`the log refused ${log.refusedAppends()} appends as too many`);
 }
 
 /** In every second seed the boxes divide the reading of reports among themselves. */
@@ -180,8 +181,8 @@
 function appendsOf({ log }: World): Appends {
   const names = Object.values(streams);
   return {
-    byStream: new Map(names.map((stream) => [stream, log.appended(stream)])),
-    busiestSecond: log.busiestSecond(),
+    byStream: new Map(names.map((stream) => [stream, log.appendCount(stream)])),
+    busiestSecond: log.peakAppendsPerSecond(),
   };
 }
 
--- a/packages/soak/src/scenarios/soak.steps.ts
+++ b/packages/soak/src/scenarios/soak.steps.ts
@@ -147,7 +147,7 @@
     await world.clock.runUntil(world.clock.now() + 30_000);
     const told = await probeAll(world, world.boxes[0]);
     assert.deepEqual(told, Array(modelCount).fill("answered"));
-    assert.ok(world.weights.peak() <= 8);
+    assert.ok(world.weights.peakConcurrentLoads() <= 8);
     assert.deepEqual(world.violations, []);
   },
 );
--- a/packages/soak/src/scenarios/world.ts
+++ b/packages/soak/src/scenarios/world.ts
@@ -4,7 +4,7 @@
 import { type EventName, recordingLogger } from "@linkfall/logger";
 import { type CallerRequest, type CallerResponse, streams } from "@linkfall/ports";
 import {
-  type BatchSpeeds,
+  type BatchOptions,
   type BoxListCore,
   createBoxListCore,
   createEngineCore,
@@ -98,7 +98,7 @@
   readonly engines: readonly Engine[];
   readonly serviceAddresses: readonly string[];
   readonly domains: readonly string[];
-  readonly speeds: Omit<BatchSpeeds, "concurrency">;
+  readonly speeds: Omit<BatchOptions, "concurrency">;
   /** What the weight store gives each load, in megabytes a second. */
   readonly weightMbPerSecond: number;
 }
@@ -160,15 +160,15 @@
         clock,
         random,
         store: weights,
-        speeds: { ...targets.speeds, concurrency: declared.concurrency },
+        batchOptions: { ...targets.speeds, concurrency: declared.concurrency },
         reportLagMs,
-        violation,
-        ran(request) {
+        onViolation: violation,
+        onRequestStarted(request) {
           checkStart(world, engine, request);
           if (request.prompt === world.crashesOn) crashSoon(() => crashEngine(engine));
         },
-        takes: (order) => checkEpoch(declared, order),
-        unloads: (artifact) => checkUnload(world, declared.name, artifact),
+        onOrder: (order) => checkEpoch(declared, order),
+        onUnload: (artifact) => checkUnload(world, declared.name, artifact),
       }),
     };
     return engine;
@@ -253,7 +253,8 @@
       return response && bodyOver(world, target, response);
     },
     checkWeights() {
-      if (weights.peak() > weightLoadsAtOnce) violation(`${weights.peak()} loads ran at once`);
+      if (weights.peakConcurrentLoads() > weightLoadsAtOnce)
+        violation(`${weights.peakConcurrentLoads()} loads ran at once`);
     },
   };
   return world;
