--- a/packages/stand-ins/src/box-list-core.ts
+++ b/packages/stand-ins/src/box-list-core.ts
@@ -1,9 +1,10 @@
-/** A stand-in for the platform's list of boxes; what it shows lags behind. */
+/** Test double for the platform's list of boxes, which becomes visible with a delay. */
 import type { Clock } from "@linkfall/kernel";
 import type { BoxList, BoxListPort } from "@linkfall/ports";
 import type { ListedBox, Milliseconds } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
 
+/** A box list that tests can change and take offline. */
 export interface BoxListCore extends BoxListPort {
   down: boolean;
   set(box: ListedBox): void;
@@ -11,7 +12,7 @@
   setTargetLeaving(target: string, leaving: boolean): void;
 }
 
-/** Creates a list that shows changes `lagMs` late. */
+/** Creates an empty list whose changes become visible after `lagMs`. */
 export function createBoxListCore(clock: Clock, lagMs: Milliseconds): BoxListCore {
   const boxes = new Map<string, ListedBox>();
   const leaving = new Set<string>();
--- a/packages/stand-ins/src/default-batch-options.ts
+++ b/packages/stand-ins/src/default-batch-options.ts
@@ -1,4 +1,4 @@
-/** Speeds of the engine stand-ins where a test or the demo names no others. */
+/** Default timing, concurrency and cache size of simulated engines. */
 import type { BatchOptions } from "./engine-batch.js";
 
 export const defaultBatchOptions: BatchOptions = {
--- a/packages/stand-ins/src/deployment-processes.ts
+++ b/packages/stand-ins/src/deployment-processes.ts
@@ -1,4 +1,4 @@
-/** A whole small deployment as processes on loopback: stand-ins, then boxes. */
+/** Runs a small deployment as processes on loopback: test doubles for the platform and targets, and boxes. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -9,7 +9,7 @@
 import { stringify } from "ini";
 import { freeAddresses, loopbackHost } from "./free-addresses.js";
 
-/** Kinds of line that a stand-in prints. */
+/** A line of JSON on a stand-in's standard output; each line sets the fields of one kind of event. */
 export interface StandInOutput {
   readonly address?: string;
   readonly violation?: string;
@@ -18,12 +18,14 @@
   readonly prompt?: string;
 }
 
+/** A child process with its captured output. */
 export interface RunningProcess {
   readonly child: ChildProcess;
-  /** Lines that a stand-in has printed. */
+  /** Parsed lines of standard output; only stand-ins write any. */
   readonly lines: StandInOutput[];
-  /** Text on standard error. */
+  /** Everything written to standard error up to now. */
   stderrText(): string;
+  /** Resolves with the exit code, or null after a signal. */
   exited: Promise<number | null>;
 }
 
@@ -38,7 +40,7 @@
   readonly settingsFile: string;
 }
 
-/** An engine as a deployment is asked for it; its address is known once it runs. */
+/** Describes an engine to start; its address is assigned at startup. */
 export type EngineSpec = Omit<Engine, "address" | "kind">;
 
 const standInEntryPoint = fileURLToPath(new URL("./main.js", import.meta.url));
@@ -47,9 +49,10 @@
   "main.js",
 );
 
-/** Token of the operator that every box of such a deployment knows. */
+/** Operator token that every box of the deployment accepts. */
 export const operatorToken = "operator-of-the-demo";
 
+/** Returns the SHA-256 hash of a token in hexadecimal, as the settings store it. */
 export function hashToken(token: string): string {
   return createHash("sha256").update(token).digest("hex");
 }
@@ -70,7 +73,11 @@
   return { child, lines, stderrText: () => stderrText, exited };
 }
 
-/** Waits until `test` holds; fails after `limitMs` with what `describe` says. */
+/**
+ * Polls until `condition` holds.
+ *
+ * @throws Error with the text of `describe` after `timeoutMs`
+ */
 export async function waitUntil(
   condition: () => boolean | Promise<boolean>,
   describe: () => string,
@@ -78,12 +85,12 @@
 ): Promise<void> {
   const deadline = performance.now() + timeoutMs;
   while (!(await condition())) {
-    if (performance.now() > deadline) throw new Error(`gave up waiting: ${describe()}`);
+    if (performance.now() > deadline) throw new Error(`timed out waiting: ${describe()}`);
     await new Promise((resolve) => setTimeout(resolve, 25));
   }
 }
 
-/** A deployment whose processes end together. */
+/** Starts the processes of a deployment and stops them together. */
 export class DeploymentProcesses {
   readonly boxes: RunningBox[] = [];
   readonly standIns: RunningStandIn[] = [];
@@ -128,7 +135,7 @@
     return { ...engine, address: running.address };
   }
 
-  /** Starts a box; `extra` adds sections and keys to its settings. */
+  /** Starts a box; `extraSettings` adds sections to its settings, or replaces whole ones. */
   async startBox(
     name: string,
     domain: string,
@@ -158,7 +165,7 @@
     return box;
   }
 
-  /** Waits until a box answers that it is ready. */
+  /** Waits until a box reports that it is ready. */
   async waitUntilReady(box: RunningBox): Promise<void> {
     const ready = async () => {
       try {
@@ -174,14 +181,14 @@
     await fetch(`http://${address}${path}`, { method: "POST", body: JSON.stringify(body) });
   }
 
-  /** What the stand-ins have seen that must not happen. */
+  /** Invariant violations that the stand-ins have reported. */
   violations(): readonly string[] {
     return this.standIns.flatMap((standIn) =>
       standIn.lines.flatMap((line) => (line.violation === undefined ? [] : [line.violation])),
     );
   }
 
-  /** Ends every process of the deployment. */
+  /** Kills every process of the deployment, also suspended ones, and removes its files. */
   async stop(): Promise<void> {
     const all = [...this.boxes, ...this.standIns];
     for (const { child } of all) {
--- a/packages/stand-ins/src/engine-batch.ts
+++ b/packages/stand-ins/src/engine-batch.ts
@@ -1,25 +1,27 @@
-/** The continuous batch of an engine stand-in: steps, priorities, prefix cache and streams. */
+/** Continuous batching of a simulated engine: decoding steps, priorities, prefix cache and streams. */
 import type { Clock } from "@linkfall/kernel";
 import type { BodyPart } from "@linkfall/ports";
 import { hash32 } from "@linkfall/rendezvous";
 import type { CacheEvent, Milliseconds } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
 
-/** Speeds of an engine. */
+/** Concurrency, timing and cache size of a simulated engine. */
 export interface BatchOptions {
+  /** Maximum number of running requests; others are queued. */
   readonly concurrency: number;
-  /** Length of a step, in which each running request gains one token. */
+  /** Base duration of a step, in which each running request generates one token. */
   readonly stepMs: Milliseconds;
-  /** What each running request adds to a step. */
+  /** Added to the duration of a step for each running request. */
   readonly stepPerRequestMs: Milliseconds;
-  /** Time to read one character of a prompt that is not cached. */
+  /** Prefill time for each prompt character that is not cached. */
   readonly prefillMsPerCharacter: Milliseconds;
-  /** Prefixes that the cache holds. */
+  /** Capacity of the prefix cache, in prefixes. */
   readonly maxCachedPrefixes: number;
+  /** Length of the part of a prompt that is cached. */
   readonly prefixCharacters: number;
 }
 
-/** A request as the engine's protocol carries it. */
+/** Body of a completion request in the engine protocol. */
 export interface EngineRequest {
   readonly request_id: string;
   readonly model: string;
@@ -31,6 +33,7 @@
   readonly continue_from?: { readonly text: string; readonly position: number };
 }
 
+/** One attempt of a request and the tokens generated for it. */
 interface Stream {
   readonly attempt: string;
   readonly request: EngineRequest;
@@ -38,7 +41,7 @@
   readonly answerTokens: number;
   readonly firstPosition: number;
   readonly arrivalNumber: number;
-  /** Events of the tokens from `first` on. */
+  /** Server-sent events of the tokens from `firstPosition` on. */
   readonly events: string[];
   state: "queued" | "running" | "done" | "cut";
   waiters: (() => void)[];
@@ -46,13 +49,15 @@
 
 const finishedStreamRetentionMs: Milliseconds = 30_000;
 const maxCacheEvents = 256;
-/** Cache events are shown this late, and every so many of them is never shown. */
+/** Delay before a cache event becomes visible. */
 const cacheEventLagMs: Milliseconds = 400;
+/** Every event whose sequence number is a multiple of this is dropped. */
 const droppedCacheEventInterval = 20;
 const millisecondsPerSecond = 1000;
+/** Weight of the latest step in the moving average of the token rate. */
 const rateSmoothing = 0.05;
 
-/** The token at a place of the answer: the same for every engine, so that answers can be checked. */
+/** Returns the token at a position of the answer. Every engine returns the same, which lets tests verify answers. */
 export function tokenAt(
   request: Pick<EngineRequest, "model" | "prompt">,
   position: number,
@@ -61,7 +66,7 @@
   return ` t${hash32(`${model}/${request.prompt}/${position}`) % 9973}`;
 }
 
-/** How many tokens the whole answer has. */
+/** Returns the number of tokens of the complete answer; the same for every engine. */
 export function answerTokenCount(
   request: Pick<EngineRequest, "model" | "prompt" | "max_tokens">,
 ): number {
@@ -74,23 +79,28 @@
   );
 }
 
+/** Runs the requests of one engine incarnation. */
 export interface EngineBatch {
-  /** Takes a request; its stream can be read from then on. */
+  /** Queues a request; its stream can be read from then on. */
   start(attempt: string, request: EngineRequest, accelerator: number): void;
-  /** The stream from a position on, or undefined where the attempt is not known. */
+  /** Returns the stream from a token position on, or undefined if the attempt is unknown. */
   readStream(attempt: string, from: number): AsyncIterable<BodyPart> | undefined;
   cancel(attempt: string): void;
+  /** Whether a queued or running request uses an artifact on an accelerator. */
   isBusy(artifact: string, accelerator: number): boolean;
   running(): number;
   queued(): number;
+  /** Upper bound of the tokens still to generate for queued and running requests. */
   pendingTokens(): number;
+  /** Moving average of the token rate. */
   tokensPerSecond(): number;
+  /** Visible cache events with a sequence number above `after`. */
   cacheEvents(after: number): readonly CacheEvent[];
-  /** Cuts every stream, as when the process dies. */
+  /** Aborts every stream, as when the process crashes. */
   destroy(): void;
 }
 
-/** Creates the batch of one engine start. */
+/** Creates the batch of one engine incarnation; `onChange` is called when a request is queued or has ended. */
 export function createEngineBatch(
   clock: Clock,
   options: BatchOptions,
@@ -118,7 +128,7 @@
     });
   };
 
-  /** Time to read the prompt; a cached prefix costs nothing. */
+  /** Updates the prefix cache and returns the prefill time; a cached prefix takes none. */
   const startPrefill = (request: EngineRequest): Milliseconds => {
     const prefix = request.prompt.slice(0, options.prefixCharacters);
     const key = `${request.cache_scope}/${request.model}/${hash32(prefix)}`;
@@ -134,6 +144,7 @@
     return characters * options.prefillMsPerCharacter;
   };
 
+  /** Moves queued requests into free slots and returns their total prefill time. */
   const admitQueued = (): Milliseconds => {
     const freeSlots = options.concurrency - streamsInState("running").length;
     const waiting = streamsInState("queued").sort(
@@ -190,7 +201,7 @@
       if (stream.state === "cut") {
         yield Left({
           kind: "target_unreachable",
-          reason: "the engine is gone",
+          reason: "the engine process ended",
           mayHaveArrived: true,
         });
         return;
--- a/packages/stand-ins/src/engine-core.ts
+++ b/packages/stand-ins/src/engine-core.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a model engine: memory, batch, fence and a report that lags. */
+/** Test double for a model engine: memory, batch, fence and delayed load reports. */
 import type { Clock, Random } from "@linkfall/kernel";
 import type { BodyPart, CacheEventBatch, TargetResponse } from "@linkfall/ports";
 import type {
@@ -14,29 +14,33 @@
 import { createEngineMemory } from "./engine-memory.js";
 import type { WeightStoreCore } from "./weight-store-core.js";
 
-/** What an engine stand-in is made of. */
+/** Dependencies and settings of a simulated engine. */
 export interface EngineCoreOptions {
   readonly engine: Engine;
   readonly clock: Clock;
   readonly random: Random;
   readonly store: Pick<WeightStoreCore, "load">;
   readonly batchOptions: BatchOptions;
+  /** Delay before load figures show up in reports. */
   readonly reportLagMs: Milliseconds;
+  /** Called when an invariant of the system is violated. */
   onViolation(text: string): void;
-  /** Called when a request is started, for counting runs. */
+  /** Called when a request is started. */
   onRequestStarted(request: EngineRequest): void;
-  /** Called with each order that is not refused. */
+  /** Called with each order whose epoch and incarnation are accepted. */
   onOrder?(order: Order): void;
-  /** Called when an artifact is about to go by order. */
+  /** Called before an order unloads an artifact that is ready. */
   onUnload?(artifact: string): void;
 }
 
+/** A simulated engine, independent of the transport. */
 export interface EngineCore {
   readonly engine: Engine;
-  /** Whether new requests may come; set when the target is leaving. */
+  /** Set while the engine is being drained; reported to the boxes. */
   leaving: boolean;
+  /** The report as a box receives it, with delayed load figures. */
   report(): EngineReport;
-  /** What is in memory now, without the report's lag. */
+  /** Current contents of the memory, without the delay of reports. */
   residents(): readonly Resident[];
   raiseFence(epoch: Epoch): EngineReport;
   order(order: Order): OrderReply;
@@ -44,7 +48,7 @@
   resume(attempt: string, from: number): TargetResponse;
   cancel(attempt: string): void;
   cacheEvents(after: number): CacheEventBatch;
-  /** The process dies and starts again with empty memory. */
+  /** Simulates a crash: starts a new incarnation with empty memory. */
   restart(): void;
 }
 
@@ -56,7 +60,7 @@
   return { status, headers, body: noBody() };
 }
 
-/** Creates an engine that has just started. */
+/** Creates an engine in its first incarnation. */
 export function createEngineCore(options: EngineCoreOptions): EngineCore {
   const { engine, clock, random } = options;
   const restartCounter = { count: 0 };
@@ -106,7 +110,7 @@
         const newestVisibleAt = clock.now() - options.reportLagMs;
         const { report } =
           history.filter((entry) => entry.at <= newestVisibleAt).at(-1) ?? history[0];
-        // A fence and the leaving flag are no load figures; they are shown as they stand.
+        // Only load figures are delayed; the fence and the leaving flag are current.
         return { ...report, fence, leaving: core.leaving };
       },
       fence: () => fence,
@@ -147,7 +151,7 @@
         return { kind: "stale_epoch", fence: current.fence() };
       }
       if (order.engineIncarnation !== current.incarnation) {
-        return current.memory.refuse(order, "for another start of this engine");
+        return current.memory.refuse(order, "order is for another incarnation of this engine");
       }
       options.onOrder?.(order);
       return current.memory.order(order);
--- a/packages/stand-ins/src/engine-memory.ts
+++ b/packages/stand-ins/src/engine-memory.ts
@@ -1,36 +1,39 @@
-/** The memory of an engine stand-in and the orders that change it. It asserts what only it can see. */
+/** Memory of a simulated engine and the orders that change it. Reports orders that would overcommit memory. */
 import type { Engine, EngineRole, Order, OrderReply, Resident } from "@linkfall/types";
 import type { WeightStoreCore } from "./weight-store-core.js";
 
 const maxSettledOrders = 1_000;
-/** Settled orders that a report shows; a repeated order is shown anew. */
+/** Settled orders in a report; a repeated order counts as the most recent. */
 const maxReportedOrders = 64;
 
-/** What the memory asks of the rest of the engine. */
+/** Callbacks from the memory to the rest of the engine. */
 export interface MemoryHooks {
-  /** Whether requests still run on an artifact. */
+  /** Whether queued or running requests use an artifact. */
   isBusy(artifact: string, accelerator: number): boolean;
   onChange(): void;
-  /** A promise of the system was broken. */
+  /** An invariant of the system is violated. */
   onViolation(text: string): void;
-  /** An artifact is about to go by order. */
+  /** An order is about to unload an artifact that is ready. */
   onUnload(artifact: string): void;
 }
 
+/** Artifacts in the accelerators' memory, and the orders that were settled. */
 export interface EngineMemory {
   readonly residents: readonly Resident[];
   readonly role: EngineRole;
+  /** Identifiers of the last settled orders. */
   readonly settledOrders: readonly string[];
+  /** Executes an order; one that is settled already is accepted without effect. */
   order(order: Order): OrderReply;
-  /** Refuses an order for good: it is settled without an effect. */
+  /** Refuses an order permanently: it is settled without effect. */
   refuse(order: Order, reason: string): OrderReply;
-  /** Removes what was waiting for requests that have now ended. */
+  /** Removes unloading artifacts that no request uses any more. */
   releaseIdle(): void;
-  /** Stops everything under way; the memory is given up with the engine's start. */
+  /** Cancels all loads when the incarnation ends. */
   destroy(): void;
 }
 
-/** Creates the empty memory of one engine start. */
+/** Creates the empty memory of one engine incarnation. */
 export function createEngineMemory(
   engine: Engine,
   store: Pick<WeightStoreCore, "load">,
@@ -39,7 +42,7 @@
   let residents: Resident[] = [];
   let role: EngineRole = "mixed";
   let settledIds: string[] = [];
-  /** How to end the loads that are under way. */
+  /** Functions that cancel the loads in progress. */
   const loadCancellations = new Map<Resident, () => void>();
 
   const capacity = (accelerator: number, forRole: EngineRole) =>
--- a/packages/stand-ins/src/free-addresses.feature
+++ b/packages/stand-ins/src/free-addresses.feature
@@ -1,5 +1,5 @@
-Feature: Processes of a deployment are given addresses that stay free until they listen
+Feature: Allocated addresses stay free until a process listens on them
 
-  Scenario: No outgoing connection can take an address between the look and the start
-    When 200 addresses are taken twice
-    Then no two are alike, and the system gives none of their ports to outgoing connections
+  Scenario: Outgoing connections cannot occupy an allocated address
+    When 200 addresses are allocated twice
+    Then all addresses differ and no port is in the ephemeral range
--- a/packages/stand-ins/src/free-addresses.steps.ts
+++ b/packages/stand-ins/src/free-addresses.steps.ts
@@ -4,11 +4,11 @@
 
 let addresses: readonly string[] = [];
 
-When("{int} addresses are taken twice", async (count: number) => {
+When("{int} addresses are allocated twice", async (count: number) => {
   addresses = [...(await freeAddresses(count)), ...(await freeAddresses(count))];
 });
 
-Then("no two are alike, and the system gives none of their ports to outgoing connections", () => {
+Then("all addresses differ and no port is in the ephemeral range", () => {
   assert.equal(new Set(addresses).size, addresses.length);
   const ports = addresses.map((address) => Number(address.split(":")[1]));
   assert.deepEqual(
--- a/packages/stand-ins/src/free-addresses.ts
+++ b/packages/stand-ins/src/free-addresses.ts
@@ -1,16 +1,16 @@
-/** Loopback addresses that a process of a deployment can be given before it listens on them. */
+/** Allocates loopback addresses for processes that listen on them later. */
 import { readFileSync } from "node:fs";
 import { createServer } from "node:net";
 
-/** Host of every address that is given. */
+/** Host of every allocated address. */
 export const loopbackHost = "127.0.0.1";
 
 const portRangeFile = "/proc/sys/net/ipv4/ip_local_port_range";
-/** What the system gives outgoing connections where it does not say so itself. */
+/** Default start of the ephemeral port range on Linux. */
 const defaultFirstEphemeralPort = 32_768;
 const minPort = 10_000;
 
-/** First port that the system may give to an outgoing connection at any moment. */
+/** Returns the first port of the system's ephemeral range, which is used for outgoing connections. */
 export function firstEphemeralPort(): number {
   try {
     return Number(readFileSync(portRangeFile, "utf8").split(/\s+/)[0]);
@@ -27,14 +27,14 @@
   });
 }
 
-/** Runs of this program at the same time begin at different ports. */
+/** Derived from the process id to keep concurrent test runs from choosing the same ports. */
 let nextPort = minPort + ((process.pid * 37) % 10_000);
 
 /**
- * Addresses on loopback that nobody listens on. They lie below the ports of outgoing connections: one of
- * those could take the port between this look and the moment in which the process listens.
+ * Returns unused loopback addresses below the ephemeral port range. An outgoing connection could otherwise
+ * occupy the port before the process listens on it.
  *
- * @throws Error when no port is left
+ * @throws Error if too few ports are free
  */
 export async function freeAddresses(count: number): Promise<readonly string[]> {
   const end = firstEphemeralPort();
--- a/packages/stand-ins/src/http-stand-ins.ts
+++ b/packages/stand-ins/src/http-stand-ins.ts
@@ -1,4 +1,4 @@
-/** The stand-ins behind real addresses, with `POST /faults` to switch faults on. */
+/** HTTP servers for the test doubles. `POST /faults` injects faults. */
 import { createHttpFront, type HttpFront } from "@linkfall/http-front";
 import type { Clock } from "@linkfall/kernel";
 import type {
@@ -48,7 +48,7 @@
   });
 }
 
-/** Serves a log. */
+/** Serves a log over HTTP. */
 export function serveLog(clock: Clock, address: string, core: LogCore): HttpFront {
   return serve(clock, address, async (request, path, query) => {
     if (path === "/faults") {
@@ -99,7 +99,7 @@
   return { status: response.status, headers: response.headers, body: response.body };
 }
 
-/** Ends a response like a cut connection when the caller goes. */
+/** Stops a response body when the caller disconnects. */
 async function* untilDisconnected(
   body: AsyncIterable<BodyPart>,
   gone: AbortSignal,
@@ -110,7 +110,7 @@
   }
 }
 
-/** Serves an engine. */
+/** Serves an engine over HTTP. */
 export function serveEngine(clock: Clock, address: string, core: EngineCore): HttpFront {
   const attemptOf = (path: string) => decodeURIComponent(path.split("/")[3]);
   return serve(clock, address, async (request, path, query) =>
@@ -148,7 +148,7 @@
   );
 }
 
-/** Serves one target of a plain service. */
+/** Serves one target of a service without models over HTTP. */
 export function serveService(clock: Clock, address: string, core: ServiceCore): HttpFront {
   let down = false;
   return serve(clock, address, async (request, path) => {
--- a/packages/stand-ins/src/log-core.ts
+++ b/packages/stand-ins/src/log-core.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the platform's append-only log, with its limits and its faults. */
+/** Test double for the platform's append-only log, with its rate limit and injected faults. */
 import type { LogFailure } from "@linkfall/errors";
 import { type Clock, type Random, sleep } from "@linkfall/kernel";
 import type { LogPort, StreamName } from "@linkfall/ports";
@@ -9,32 +9,34 @@
 const maxAppendsPerSecond = 100;
 const secondMs: Milliseconds = 1_000;
 
-/** Faults that can be switched on. */
+/** Faults to inject. */
 export interface LogFaults {
   down: boolean;
+  /** Maximum of the random delay before and after each operation. */
   slowMs: Milliseconds;
-  /** Share of appends whose reply is lost after they took effect. */
+  /** Fraction of appends that take effect but fail for the caller, from 0 to 1. */
   loseReplies: number;
 }
 
+/** A log that tests can inspect and disturb. */
 export interface LogCore extends LogPort {
   readonly faults: LogFaults;
-  /** Drops the oldest records, so that `kept` stay. */
+  /** Removes the oldest entries, keeping at most `keepCount`. */
   truncate(stream: StreamName, keepCount: number): void;
-  /** Appends something that no box wrote. */
+  /** Appends arbitrary data, bypassing faults and the rate limit. */
   inject(stream: StreamName, data: string): void;
   entries(stream: StreamName): readonly LogEntry[];
-  /** When the record at an offset took effect. */
+  /** Time at which the entry at an offset was appended. */
   appendedAt(stream: StreamName, offset: Offset): Milliseconds;
-  /** Appends that took effect so far. */
+  /** Number of successful appends, including those whose reply was lost. */
   appendCount(stream: StreamName): number;
-  /** Most appends that took effect within any second. */
+  /** Maximum number of appends within any one second. */
   peakAppendsPerSecond(): number;
-  /** Appends that were refused because the log takes no more. */
+  /** Number of appends rejected by the rate limit. */
   refusedAppends(): number;
 }
 
-/** Counts what happens within the last second, and remembers the most. */
+/** Tracks the maximum number of events within any one second. */
 function createPeakRateCounter(clock: Clock) {
   const recentTimes: Milliseconds[] = [];
   let peak = 0;
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -1,6 +1,6 @@
 /**
- * One stand-in as a process: `main.js KIND ADDRESS [JSON]`. It prints `{"address": …}` when it listens,
- * and `{"violation": …}` when a promise of the system is broken.
+ * Runs one test double as a process: `main.js KIND ADDRESS [JSON]`. Prints `{"address": …}` once it listens,
+ * `{"ran": …}` for each request it runs, and `{"violation": …}` when an invariant is violated.
  */
 import type { HttpFront } from "@linkfall/http-front";
 import { systemClock, systemRandom } from "@linkfall/kernel";
@@ -15,7 +15,7 @@
 import { createWeightStoreCore } from "./weight-store-core.js";
 import { createRemoteWeightStore, serveWeightStore } from "./weight-store-http.js";
 
-/** Third argument of an engine. */
+/** JSON argument of an engine. */
 export interface EngineArguments {
   readonly engine: Engine;
   readonly weightStore: string;
@@ -67,7 +67,7 @@
     ),
   )
   .otherwise(() => {
-    throw new Error(`unknown stand-in ${kind}`);
+    throw new Error(`unknown kind of stand-in: ${kind}`);
   });
 
 printLine({ address: (await front.listen()).unsafeCoerce() });
--- a/packages/stand-ins/src/service-core.ts
+++ b/packages/stand-ins/src/service-core.ts
@@ -1,27 +1,28 @@
-/** A stand-in for one target of a plain service. It echoes, and counts what it ran. */
+/** Test double for one target of a service without models. Echoes requests and counts them. */
 import { type Clock, sleep } from "@linkfall/kernel";
 import type { BodyPart, TargetRequest, TargetResponse } from "@linkfall/ports";
 import type { Milliseconds } from "@linkfall/types";
 import { Right } from "purify-ts";
 
+/** A simulated service target, independent of the transport. */
 export interface ServiceCore {
   readonly address: string;
   leaving: boolean;
-  /** Seconds for which it asks to be left alone with each call, none of which it runs then. */
+  /** If set, every call is rejected with this `retry-after` header, in seconds. */
   retryAfter?: string;
-  /** Calls that came, run or not. */
+  /** Number of calls received, including rejected ones. */
   readonly receivedCalls: number;
-  /** Its process does not run. */
+  /** Whether the simulated process is down. */
   readonly down: boolean;
-  /** Its process ends, and is back after `awayMs`. */
+  /** Simulates a crash; the process restarts after `downtimeMs`. */
   crash(downtimeMs: Milliseconds): void;
-  /** Runs a call; undefined where the process ended under it. */
+  /** Runs a call; resolves to undefined if the process crashed meanwhile. */
   call(
     request: Pick<TargetRequest, "method" | "path" | "headers" | "body">,
   ): Promise<TargetResponse | undefined>;
 }
 
-/** Creates a target that takes `workMs` for each call. */
+/** Creates a target that takes `callMs` for each call; `onRun` is called for each call that is run. */
 export function createServiceCore(
   address: string,
   clock: Clock,
--- a/packages/stand-ins/src/weight-store-core.ts
+++ b/packages/stand-ins/src/weight-store-core.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the weight store: about two loads begin a second, eight run at full speed. */
+/** Test double for the weight store: limits how many loads start per second and run at full speed. */
 import type { Clock } from "@linkfall/kernel";
 import { createTokenBucket } from "@linkfall/token-bucket";
 import type { Mebibytes, Milliseconds } from "@linkfall/types";
@@ -7,21 +7,22 @@
 const maxFullSpeedLoads = 8;
 const millisecondsPerSecond = 1000;
 
-/** Ends a load whose engine no longer wants it. */
+/** Cancels a load; has no effect once the load has completed. */
 export type CancelLoad = () => void;
 
+/** A simulated weight store that engines load models from. */
 export interface WeightStoreCore {
-  /** Begins a load; `done` is called when the weights are there. The answer ends it early. */
+  /** Starts a load, calls `onLoaded` when it completes, and returns a function that cancels it. */
   load(sizeMb: Mebibytes, onLoaded: () => void): CancelLoad;
-  /** Makes loads that begin from now on take so many times as long. */
+  /** Multiplies the duration of loads started from now on by `factor`. */
   setSlowdown(factor: number): void;
-  /** Most loads that ran at once. */
+  /** Maximum number of concurrent loads. */
   peakConcurrentLoads(): number;
-  /** Loads that had to wait for their turn. */
+  /** Number of loads that the start rate limit delayed. */
   delayedLoads(): number;
 }
 
-/** Creates a store that gives `mbPerSecond` to each load. */
+/** Creates a store that transfers `mbPerSecond` per load, less when too many loads run. */
 export function createWeightStoreCore(clock: Clock, mbPerSecond: number): WeightStoreCore {
   const bucket = createTokenBucket(clock, {
     rate: loadStartsPerSecond,
@@ -51,10 +52,10 @@
     return () => void end();
   };
   return {
-    load(sizeMb, done) {
+    load(sizeMb, onLoaded) {
       let cancel: CancelLoad = () => undefined;
       const tryStart = () => {
-        if (bucket.take()) cancel = startLoad(sizeMb, done);
+        if (bucket.take()) cancel = startLoad(sizeMb, onLoaded);
         else cancel = clock.after(bucket.msUntil(), tryStart);
       };
       if (bucket.msUntil() > 0) delayedCount += 1;
--- a/packages/stand-ins/src/weight-store-http.ts
+++ b/packages/stand-ins/src/weight-store-http.ts
@@ -1,4 +1,4 @@
-/** The weight store behind an address: `POST /loads {sizeMb}` answers when the weights are there. */
+/** Weight store over HTTP: `POST /loads {sizeMb}` responds when the load completes. */
 import { createHttpClient, readText } from "@linkfall/http-client";
 import { createHttpFront, type HttpFront } from "@linkfall/http-front";
 import type { Clock } from "@linkfall/kernel";
@@ -6,9 +6,9 @@
 
 const limits = { maxBodyBytes: 10_000, maxHeaderBytes: 16_384, bodyTimeoutMs: 30_000 };
 
-const retryMs = 500;
+const retryDelayMs = 500;
 
-/** Serves a store. */
+/** Serves a weight store over HTTP. */
 export function serveWeightStore(clock: Clock, address: string, core: WeightStoreCore): HttpFront {
   return createHttpFront({
     clock,
@@ -32,7 +32,7 @@
   });
 }
 
-/** A store in another process; a load that fails is asked for again. */
+/** Creates a client for a weight store in another process; failed loads are retried. */
 export function createRemoteWeightStore(
   clock: Clock,
   address: string,
@@ -53,12 +53,12 @@
     const loaded = response.isRight() && (await readText(response.unsafeCoerce().body)).isRight();
     if (loaded) return onLoaded();
     if (!cancellation.signal.aborted)
-      clock.after(retryMs, () => void load(sizeMb, onLoaded, cancellation));
+      clock.after(retryDelayMs, () => void load(sizeMb, onLoaded, cancellation));
   };
   return {
-    load(sizeMb, done) {
+    load(sizeMb, onLoaded) {
       const cancellation = new AbortController();
-      void load(sizeMb, done, cancellation);
+      void load(sizeMb, onLoaded, cancellation);
       return () => cancellation.abort();
     },
   };
