--- /dev/null
+++ b/packages/process-soak/src/invariant-checks.feature
@@ -0,0 +1,90 @@
+Feature: Each invariant check reports a violation, and passes without one
+
+  Scenario: A request that may not be repeated runs twice
+    Given a request "r1" that may not be repeated, answered completely with 200
+    And "r1" started at "p1"
+    Then the check "at most once" passes
+    When "r1" started at "p2"
+    Then the check "at most once" reports "r1"
+
+  Scenario: A rejected request runs
+    Given a request "r1" that may be repeated, rejected with 503
+    Then the check "rejected requests do not run" passes
+    When "r1" started at "p1"
+    Then the check "rejected requests do not run" reports "r1"
+
+  Scenario: A target receives a header that a caller forged
+    Given "r1" started at "p1" with the header value "own"
+    Then the check "callers cannot forge headers" passes
+    Given "r2" started at "p1" with the header value "forged"
+    Then the check "callers cannot forge headers" reports "r2"
+
+  Scenario Outline: A target receives <what>
+    Given a request "r1" of the account "a"
+    And "r1" started at "p1" with account "a" and the header value "x"
+    Then the check "requests have the right account" passes
+    Given a request "r2" <whose>
+    And "r2" started at "p1" with account "<account>" and the header value "<value>"
+    Then the check "requests have the right account" reports "r2"
+
+    Examples:
+      | what                           | whose               | account | value |
+      | a request with another account | of the account "a"  | b       | x     |
+      | a key                          | of the account "a"  | a       | key   |
+      | a request with an unknown key  | with an unknown key | a       | x     |
+
+  Scenario: A caller receives the answer to another request
+    Given a request "r1" that may be repeated, answered completely with 200
+    Then the check "complete answers are right" passes
+    Given a request "r2" with a complete answer to another request
+    Then the check "complete answers are right" reports "r2"
+
+  Scenario: Two lease holders send orders in one epoch
+    Given an order from "b1" in epoch 4 at "e1"
+    And an order from "b2" in epoch 5 at "e1"
+    Then the check "one lease holder per epoch" passes
+    Given an order from "b3" in epoch 5 at "e2"
+    Then the check "one lease holder per epoch" reports "epoch 5"
+
+  Scenario: An incarnation of a box loses its configuration
+    Given a probe of "b1" in incarnation 1 that has version 3
+    And a probe of "b1" in incarnation 2 that does not have version 3
+    Then the check "configuration does not roll back" passes
+    Given a probe of "b1" in incarnation 1 that does not have version 3
+    Then the check "configuration does not roll back" reports "version 3"
+
+  Scenario: A leaving target gets a new request
+    Given "r1" started at "p1"
+    Then the check "leaving targets get no new requests" passes
+    When 10 ms later "r2" started at "p1"
+    Then the check "leaving targets get no new requests" reports "r2"
+
+  Scenario: A request is not answered in a period without faults
+    Given a request "r1" that may be repeated, answered completely with 200
+    Then the check "every request is answered" passes
+    Given a request "r2" that may be repeated, rejected with 503
+    Then the check "every request is answered" reports "r2"
+
+  Scenario: A seed determines the faults, which overlap and end in time
+    Then 100 faults drawn from one seed are the same, end in time, and overlap
+
+  Scenario: A link blocks traffic and resets connections
+    Given a link to an echo server
+    Then the echo server answers through it
+    When the link is silent
+    Then nothing is received until the link is open again
+    When the link is resetting
+    Then its connections are reset
+
+  Scenario: A link closes both connections when the caller disconnects
+    Given a link to an echo server
+    Then the echo server answers through it
+    When the caller closes its connection
+    Then the connection to the echo server is closed as well
+
+  Scenario: A link listens again after another process has occupied its port
+    While a link refuses connections, another process can bind its port; listening then fails with EADDRINUSE and is retried.
+    Given a link to an echo server
+    When the link is refusing
+    And another process listens on its port until after the link is open again
+    Then the link accepts connections again
--- a/packages/process-soak/src/invariant-checks.steps.ts
+++ b/packages/process-soak/src/invariant-checks.steps.ts
@@ -32,9 +32,9 @@
 const states = new WeakMap<object, ScenarioState>();
 
 function stateOf(world: object): ScenarioState {
-  const scene = states.get(world) ?? { outcomes: [], runs: [], orders: [], probes: [] };
-  states.set(world, scene);
-  return scene;
+  const state = states.get(world) ?? { outcomes: [], runs: [], orders: [], probes: [] };
+  states.set(world, state);
+  return state;
 }
 
 const answer = {
@@ -47,29 +47,32 @@
 };
 
 Given(
-  /^a request "(.*)" that may (not )?be repeated, answered whole with 200$/,
+  /^a request "(.*)" that may (not )?be repeated, answered completely with 200$/,
   function (this: object, id: string, not: string | undefined) {
     stateOf(this).outcomes.push({ ...answer, id, repeatable: not === undefined });
   },
 );
 
 Given(
-  "a request {string} that may be repeated, refused with {int}",
+  "a request {string} that may be repeated, rejected with {int}",
   function (this: object, id: string, status: number) {
     stateOf(this).outcomes.push({ ...answer, id, repeatable: true, status, matchesRequest: false });
   },
 );
 
-Given("a request {string} that got another's answer as whole", function (this: object, id: string) {
-  stateOf(this).outcomes.push({ ...answer, id, repeatable: true, matchesRequest: false });
-});
+Given(
+  "a request {string} with a complete answer to another request",
+  function (this: object, id: string) {
+    stateOf(this).outcomes.push({ ...answer, id, repeatable: true, matchesRequest: false });
+  },
+);
 
-Given("{string} began at {string}", function (this: object, id: string, target: string) {
+Given("{string} started at {string}", function (this: object, id: string, target: string) {
   stateOf(this).runs.push({ id, target, at: 0 });
 });
 
 Given(
-  "{string} began at {string} with a header of {string}",
+  "{string} started at {string} with the header value {string}",
   function (this: object, id: string, target: string, value: string) {
     stateOf(this).runs.push({ id, target, at: 0, headerValues: [value] });
   },
@@ -82,41 +85,41 @@
   },
 );
 
-Given("a request {string} with a key that nobody holds", function (this: object, id: string) {
+Given("a request {string} with an unknown key", function (this: object, id: string) {
   stateOf(this).outcomes.push({ ...completeAnswer, id });
 });
 
 Given(
-  "{string} began at {string} as a request of {string}, with a header of {string}",
+  "{string} started at {string} with account {string} and the header value {string}",
   function (this: object, id: string, target: string, account: string, value: string) {
     stateOf(this).runs.push({ id, target, at: 0, account, headerValues: [value] });
   },
 );
 
 When(
-  "{int} ms later {string} began at {string}",
+  "{int} ms later {string} started at {string}",
   function (this: object, ms: number, id: string, target: string) {
     stateOf(this).runs.push({ id, target, at: ms });
   },
 );
 
 Given(
-  "an order of {string} under epoch {int} at {string}",
+  "an order from {string} in epoch {int} at {string}",
   function (this: object, holder: string, epoch: number, engine: string) {
     stateOf(this).orders.push({ engine, holder, epoch, at: 0 });
   },
 );
 
 Given(
-  /^a probe of "(.*)" in life (\d+) that (knows|does not know) version (\d+)$/,
-  function (this: object, box: string, life: string, knows: string, version: string) {
+  /^a probe of "(.*)" in incarnation (\d+) that (has|does not have) version (\d+)$/,
+  function (this: object, box: string, incarnation: string, has: string, version: string) {
     const { probes } = stateOf(this);
     const sentAt = probes.length * 10;
     const probe = {
       box,
-      incarnation: Number(life),
+      incarnation: Number(incarnation),
       version: Number(version),
-      hasVersion: knows === "knows",
+      hasVersion: has === "has",
     };
     probes.push({ ...probe, sentAt, endedAt: sentAt + 1 });
   },
@@ -132,48 +135,45 @@
   box: "b1",
 } as const;
 const drainedAt = 5;
-const checks: Readonly<Record<string, (scene: ScenarioState) => readonly Finding[]>> = {
-  "at most once": ({ outcomes, runs: begun }) => checkAtMostOnce(outcomes, begun),
-  "not run is true": ({ outcomes, runs: begun }) => checkRejectedNotRun(outcomes, begun),
-  "whole and own answers": ({ outcomes }) => checkCompleteAnswers(outcomes),
-  "callers do not steer targets": ({ runs: begun }) => checkNoForgedHeaders(begun, "forged"),
-  "requests belong to accounts": ({ outcomes, runs: begun }) =>
-    checkAccountsOfRuns(outcomes, begun, ["key"]),
-  "one order giver": ({ orders }) => checkOneHolderPerEpoch(orders),
-  "a configuration does not revert": ({ probes }) =>
+const checks: Readonly<Record<string, (state: ScenarioState) => readonly Finding[]>> = {
+  "at most once": ({ outcomes, runs }) => checkAtMostOnce(outcomes, runs),
+  "rejected requests do not run": ({ outcomes, runs }) => checkRejectedNotRun(outcomes, runs),
+  "complete answers are right": ({ outcomes }) => checkCompleteAnswers(outcomes),
+  "callers cannot forge headers": ({ runs }) => checkNoForgedHeaders(runs, "forged"),
+  "requests have the right account": ({ outcomes, runs }) =>
+    checkAccountsOfRuns(outcomes, runs, ["key"]),
+  "one lease holder per epoch": ({ orders }) => checkOneHolderPerEpoch(orders),
+  "configuration does not roll back": ({ probes }) =>
     checkNoConfigurationRollback(probes, () => Infinity),
-  "a leaving target gets nothing new": ({ runs: begun }) => checkDraining(begun, "p1", drainedAt),
-  "every request is answered": ({ outcomes }) => checkAllAnswered(outcomes, "in calm"),
+  "leaving targets get no new requests": ({ runs }) => checkDraining(runs, "p1", drainedAt),
+  "every request is answered": ({ outcomes }) => checkAllAnswered(outcomes, "without faults"),
 };
 
-Then("the check of {string} is silent", function (this: object, check: string) {
+Then("the check {string} passes", function (this: object, check: string) {
   assert.deepEqual(checks[check](stateOf(this)), []);
 });
 
-Then("the check of {string} finds {string}", function (this: object, check: string, what: string) {
+Then("the check {string} reports {string}", function (this: object, check: string, what: string) {
   const findings = checks[check](stateOf(this));
   assert.equal(findings.length, 1);
   assert.ok(findings[0].detail.includes(what), findings[0].detail);
 });
 
-Then(
-  "{int} drawn faults of one seed are alike, end within the time, and overlap",
-  (count: number) => {
-    const lengthMs = 5_000;
-    const kinds = [
-      { kind: "kill", subjects: ["b1", "b2"], mostMs: 1 },
-      { kind: "silent", subjects: ["b1"], mostMs: 3_000 },
-    ];
-    const faults = drawFaults(seededRandom(7), kinds, count, lengthMs);
-    assert.deepEqual(drawFaults(seededRandom(7), kinds, count, lengthMs), faults);
-    const minDurationMs = 50;
-    for (const fault of faults) assert.ok(fault.atMs + fault.forMs <= lengthMs + minDurationMs);
-    const overlaps = faults.some(
-      (fault, index) => index > 0 && faults[index - 1].atMs + faults[index - 1].forMs > fault.atMs,
-    );
-    assert.ok(overlaps);
-  },
-);
+Then("{int} faults drawn from one seed are the same, end in time, and overlap", (count: number) => {
+  const lengthMs = 5_000;
+  const kinds = [
+    { kind: "kill", subjects: ["b1", "b2"], mostMs: 1 },
+    { kind: "silent", subjects: ["b1"], mostMs: 3_000 },
+  ];
+  const faults = drawFaults(seededRandom(7), kinds, count, lengthMs);
+  assert.deepEqual(drawFaults(seededRandom(7), kinds, count, lengthMs), faults);
+  const minDurationMs = 50;
+  for (const fault of faults) assert.ok(fault.atMs + fault.forMs <= lengthMs + minDurationMs);
+  const overlaps = faults.some(
+    (fault, index) => index > 0 && faults[index - 1].atMs + faults[index - 1].forMs > fault.atMs,
+  );
+  assert.ok(overlaps);
+});
 
 interface LinkState {
   readonly link: Link;
@@ -185,9 +185,9 @@
 const linkStates = new WeakMap<object, LinkState>();
 
 function linkStateOf(world: object): LinkState {
-  const scene = linkStates.get(world);
-  assert.ok(scene);
-  return scene;
+  const state = linkStates.get(world);
+  assert.ok(state);
+  return state;
 }
 
 const listenOnFreePort = (server: Server) =>
@@ -198,7 +198,7 @@
     });
   });
 
-Given("a link to an echo", async function (this: object) {
+Given("a link to an echo server", async function (this: object) {
   const echo = createServer((socket) => {
     socket.on("error", () => undefined);
     socket.pipe(socket);
@@ -216,37 +216,37 @@
 });
 
 After({ name: "link" }, function (this: object) {
-  const scene = linkStates.get(this);
-  scene?.caller.destroy();
-  scene?.link.close();
-  scene?.echo.close();
+  const state = linkStates.get(this);
+  state?.caller.destroy();
+  state?.link.close();
+  state?.echo.close();
 });
 
-/** Waits until the caller has received the text. */
+/** Resolves when the caller has received the text. */
 async function waitUntilReceived({ caller, received }: LinkState, text: string): Promise<void> {
   while (!received.join("").includes(text)) {
     await new Promise((resolve) => caller.once("data", resolve));
   }
 }
 
-Then("bytes come back through it", async function (this: object) {
-  const scene = linkStateOf(this);
-  scene.caller.write("first");
-  await waitUntilReceived(scene, "first");
+Then("the echo server answers through it", async function (this: object) {
+  const state = linkStateOf(this);
+  state.caller.write("first");
+  await waitUntilReceived(state, "first");
 });
 
 When("the link is silent", function (this: object) {
   linkStateOf(this).link.setMode({ kind: "silent" });
 });
 
-Then("no bytes come back until it is open again", async function (this: object) {
-  const scene = linkStateOf(this);
-  scene.caller.write("second");
-  // Whatever time passes here, nothing may come: the order of two events, not their time, is asserted.
+Then("nothing is received until the link is open again", async function (this: object) {
+  const state = linkStateOf(this);
+  state.caller.write("second");
+  // The duration of the wait is irrelevant: nothing may be received before the link is open.
   await new Promise((resolve) => setTimeout(resolve, 50));
-  assert.ok(!scene.received.join("").includes("second"));
-  scene.link.setMode({ kind: "open" });
-  await waitUntilReceived(scene, "second");
+  assert.ok(!state.received.join("").includes("second"));
+  state.link.setMode({ kind: "open" });
+  await waitUntilReceived(state, "second");
 });
 
 When("the link is resetting", function (this: object) {
@@ -259,15 +259,15 @@
   assert.ok(caller.destroyed);
 });
 
-When("its caller ends the connection", function (this: object) {
+When("the caller closes its connection", function (this: object) {
   linkStateOf(this).caller.destroy();
 });
 
-Then("the connection to the echo ends as well", async function (this: object) {
+Then("the connection to the echo server is closed as well", async function (this: object) {
   const { echo } = linkStateOf(this);
   const open = () =>
     new Promise<number>((resolve) => {
-      echo.getConnections((_problem, count) => resolve(count));
+      echo.getConnections((_error, count) => resolve(count));
     });
   while ((await open()) > 0) await new Promise((resolve) => setTimeout(resolve, 5));
 });
@@ -279,19 +279,19 @@
 const portOf = (address: string) => Number(address.slice(address.lastIndexOf(":") + 1));
 
 When(
-  "another process listens at its port until after the link is open again",
+  "another process listens on its port until after the link is open again",
   async function (this: object) {
     const { link } = linkStateOf(this);
-    const other = createServer();
+    const otherServer = createServer();
     const port = portOf(link.address);
-    await new Promise<void>((resolve) => other.listen(port, "127.0.0.1", resolve));
+    await new Promise<void>((resolve) => otherServer.listen(port, "127.0.0.1", resolve));
     link.setMode({ kind: "open" });
     await new Promise((resolve) => setTimeout(resolve, 50));
-    await new Promise((resolve) => other.close(resolve));
+    await new Promise((resolve) => otherServer.close(resolve));
   },
 );
 
-Then("connections through it are taken again", async function (this: object) {
+Then("the link accepts connections again", async function (this: object) {
   const port = portOf(linkStateOf(this).link.address);
   const connected = () =>
     new Promise<boolean>((resolve) => {
@@ -302,6 +302,6 @@
       });
       caller.once("error", () => resolve(false));
     });
-  // The scenario's own limit ends a wait in vain.
+  // The timeout of the step ends the loop if the link never accepts connections.
   while (!(await connected())) await new Promise((resolve) => setTimeout(resolve, 20));
 });
--- a/packages/process-soak/src/tests/fault-series.ts
+++ b/packages/process-soak/src/tests/fault-series.ts
@@ -1,14 +1,15 @@
-/** Draws a series of faults from a seed: they overlap, and any may come more than once. */
+/** Draws a random series of faults, which may overlap and repeat. */
 import { pick, type Random } from "@linkfall/kernel";
 
-/** One kind of fault, and what it may strike. */
+/** A kind of fault and the subjects it can be injected into. */
 export interface FaultKind {
   readonly kind: string;
   readonly subjects: readonly string[];
-  /** Longest time that it lasts. */
+  /** Maximum duration, in addition to the minimum that every fault has. */
   readonly mostMs: number;
 }
 
+/** A fault at a time, in milliseconds from the start of the series. */
 export interface Fault {
   readonly atMs: number;
   readonly kind: string;
@@ -18,7 +19,7 @@
 
 const minDurationMs = 50;
 
-/** Faults over `lengthMs`, in the order of their time; each ends within it. */
+/** Draws `count` faults, ordered by start. Each ends at most the minimum duration after `seriesMs`. */
 export function drawFaults(
   random: Random,
   kinds: readonly FaultKind[],
--- a/packages/process-soak/src/tests/invariant-checks.ts
+++ b/packages/process-soak/src/tests/invariant-checks.ts
@@ -1,34 +1,34 @@
-/** The promises that a soak checks, as pure functions over what callers and targets have seen. */
+/** Invariants that a soak test checks, as pure functions of what callers and targets recorded. */
 
-/** What one caller saw of one request. */
+/** The result of a request as its caller observed it. Times are in milliseconds. */
 export interface Outcome {
   readonly id: string;
   readonly repeatable: boolean;
   readonly sentAt: number;
   readonly endedAt: number;
-  /** Absent where the connection ended without an answer. */
+  /** Absent if the connection ended without an answer. */
   readonly status?: number;
-  /** The answer came to its end. */
+  /** Whether the whole answer was received. */
   readonly complete: boolean;
-  /** The answer is the one that a target made for this request. */
+  /** Whether the answer is the one expected for this request. */
   readonly matchesRequest: boolean;
   readonly box: string;
-  /** Account that holds the key that was sent; absent where nobody holds it. */
+  /** Account of the key that was sent; absent if the key is unknown. */
   readonly account?: string;
 }
 
-/** A target has begun to work on a request. */
+/** A request that a target started to run. */
 export interface TargetRun {
   readonly id: string;
   readonly target: string;
   readonly at: number;
-  /** Values of the request's headers as they reached the target. */
+  /** Values of the headers that the target received. */
   readonly headerValues?: readonly string[];
-  /** Account that the target was told. */
+  /** Account that the target received with the request. */
   readonly account?: string;
 }
 
-/** An order that reached an engine. */
+/** An order that an engine received. */
 export interface ReceivedOrder {
   readonly engine: string;
   readonly holder: string;
@@ -36,7 +36,7 @@
   readonly at: number;
 }
 
-/** Whether a box had a version's route when it was asked. */
+/** Whether a box had the route of a configuration version when it was polled. */
 export interface RouteProbe {
   readonly box: string;
   readonly incarnation: number;
@@ -46,13 +46,13 @@
   readonly endedAt: number;
 }
 
-/** A broken promise. */
+/** A violated invariant. */
 export interface Finding {
   readonly promise: string;
   readonly detail: string;
 }
 
-/** Statuses that promise that the request has not run and never will. */
+/** Statuses that guarantee that the request has not run and will not run. */
 const rejectedStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 const okStatus = 200;
 
@@ -62,7 +62,7 @@
   return runsByRequest;
 }
 
-/** What may not be repeated runs at most once. */
+/** Checks that requests that are not repeatable run at most once. */
 export function checkAtMostOnce(
   outcomes: readonly Outcome[],
   runs: readonly TargetRun[],
@@ -76,7 +76,7 @@
     }));
 }
 
-/** What was refused as not run has not run. */
+/** Checks that requests rejected as not run have not run. */
 export function checkRejectedNotRun(
   outcomes: readonly Outcome[],
   runs: readonly TargetRun[],
@@ -85,8 +85,8 @@
   return outcomes
     .filter(({ id, status }) => rejectedStatuses.has(status ?? 0) && runsByRequest.has(id))
     .map(({ id, status }) => ({
-      promise: "not run is true",
-      detail: `${id} was refused with ${status} and ran at ${targetsOf(runsByRequest, id)}`,
+      promise: "rejected requests do not run",
+      detail: `${id} was rejected with ${status} and ran at ${targetsOf(runsByRequest, id)}`,
     }));
 }
 
@@ -94,7 +94,7 @@
   return (runsByRequest.get(id) ?? []).map((run) => run.target).join(", ");
 }
 
-/** Nothing that a caller forged to steer a target reaches it; forged headers carry `mark`. */
+/** Checks that no header forged by a caller reaches a target; forged headers have the value `forgedValue`. */
 export function checkNoForgedHeaders(
   runs: readonly TargetRun[],
   forgedValue: string,
@@ -102,12 +102,12 @@
   return runs
     .filter(({ headerValues }) => headerValues?.includes(forgedValue))
     .map(({ id, target }) => ({
-      promise: "callers do not steer targets",
-      detail: `${id} reached ${target} with a header that only linkfall may set`,
+      promise: "callers cannot forge headers",
+      detail: `${id} reached ${target} with a header that callers must not set`,
     }));
 }
 
-/** Targets get requests of accounts only, under the right name, and never a key. */
+/** Checks that targets receive only requests of known accounts, with the right account and without any key. */
 export function checkAccountsOfRuns(
   outcomes: readonly Outcome[],
   runs: readonly TargetRun[],
@@ -125,24 +125,24 @@
       );
     })
     .map(({ id, target, account }) => ({
-      promise: "requests belong to accounts",
-      detail: `${id} of ${accountsById.get(id) ?? "nobody"} reached ${target} as ${account ?? "nobody"}'s, or with a key`,
+      promise: "requests have the right account",
+      detail: `${id} of account ${accountsById.get(id) ?? "nobody"} reached ${target} with account ${account ?? "nobody"}, or with a key`,
     }));
 }
 
-/** An answer that looks whole is the caller's own, to its end. */
+/** Checks that a successful, complete answer is the one expected for its request. */
 export function checkCompleteAnswers(outcomes: readonly Outcome[]): readonly Finding[] {
   return outcomes
     .filter(
-      ({ status, complete: whole, matchesRequest: own }) => status === okStatus && whole && !own,
+      ({ status, complete, matchesRequest }) => status === okStatus && complete && !matchesRequest,
     )
     .map(({ id, box }) => ({
-      promise: "whole and own answers",
-      detail: `${id} got another answer, or a part of its own, as whole from ${box}`,
+      promise: "complete answers are right",
+      detail: `${id} got a wrong or truncated answer as complete from ${box}`,
     }));
 }
 
-/** Orders under one epoch come from one holder, and a holder's epochs only rise. */
+/** Checks that all orders of an epoch come from the same lease holder. */
 export function checkOneHolderPerEpoch(orders: readonly ReceivedOrder[]): readonly Finding[] {
   const holdersByEpoch = new Map<number, string>();
   return orders.flatMap(({ engine, holder, epoch }) => {
@@ -151,14 +151,14 @@
     if (firstHolder === holder) return [];
     return [
       {
-        promise: "one order giver",
-        detail: `${engine} got orders of ${firstHolder} and ${holder} under epoch ${epoch}`,
+        promise: "one lease holder per epoch",
+        detail: `${engine} received orders from ${firstHolder} and ${holder} in epoch ${epoch}`,
       },
     ];
   });
 }
 
-/** Within one life of a box, a version that was in force stays known until a newer one is written. */
+/** Checks that an incarnation of a box does not lose a configuration version before it is replaced. */
 export function checkNoConfigurationRollback(
   probes: readonly RouteProbe[],
   replacedAt: (version: number) => number,
@@ -176,14 +176,14 @@
     if (!lostBeforeReplaced || !sentAfterLatest) return [];
     return [
       {
-        promise: "a configuration does not revert",
-        detail: `${probe.box} had version ${probe.version} and lost it`,
+        promise: "configuration does not roll back",
+        detail: `${probe.box} lost version ${probe.version}`,
       },
     ];
   });
 }
 
-/** A target that leaves gets nothing new after a while. */
+/** Checks that a leaving target starts no request after `drainedAt`. */
 export function checkDraining(
   runs: readonly TargetRun[],
   target: string,
@@ -191,15 +191,15 @@
 ): readonly Finding[] {
   const lateRuns = runs.filter((run) => run.target === target && run.at > drainedAt);
   return lateRuns.map(({ id }) => ({
-    promise: "a leaving target gets nothing new",
-    detail: `${id} began at ${target} after that`,
+    promise: "leaving targets get no new requests",
+    detail: `${id} started at ${target} after it was drained`,
   }));
 }
 
-/** In calm times every request gets a whole answer. */
+/** Checks that every request of a period without faults gets a complete, successful answer. */
 export function checkAllAnswered(outcomes: readonly Outcome[], period: string): readonly Finding[] {
   return outcomes
-    .filter(({ status, complete: whole }) => status !== okStatus || !whole)
+    .filter(({ status, complete }) => status !== okStatus || !complete)
     .map(({ id, status, box }) => ({
       promise: `every request is answered ${period}`,
       detail: `${id} got ${status ?? "no answer"} from ${box}`,
--- a/packages/process-soak/src/tests/link.ts
+++ b/packages/process-soak/src/tests/link.ts
@@ -1,23 +1,24 @@
-/** A proxy on loopback between two processes, whose bytes can be held up or cut from outside. */
+/** TCP proxy between two processes that can delay, block or reset their connections. */
 import { createServer, type Server, Socket } from "node:net";
 
-/** What a link does with bytes and with new connections. */
+/** How a link treats traffic and new connections. */
 export type LinkMode =
   | { readonly kind: "open" }
   | { readonly kind: "delayed"; readonly ms: number }
-  /** Holds up everything, both ways. */
+  /** Blocks traffic in both directions. */
   | { readonly kind: "silent" }
-  /** Holds up what the caller sends. */
+  /** Blocks traffic from the caller to the target. */
   | { readonly kind: "deaf" }
-  /** Holds up what the target answers. */
+  /** Blocks traffic from the target to the caller. */
   | { readonly kind: "mute" }
-  /** Resets connections, those that stand and new ones. */
+  /** Resets existing and new connections. */
   | { readonly kind: "resetting" }
-  /** As where no process runs: resets connections that stand, and takes no new ones. */
+  /** Resets existing connections and stops listening, as when no process runs. */
   | { readonly kind: "refusing" };
 
+/** A running proxy. */
 export interface Link {
-  /** Where callers connect. */
+  /** Address that callers connect to. */
   readonly address: string;
   setMode(mode: LinkMode): void;
   close(): void;
@@ -43,13 +44,17 @@
     setTimeout(resolve, ms);
   });
 
-/** A socket that is being shut down cannot be reset: Node would keep its handle for ever. */
+/** Resets a socket, or destroys one that is being shut down: Node would leak its handle on a reset. */
 function resetSocket(socket: Socket): void {
   if (socket.writableEnded || socket.destroyed) socket.destroy();
   else socket.resetAndDestroy();
 }
 
-/** Opens a link at `address` that leads to `target`. */
+/**
+ * Starts a proxy that listens on `address` and connects to `target`.
+ *
+ * @throws Error if `address` cannot be listened on
+ */
 export async function openLink(address: string, target: string): Promise<Link> {
   let mode = openMode;
   let modeChangeWaiters: (() => void)[] = [];
@@ -59,7 +64,7 @@
     new Promise<void>((resolve) => {
       modeChangeWaiters.push(resolve);
     });
-  /** Resolves when bytes of this direction may pass. */
+  /** Resolves when traffic in this direction may pass. */
   const waitUntilUnblocked = async (direction: Direction): Promise<void> => {
     while (isBlocked(mode, direction)) await nextModeChange();
     if (mode.kind === "delayed") await sleep(mode.ms);
@@ -93,7 +98,7 @@
     for (const [socket, other] of [pair, [upstream, caller] as const]) {
       socket.setNoDelay(true);
       socket.on("error", () => resetConnection(pair));
-      // What one side has closed the other keeps open no longer than its last bytes take.
+      // Closes the other side once its pending data is flushed.
       socket.on("close", () => {
         other.destroySoon();
         if (other.destroyed) connections.delete(pair);
@@ -111,7 +116,7 @@
   const retryListening = () => {
     if (!closed && mode.kind !== "refusing" && !server.listening) server.listen(port, host);
   };
-  // While nobody listens there, another process of this machine may take the port for a while.
+  // Another process may have bound the port while this server was not listening.
   server.on("error", () => void setTimeout(retryListening, listenRetryMs));
 
   return {
--- a/packages/process-soak/src/tests/supervised-process.ts
+++ b/packages/process-soak/src/tests/supervised-process.ts
@@ -1,35 +1,37 @@
-/** A real process that is started again whenever it ends, as the platform does it. */
+/** A child process that is restarted whenever it exits, as the platform does. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { closeSync, openSync } from "node:fs";
 
+/** Command and restart settings of a supervised process. */
 export interface ProcessOptions {
   readonly name: string;
   readonly command: string;
   readonly args: readonly string[];
   readonly env: Readonly<Record<string, string>>;
-  /** Takes standard output and standard error of all its lives. */
+  /** Standard output and standard error of all incarnations are appended to this file. */
   readonly logFile: string;
-  /** Time from an end to the next start. */
+  /** Delay between an exit and the next start. */
   readonly restartDelayMs: number;
 }
 
+/** A process under supervision. */
 export interface SupervisedProcess {
   readonly name: string;
-  /** Counts starts; 1 during the first. */
+  /** Number of starts, from 1. */
   incarnation(): number;
   running(): boolean;
-  /** Sends a signal to the process of now, if there is one. */
+  /** Sends a signal to the current process, if one is running. */
   signal(signal: NodeJS.Signals): void;
-  /** Ends of its own that no signal explains: exit codes, in order. */
+  /** Exit codes of exits that no signal of the supervisor caused, in order; -1 without a code. */
   unexpectedExitCodes(): readonly number[];
-  /** Ends the process for good. */
+  /** Kills the process and does not restart it. */
   stop(): Promise<void>;
 }
 
-/** Signals after which an end is no wonder. */
+/** Signals that are expected to end the process. */
 const terminatingSignals: ReadonlySet<NodeJS.Signals> = new Set(["SIGTERM", "SIGKILL"]);
 
-/** Starts the process. */
+/** Starts a process and keeps it running until it is stopped. */
 export function superviseProcess(options: ProcessOptions): SupervisedProcess {
   const unexpectedExitCodes: number[] = [];
   let incarnation = 0;
