--- a/packages/bench/src/deployments.ts
+++ b/packages/bench/src/deployments.ts
@@ -154,7 +154,7 @@
       engines,
       serviceAddresses,
       domains: shape.domains,
-      speeds: benchSpeeds,
+      batchOptions: benchSpeeds,
       weightMbPerSecond: 4_000,
     },
   };
--- a/packages/soak/src/scenarios/bad-input.steps.ts
+++ b/packages/soak/src/scenarios/bad-input.steps.ts
@@ -15,7 +15,7 @@
   JSON.stringify({ model: "m0", prompt: "never run", max_tokens: 4, ...changes });
 const notRepeatable = { "linkfall-repeatable": "false" };
 
-const inputs: Readonly<Record<string, BadInput>> = {
+const badInputs: Readonly<Record<string, BadInput>> = {
   "a body that is no JSON": { body: "{" },
   "no model": { body: completion({ model: undefined }) },
   "max_tokens of 0": { body: completion({ max_tokens: 0 }) },
@@ -41,8 +41,8 @@
 When("{string} sends {string}", async function (this: object, account: "dispatch", input: string) {
   const world = notes(this).get<World>("world");
   const [box] = world.boxes;
-  const { path = "/v1/completions", body = completion({}), headers } = inputs[input];
-  const asked = box.box.callers.handle({
+  const { path = "/v1/completions", body = completion({}), headers } = badInputs[input];
+  const responsePromise = box.box.callers.handle({
     method: "POST",
     path,
     headers: { authorization: `Bearer ${tokenOf(account)}`, ...headers?.(box) },
@@ -50,7 +50,7 @@
     gone: new AbortController().signal,
   });
   await world.clock.runUntil(world.clock.now() + 1_000);
-  notes(this).set("response", await asked);
+  notes(this).set("response", await responsePromise);
 });
 
 Then(
--- a/packages/soak/src/scenarios/fleet.steps.ts
+++ b/packages/soak/src/scenarios/fleet.steps.ts
@@ -5,7 +5,7 @@
 import { createOperators } from "./operators.js";
 import { soakModel } from "./resources.js";
 import { operatorToken } from "./settings.js";
-import { worldOf } from "./rest.js";
+import { worldOf } from "./idle-deployment.js";
 import { createWorld, type World, type WorldBox } from "./world.js";
 
 const fleetWarmUpMs = 30_000;
@@ -16,7 +16,7 @@
     const membership = { fanout: 1, suspect_ms: 4_000, forget_ms: 60_000 };
     const world = createWorld(3, { settings: { membership } });
     for (let index = 1; index <= count; index++) await world.startBox(`b${index}`);
-    void createOperators(world).begin();
+    void createOperators(world).writeInitialState();
     await world.clock.runUntil(fleetWarmUpMs);
     notes(this).set("world", world);
   },
@@ -71,19 +71,19 @@
 );
 
 Then("it refuses and the others serve", function (this: object) {
-  assert.deepEqual(isolatedBoxes(worldOf(this)), [notes(this).get<WorldBox>("box")]);
+  assert.deepEqual(findIsolatedBoxes(worldOf(this)), [notes(this).get<WorldBox>("box")]);
 });
 
-const isolatedBoxes = (world: World) =>
+const findIsolatedBoxes = (world: World) =>
   world.boxes.filter(({ box }) => box.kernel.find(membershipName).isolated());
 
 Then("every box still serves", function (this: object) {
-  assert.equal(isolatedBoxes(worldOf(this)).length, 0);
+  assert.equal(findIsolatedBoxes(worldOf(this)).length, 0);
 });
 
 Then("those {int} refuse and the others serve", function (this: object, count: number) {
   const world = worldOf(this);
-  assert.deepEqual(isolatedBoxes(world), world.boxes.slice(0, count));
+  assert.deepEqual(findIsolatedBoxes(world), world.boxes.slice(0, count));
 });
 
 When("the list goes out and every box is replaced", async function (this: object) {
--- a/packages/soak/src/scenarios/left-alone.steps.ts
+++ b/packages/soak/src/scenarios/retry-after.steps.ts
@@ -2,11 +2,11 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import type { CallerResponse } from "@linkfall/ports";
 import { notes } from "@linkfall/test-support";
-import { bodies, sendOnce } from "./crashing-requests.steps.js";
-import { worldOf } from "./rest.js";
+import { requestsByKind, sendAndWait } from "./crashing-requests.steps.js";
+import { worldOf } from "./idle-deployment.js";
 
 /** Between two calls. */
-const betweenMs = 200;
+const callIntervalMs = 200;
 
 Given(
   "one target of the service asks to be left alone for {int} s",
@@ -22,8 +22,8 @@
     const answers: CallerResponse[] = [];
     for (let index = 0; index < count; index++) {
       const box = world.boxes[index % world.boxes.length];
-      const call = bodies["a call of the service"](`call ${index}`);
-      answers.push(await sendOnce(world, box, account, call, betweenMs));
+      const call = requestsByKind["a call of the service"](`call ${index}`);
+      answers.push(await sendAndWait(world, box, account, call, callIntervalMs));
     }
     notes(this).set("answers of the service", answers);
   },
--- a/packages/soak/src/scenarios/settings.ts
+++ b/packages/soak/src/scenarios/settings.ts
@@ -5,7 +5,7 @@
 
 export const operatorToken = "operator-of-the-soak";
 
-export const soakSpeeds: Omit<BatchOptions, "concurrency"> = {
+export const soakBatchOptions: Omit<BatchOptions, "concurrency"> = {
   stepMs: 40,
   stepPerRequestMs: 2,
   prefillMsPerCharacter: 0.05,
--- a/packages/soak/src/scenarios/soak.steps.ts
+++ b/packages/soak/src/scenarios/soak.steps.ts
@@ -8,7 +8,7 @@
 import { type Account, type Resource, resourceKey } from "@linkfall/types";
 import { type AccountName, domains, soakResources, tokenOf } from "./resources.js";
 import { operatorToken } from "./settings.js";
-import { deploymentAtRest, modelCount, probeAll, worldOf } from "./rest.js";
+import { createIdleDeployment, modelCount, probeAllModels, worldOf } from "./idle-deployment.js";
 import { runSeed } from "./run-seed.js";
 import { playSession } from "./session.js";
 import type { World, WorldBox } from "./world.js";
@@ -16,28 +16,28 @@
 const goldenFile = "packages/soak/src/scenarios/session.golden.txt";
 setDefaultTimeout(180_000);
 
-const repeatWith = (seed: number) => `repeat with: npm run soak -- --seeds ${seed}..${seed}`;
+const reproduceCommand = (seed: number) => `repeat with: npm run soak -- --seeds ${seed}..${seed}`;
 
 Then("a run with seed {int} and all faults breaks no promise", async (seed: number) => {
   const result = await runSeed(seed);
-  assert.deepEqual(result.violations, [], repeatWith(seed));
+  assert.deepEqual(result.violations, [], reproduceCommand(seed));
 });
 
 Then(
   "a run with seed {int} and the fault {string} breaks no promise",
   async (seed: number, fault: string) => {
     const result = await runSeed(seed, { faults: [fault as FaultName] });
-    assert.deepEqual(result.violations, [], `${repeatWith(seed)} --faults ${fault}`);
+    assert.deepEqual(result.violations, [], `${reproduceCommand(seed)} --faults ${fault}`);
   },
 );
 
 Given("a deployment at rest", async function (this: object) {
-  await deploymentAtRest(this);
+  await createIdleDeployment(this);
 });
 
 Given("a deployment at rest that writes no snapshots", async function (this: object) {
   const platform = { snapshot_every_records: 1_000_000, snapshot_every_ms: 86_400_000 };
-  await deploymentAtRest(this, { platform });
+  await createIdleDeployment(this, { platform });
 });
 
 When("the log goes down and a box joins", async function (this: object) {
@@ -49,7 +49,7 @@
 Then("the new box serves every model within 5 s", async function (this: object) {
   const world = worldOf(this);
   await world.clock.runUntil(world.clock.now() + 5_000);
-  const told = await probeAll(world, notes(this).get<WorldBox>("box"));
+  const told = await probeAllModels(world, notes(this).get<WorldBox>("box"));
   assert.deepEqual(told, Array(modelCount).fill("answered"));
 });
 
@@ -92,7 +92,7 @@
       engine.leavingSince = world.clock.now();
     }
     await world.clock.runUntil(world.clock.now() + 4_000);
-    const probed = probeAll(world, box);
+    const probed = probeAllModels(world, box);
     box.process.resume();
     await probed;
   },
@@ -116,18 +116,18 @@
   });
   await world.clock.runUntil(world.clock.now() + 1_000);
   assert.equal((await asked).status, 200);
-  assert.equal(requestsAtEngines(world), 1);
+  assert.equal(countEngineRequests(world), 1);
   caller.abort();
 });
 
 Then("no engine works on anything 1 s later", async function (this: object) {
   const world = worldOf(this);
   await world.clock.runUntil(world.clock.now() + 1_000);
-  assert.equal(requestsAtEngines(world), 0);
+  assert.equal(countEngineRequests(world), 0);
 });
 
 /** Requests that run or wait at the engines. */
-function requestsAtEngines(world: World): number {
+function countEngineRequests(world: World): number {
   const reports = world.engines.map(({ core }) => core.report());
   return reports.reduce((sum, { running, queued }) => sum + running + queued, 0);
 }
@@ -145,7 +145,7 @@
   async function (this: object) {
     const world = worldOf(this);
     await world.clock.runUntil(world.clock.now() + 30_000);
-    const told = await probeAll(world, world.boxes[0]);
+    const told = await probeAllModels(world, world.boxes[0]);
     assert.deepEqual(told, Array(modelCount).fill("answered"));
     assert.ok(world.weights.peakConcurrentLoads() <= 8);
     assert.deepEqual(world.violations, []);
@@ -157,7 +157,7 @@
   async function (this: object, rate: number, sent: number, count: number, seconds: number) {
     const world = worldOf(this);
     const resource = { ...accountResource("dispatch"), requestsPerSecond: rate };
-    await declare(world, resource);
+    await putResource(world, resource);
     const start = world.clock.now();
     const half = start + (seconds * 1_000) / 2;
     let admitted = 0;
@@ -193,7 +193,7 @@
 );
 
 /** Declares one resource over what stands. */
-async function declare(world: World, resource: Resource): Promise<void> {
+async function putResource(world: World, resource: Resource): Promise<void> {
   const stored = world.boxes[0].box.kernel.find(stateStoreName).state().resources;
   const base = stored.get(resourceKey(resource))?.revision ?? 0;
   void world.boxes[0].box.operators.handle({
