--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -1,4 +1,4 @@
-/** `npm run soak -- --seeds A..B [--faults x,y]`: runs seeds and prints what they showed. */
+/** `npm run soak -- --seeds A..B [--faults x,y]`: runs a range of seeds and prints a summary. */
 import { parseArgs } from "node:util";
 import { type FaultName, faultsByName } from "./scenarios/faults.js";
 import { endMs, runSeed, type SeedResult } from "./scenarios/run-seed.js";
@@ -48,7 +48,7 @@
 const outcomeCounts = new Map<string, number>();
 const faultCounts = new Map<string, number>();
 for (const result of results) {
-  for (const [word, count] of result.outcomes) addCount(outcomeCounts, word, count);
+  for (const [outcome, count] of result.outcomes) addCount(outcomeCounts, outcome, count);
   for (const fault of result.faults) addCount(faultCounts, fault);
 }
 const inForceTimes = results.flatMap((result) => [...result.inForceTimes]).sort((a, b) => a - b);
@@ -67,11 +67,11 @@
 );
 const peakAppendsPerSecond = Math.max(...results.map((result) => result.appends.peakPerSecond));
 process.stdout.write(
-  `appends a second: ${appendRates.join(", ")}; most in a second ${peakAppendsPerSecond}\n`,
+  `appends per second: ${appendRates.join(", ")}; peak ${peakAppendsPerSecond}\n`,
 );
 process.stdout.write(`writes accepted ${writes}, conflicts ${conflicts}\n`);
 process.stdout.write(
-  `in force after ms: p50 ${quantile(inForceTimes, 0.5)}, p99 ${quantile(inForceTimes, 0.99)}, most ${inForceTimes.at(-1) ?? 0}, of ${inForceTimes.length}\n`,
+  `time until in force in ms: p50 ${quantile(inForceTimes, 0.5)}, p99 ${quantile(inForceTimes, 0.99)}, max ${inForceTimes.at(-1) ?? 0}, count ${inForceTimes.length}\n`,
 );
 process.stdout.write(`${results.length - failed} passed, ${failed} failed\n`);
 process.exitCode = failed > 0 ? 1 : 0;
--- a/packages/soak/src/scenarios/box-faults.ts
+++ b/packages/soak/src/scenarios/box-faults.ts
@@ -1,21 +1,24 @@
-/** Faults of boxes and of the links between them. */
+/** Faults of boxes and of their network links. */
 import { pick } from "@linkfall/kernel";
 import { leaseHolderName } from "@linkfall/lease-holder";
 import type { Milliseconds } from "@linkfall/types";
 import { boxNames } from "./resources.js";
 import type { World, WorldBox } from "./world.js";
 
+/** A fault is injected into a box only if more boxes than this are running. */
 const minUndisturbedBoxes = 2;
-/** Lease, margin and the time that a rival needs to claim. */
+/** Exceeds the lease, its margin and the time in which another box claims it. */
 const pausePastLeaseMs: Milliseconds = 7_000;
 
-/** Ends a fault. */
+/** Ends an injected fault. */
 export type EndFault = () => void;
+/** Injects a fault and returns the function that ends it. */
 export type InjectFault = (world: World) => EndFault;
 
+/** For faults that have not been injected or that end on their own. */
 export const nothingToEnd: EndFault = () => undefined;
 
-/** A box that may be disturbed; the last ones are left alone. */
+/** Picks a running box for a fault, or none if too few boxes are running. */
 function pickDisturbableBox(world: World): WorldBox | undefined {
   const candidates = world.boxes.filter(
     (box) => box.process.state() === "running" && !box.draining,
@@ -23,16 +26,16 @@
   return candidates.length > minUndisturbedBoxes ? pick(world.random, candidates) : undefined;
 }
 
-/** Marks boxes as disturbed until the answered function is called. */
+/** Marks boxes as disturbed until the returned function is called. */
 export function markDisturbed(world: World, ...boxes: readonly WorldBox[]): EndFault {
-  const changeCount = (change: number) => {
+  const adjustDisturbances = (change: number) => {
     for (const box of boxes) {
       box.disturbances += change;
       box.disturbedAt = world.clock.now();
     }
   };
-  changeCount(1);
-  return () => changeCount(-1);
+  adjustDisturbances(1);
+  return () => adjustDisturbances(-1);
 }
 
 export function killBox(world: World): EndFault {
@@ -42,7 +45,7 @@
   return () => void world.startBox(box.name);
 }
 
-/** Every box, or every box but one, is replaced at the same moment. */
+/** Removes all boxes, or all but one, at once and restarts them later. */
 export function replaceBoxes(world: World): EndFault {
   const running = world.boxes.filter((box) => box.process.state() === "running" && !box.draining);
   const replaced = running.slice(world.random.below(2));
@@ -63,7 +66,7 @@
   };
 }
 
-/** The box that gives the orders, if it may be disturbed. */
+/** Finds the lease holder, or none if too few boxes are running. */
 function findLeaseHolder(world: World): WorldBox | undefined {
   const candidates = world.boxes.filter(
     (box) => box.process.state() === "running" && !box.draining,
@@ -79,7 +82,7 @@
   return () => void world.startBox(box.name);
 }
 
-/** Paused past its lease, so that it wakes up without knowing that another box holds it. */
+/** Pauses the lease holder beyond its lease; it resumes after another box may have claimed the lease. */
 export function pauseHolder(world: World): EndFault {
   const box = findLeaseHolder(world);
   if (!box) return nothingToEnd;
@@ -112,13 +115,13 @@
   return (world) => {
     const box = pickDisturbableBox(world);
     if (!box) return nothingToEnd;
-    // Not a disturbance: what such a box needs comes to it through the others.
+    // Not marked as a disturbance: the box still receives records and reports through other boxes.
     world.network.cut(box.name, endpoint);
     return () => world.network.heal(box.name, endpoint);
   };
 }
 
-/** Messages from one box to another are lost, but not those the other way. */
+/** Drops messages from one box to another, but not in the opposite direction. */
 export function cutOneWay(world: World): EndFault {
   const [one, two] = [pickDisturbableBox(world), pickDisturbableBox(world)];
   if (!one || !two) return nothingToEnd;
--- a/packages/soak/src/scenarios/callers.ts
+++ b/packages/soak/src/scenarios/callers.ts
@@ -1,4 +1,4 @@
-/** Callers of a run. Each checks what it is told against what the targets really did. */
+/** Simulated callers. They check the outcomes that boxes report against the runs at the targets. */
 import { pick, sleep } from "@linkfall/kernel";
 import type { BodyPart, CallerRequest, CallerResponse, HeaderMap } from "@linkfall/ports";
 import { answerTokenCount, tokenAt } from "@linkfall/stand-ins";
@@ -11,34 +11,38 @@
 const maxAttempts = 4;
 const maxTokens = 10;
 const calledModels = 10;
-/** The setting of 6 s, and a margin for word of peers that was under way. */
+/** `stale_serving_ms` of the settings plus a margin for heartbeats in transit. */
 const maxStaleServingMs: Milliseconds = 7_000;
 
-/** What one sending of a request came to, in the eyes of its caller. */
+/** Outcome of one attempt as the caller observed it. */
 export type ReportedOutcome =
   "answered" | "not_run" | "failed" | "outcome_unknown" | "cut" | "no_connection";
 
+/** A request and the outcomes of its attempts. */
 interface RequestHistory {
   readonly key: string;
   readonly repeatable: boolean;
   readonly outcomes: ReportedOutcome[];
 }
 
+/** Boxes and ticket that an account received from `/v1/entries`. */
 interface CachedEntries {
   entries: readonly string[];
   ticket: string;
   validUntil: Milliseconds;
 }
 
+/** The callers of a simulated deployment. */
 export interface Callers {
   /** Sends requests until the given time; resolves when all have ended. */
   run(until: Milliseconds): Promise<void>;
-  /** Sends one request to a model through a box and says what came of it. */
+  /** Sends one request for a model to a box and resolves to its outcome. */
   probe(box: WorldBox, account: AccountName, model: string): Promise<ReportedOutcome>;
-  /** Compares what callers were told with the runs at the targets. */
+  /** Checks the reported outcomes against the runs at the targets. */
   check(): void;
+  /** Number of requests by final outcome. */
   outcomeCounts(): ReadonlyMap<ReportedOutcome, number>;
-  /** Requests that have had no answer of any kind. */
+  /** Requests without any outcome. */
   unanswered(): readonly string[];
 }
 
@@ -55,7 +59,7 @@
   return { text, cut };
 }
 
-/** The text of a streamed answer; undefined when its end marker is missing. */
+/** Returns the text of a streamed answer, or undefined if the end marker is missing. */
 function streamedText(text: string): string | undefined {
   const events = text.split("\n\n").filter((event) => event !== "");
   if (events.at(-1) !== "data: [DONE]") return undefined;
@@ -65,7 +69,7 @@
     .join("");
 }
 
-/** Creates the callers of a world. */
+/** Creates the callers of a simulated deployment. */
 export function createCallers(world: World): Callers {
   const { clock, random } = world;
   const histories: RequestHistory[] = [];
@@ -86,8 +90,8 @@
   });
 
   const entriesFor = async (account: AccountName): Promise<CachedEntries | undefined> => {
-    const known = cachedEntries.get(account);
-    if (known && clock.now() < known.validUntil) return known;
+    const cached = cachedEntries.get(account);
+    if (cached && clock.now() < cached.validUntil) return cached;
     const live = world.liveBoxes();
     if (live.length === 0) return undefined;
     const response = await world.call(
@@ -106,7 +110,7 @@
     return entries;
   };
 
-  /** The start of the named box that an address leads to now. */
+  /** Finds the current incarnation of a box. */
   const findBox = (name: string) =>
     world.boxes.find((box) => box.name === name && box.process.state() !== "dead");
 
@@ -122,7 +126,7 @@
     if (response.status !== 200) return JSON.parse(text).error.outcome as ReportedOutcome;
     const answer = streamed ? streamedText(text) : undefined;
     if (streamed && answer === undefined) {
-      world.violation(`a fragment looked like a whole answer: ${key}`);
+      world.violation(`truncated answer was reported as complete: ${key}`);
     }
     const received = streamed
       ? answer
@@ -130,16 +134,16 @@
         ? text
         : JSON.parse(text).choices?.[0]?.text;
     if (expected !== undefined && received !== expected) {
-      world.violation(`wrong answer to ${key}: ${received} instead of ${expected}`);
+      world.violation(`wrong answer to ${key}: got ${received}, expected ${expected}`);
     }
     if (expected === undefined && !text.includes(key)) {
-      world.violation(`someone else's answer to ${key}: ${text}`);
+      world.violation(`answer of another request for ${key}: ${text}`);
     }
     return "answered";
   };
 
   const sendCompletion = async (
-    conversation: RequestHistory,
+    history: RequestHistory,
     account: AccountName,
     boxName: string,
     model: string,
@@ -148,7 +152,7 @@
   ) => {
     const box = findBox(boxName);
     const sentAt = clock.now();
-    const prompt = conversation.key;
+    const prompt = history.key;
     const body = { model, prompt, max_tokens: maxTokens, stream: streamed };
     const response =
       box && (await world.call(box, request(account, "/v1/completions", body, headers)));
@@ -161,53 +165,53 @@
     const expected = Array.from({ length }, (_, position) => tokenAt(engineRequest, position)).join(
       "",
     );
-    const told = await outcomeOf(response, expected, streamed, prompt);
-    checkIsolation(box, sentAt, told);
-    conversation.outcomes.push(told);
+    const outcome = await outcomeOf(response, expected, streamed, prompt);
+    checkIsolation(box, sentAt, outcome);
+    history.outcomes.push(outcome);
   };
 
   const sendService = async (
-    conversation: RequestHistory,
+    history: RequestHistory,
     account: AccountName,
     boxName: string,
     headers: HeaderMap,
   ) => {
     const box = findBox(boxName);
-    const path = conversation.repeatable ? "/services/feed/snippets" : "/services/feed/alerts";
-    const body = { id: conversation.key };
+    const path = history.repeatable ? "/services/feed/snippets" : "/services/feed/alerts";
+    const body = { id: history.key };
     const response = box && (await world.call(box, request(account, path, body, headers)));
-    conversation.outcomes.push(await outcomeOf(response, undefined, false, conversation.key));
+    history.outcomes.push(await outcomeOf(response, undefined, false, history.key));
   };
 
-  /** A box that has been cut off for long must not answer from what it last knew. */
+  /** Checks that a box does not serve stale state after it has been isolated for too long. */
   const checkIsolation = (
     box: WorldBox | undefined,
     sentAt: Milliseconds,
-    told: ReportedOutcome,
+    outcome: ReportedOutcome,
   ) => {
     const since = box?.isolatedSince;
-    if (told !== "answered" || since === undefined) return;
+    if (outcome !== "answered" || since === undefined) return;
     const isolatedMs = sentAt - since;
     if (isolatedMs > maxStaleServingMs) {
-      world.violation(`${box?.name} answered although cut off for ${isolatedMs} ms`);
+      world.violation(`${box?.name} answered after being isolated for ${isolatedMs} ms`);
     }
   };
 
   type Send = (box: string, headers: HeaderMap) => Promise<void>;
 
-  /** A not repeatable request is sent again under its identifier after a broken connection. */
+  /** Sends a non-repeatable request; retries with the same identifier after a broken connection. */
   const sendNotRepeatable = async (
-    directory: CachedEntries,
-    conversation: RequestHistory,
+    entryList: CachedEntries,
+    history: RequestHistory,
     send: Send,
   ) => {
-    const id = `${directory.ticket}/${conversation.key.replaceAll(" ", ".")}`;
+    const id = `${entryList.ticket}/${history.key.replaceAll(" ", ".")}`;
     const headers = { "linkfall-repeatable": "false", "linkfall-request-id": id };
     const sendDuplicate = random.fraction() < 0.2;
-    if (sendDuplicate) void send(pick(random, directory.entries), headers);
+    if (sendDuplicate) void send(pick(random, entryList.entries), headers);
     for (let attempt = 0; attempt < maxAttempts; attempt++) {
-      await send(pick(random, directory.entries), headers);
-      const last = conversation.outcomes.at(-1);
+      await send(pick(random, entryList.entries), headers);
+      const last = history.outcomes.at(-1);
       if (last !== "no_connection" && last !== "cut") return;
       await sleep(clock, retryDelayMs);
     }
@@ -216,24 +220,24 @@
   const sendRandomRequest = async () => {
     const account = pick(random, accounts);
     const number = ++startedRequests;
-    const directory = await entriesFor(account);
-    if (!directory || directory.entries.length === 0) return;
-    const kind = random.fraction();
+    const entryList = await entriesFor(account);
+    if (!entryList || entryList.entries.length === 0) return;
+    const kindFraction = random.fraction();
     const index = accounts.indexOf(account) + 2 * random.below(calledModels / 2);
     const withAdapter = index < 3 && random.fraction() < 0.3;
     const model = withAdapter ? `a${index}` : `m${index}`;
     const streamed = random.fraction() < 0.5;
-    const isService = kind > 0.75;
-    const repeatable = isService ? kind > 0.9 : kind > 0.35;
+    const isService = kindFraction > 0.75;
+    const repeatable = isService ? kindFraction > 0.9 : kindFraction > 0.35;
     const key = `request ${number}`;
-    const conversation: RequestHistory = { key, repeatable, outcomes: [] };
-    histories.push(conversation);
+    const history: RequestHistory = { key, repeatable, outcomes: [] };
+    histories.push(history);
     const send: Send = (box, headers) =>
       isService
-        ? sendService(conversation, account, box, headers)
-        : sendCompletion(conversation, account, box, model, streamed, headers);
-    if (repeatable) await send(pick(random, directory.entries), {});
-    else await sendNotRepeatable(directory, conversation, send);
+        ? sendService(history, account, box, headers)
+        : sendCompletion(history, account, box, model, streamed, headers);
+    if (repeatable) await send(pick(random, entryList.entries), {});
+    else await sendNotRepeatable(entryList, history, send);
   };
 
   const runsOf = (key: string) => {
@@ -243,38 +247,42 @@
 
   return {
     async run(until) {
-      const open = new Set<Promise<void>>();
+      const pendingRequests = new Set<Promise<void>>();
       while (clock.now() < until) {
-        const pending: Promise<void> = sendRandomRequest().finally(() => open.delete(pending));
-        open.add(pending);
+        const pending: Promise<void> = sendRandomRequest().finally(() =>
+          pendingRequests.delete(pending),
+        );
+        pendingRequests.add(pending);
         await sleep(clock, 2 * meanRequestIntervalMs * random.fraction());
       }
-      await Promise.all(open);
+      await Promise.all(pendingRequests);
     },
     async probe(box, account, model) {
-      const conversation: RequestHistory = {
+      const history: RequestHistory = {
         key: `probe ${++startedRequests}`,
         repeatable: true,
         outcomes: [],
       };
-      histories.push(conversation);
-      await sendCompletion(conversation, account, box.name, model, false, {});
-      return conversation.outcomes[0];
+      histories.push(history);
+      await sendCompletion(history, account, box.name, model, false, {});
+      return history.outcomes[0];
     },
     check() {
-      for (const { key, repeatable, outcomes: told } of histories) {
+      for (const { key, repeatable, outcomes } of histories) {
         const runs = runsOf(key);
         if (!repeatable && runs > 1) world.violation(`${key} ran ${runs} times`);
-        const refused = told.length > 0 && told.every((word) => word === "not_run");
-        if (refused && runs > 0) world.violation(`${key} was refused as not run, yet it ran`);
+        const reportedNotRun =
+          outcomes.length > 0 && outcomes.every((outcome) => outcome === "not_run");
+        if (reportedNotRun && runs > 0)
+          world.violation(`${key} was reported as not run, but it ran`);
       }
     },
     unanswered: () =>
-      histories.filter(({ outcomes: told }) => told.length === 0).map(({ key }) => key),
+      histories.filter(({ outcomes }) => outcomes.length === 0).map(({ key }) => key),
     outcomeCounts() {
       const counts = new Map<ReportedOutcome, number>();
-      for (const { outcomes: told } of histories) {
-        const last = told.includes("answered") ? "answered" : told.at(-1);
+      for (const { outcomes } of histories) {
+        const last = outcomes.includes("answered") ? "answered" : outcomes.at(-1);
         if (last) counts.set(last, (counts.get(last) ?? 0) + 1);
       }
       return counts;
--- a/packages/soak/src/scenarios/crashing-requests.steps.ts
+++ b/packages/soak/src/scenarios/crashing-requests.steps.ts
@@ -6,10 +6,10 @@
 import { worldOf } from "./idle-deployment.js";
 import type { World, WorldBox } from "./world.js";
 
-/** Between two returns of a caller, where the answer does not take longer. */
+/** Interval between two requests of a caller, unless the answer takes longer. */
 const returnIntervalMs = 1_500;
 
-/** In which boxes that start have read the log and placed what is missing. */
+/** Time for started boxes to read the log and load missing models. */
 const settleMs = 20_000;
 
 export const requestsByKind: Readonly<
@@ -22,11 +22,11 @@
   "a call of the service": (text) => ({ path: "/services/feed/notes", body: text }),
 };
 
-Given("{string} ends each target that runs it", function (this: object, text: string) {
+Given("{string} crashes each target that runs it", function (this: object, text: string) {
   worldOf(this).crashTrigger = text;
 });
 
-/** Sends one request through a box and lets time pass until the caller would come again. */
+/** Sends a request to a box, then advances the clock by at least `waitMs` until it is answered. */
 export async function sendAndWait(
   world: World,
   box: WorldBox,
@@ -52,7 +52,7 @@
 }
 
 When(
-  /^"(.*)" sends (.*) with "(.*)" (\d+) times, at all boxes by turns$/,
+  /^"(.*)" sends (.*) with "(.*)" (\d+) times, to all boxes in turn$/,
   async function (this: object, account: "dispatch", what: string, text: string, times: string) {
     const world = worldOf(this);
     for (let time = 0; time < Number(times); time++) {
@@ -70,13 +70,13 @@
   await world.clock.runUntil(world.clock.now() + settleMs);
 });
 
-Then("no more than {int} targets have ended", function (this: object, most: number) {
+Then("at most {int} targets have crashed", function (this: object, maxCrashes: number) {
   const { crashes } = worldOf(this);
-  assert.ok(crashes > 0 && crashes <= most, `${crashes} have ended`);
+  assert.ok(crashes > 0 && crashes <= maxCrashes, `${crashes} targets crashed`);
 });
 
 Then(
-  "the last one is told {string} and that it did not run",
+  "the last request is rejected as not run with {string}",
   function (this: object, code: string) {
     const { status, body } = notes(this).get<CallerResponse>("last");
     const { error } = JSON.parse(Buffer.from(body as Uint8Array).toString("utf8"));
--- a/packages/soak/src/scenarios/faults.ts
+++ b/packages/soak/src/scenarios/faults.ts
@@ -1,4 +1,4 @@
-/** The faults of a run, drawn from its seed, alone and in pairs. */
+/** Injects random faults, alone and in pairs. */
 import { pick, sleep } from "@linkfall/kernel";
 import { streams } from "@linkfall/ports";
 import type { Milliseconds } from "@linkfall/types";
@@ -23,7 +23,7 @@
 const minFaultMs: Milliseconds = 1_500;
 const maxFaultMs: Milliseconds = 12_000;
 
-/** The engine's process ends; what it held is gone. */
+/** Restarts the process of an engine, which loses its memory. */
 function restartWithEmptyMemory(world: World, engine: WorldEngine): void {
   engine.core.restart();
   world.engineLostAt = world.clock.now();
@@ -128,7 +128,7 @@
   };
 }
 
-/** All faults by name. */
+/** All faults by the name that `--faults` takes. */
 export const faultsByName = {
   killBox,
   pauseBox,
@@ -157,7 +157,7 @@
 } satisfies Record<string, InjectFault>;
 export type FaultName = keyof typeof faultsByName;
 
-/** Injects faults until the given time, then ends those that go on; answers with their names. */
+/** Injects faults until the given time, then ends all active ones. Resolves to the names of all injected faults. */
 export async function injectFaults(
   world: World,
   names: readonly FaultName[],
--- a/packages/soak/src/scenarios/fleet.steps.ts
+++ b/packages/soak/src/scenarios/fleet.steps.ts
@@ -11,7 +11,7 @@
 const fleetWarmUpMs = 30_000;
 
 Given(
-  "{int} boxes that each send a heartbeat to one other a round",
+  "{int} boxes that each send one heartbeat per round",
   async function (this: object, count: number) {
     const membership = { fanout: 1, suspect_ms: 4_000, forget_ms: 60_000 };
     const world = createWorld(3, { settings: { membership } });
@@ -23,7 +23,7 @@
 );
 
 When(
-  "the log goes down for {int} s, more than twice the time that a cut-off box may serve",
+  "the log is down for {int} s, more than twice the time that an isolated box may serve",
   async function (this: object, seconds: number) {
     const world = worldOf(this);
     world.log.faults.down = true;
@@ -32,7 +32,7 @@
 );
 
 When(
-  "{int} boxes are cut off from the rest and from the log for {int} s",
+  "{int} boxes are partitioned from the log and the other boxes for {int} s",
   async function (this: object, count: number, seconds: number) {
     const world = worldOf(this);
     const others = [...world.boxes.slice(count).map(({ name }) => name), "log", "list"];
@@ -57,7 +57,7 @@
 );
 
 When(
-  "{int} s later it is cut off from everyone for {int} s",
+  "{int} s later it is partitioned from all others for {int} s",
   async function (this: object, after: number, seconds: number) {
     const world = worldOf(this);
     await world.clock.runUntil(world.clock.now() + after * 1_000);
@@ -70,7 +70,7 @@
   },
 );
 
-Then("it refuses and the others serve", function (this: object) {
+Then("it rejects requests and the others serve", function (this: object) {
   assert.deepEqual(findIsolatedBoxes(worldOf(this)), [notes(this).get<WorldBox>("box")]);
 });
 
@@ -81,12 +81,12 @@
   assert.equal(findIsolatedBoxes(worldOf(this)).length, 0);
 });
 
-Then("those {int} refuse and the others serve", function (this: object, count: number) {
+Then("those {int} reject requests and the others serve", function (this: object, count: number) {
   const world = worldOf(this);
   assert.deepEqual(findIsolatedBoxes(world), world.boxes.slice(0, count));
 });
 
-When("the list goes out and every box is replaced", async function (this: object) {
+When("the box list goes down and every box is replaced", async function (this: object) {
   const world = worldOf(this);
   world.list.down = true;
   const names = world.boxes.map((box) => box.name);
@@ -94,12 +94,17 @@
   for (const name of names) await world.startBox(name);
 });
 
-Then("within {int} s every box hears every other", async function (this: object, seconds: number) {
-  const world = worldOf(this);
-  await world.clock.runUntil(world.clock.now() + seconds * 1_000);
-  const heard = world.boxes.map((box) => box.box.kernel.find(membershipName).alive().length);
-  assert.deepEqual(heard, Array(world.boxes.length).fill(world.boxes.length));
-});
+Then(
+  "within {int} s every box sees every other as alive",
+  async function (this: object, seconds: number) {
+    const world = worldOf(this);
+    await world.clock.runUntil(world.clock.now() + seconds * 1_000);
+    const aliveCounts = world.boxes.map(
+      (box) => box.box.kernel.find(membershipName).alive().length,
+    );
+    assert.deepEqual(aliveCounts, Array(world.boxes.length).fill(world.boxes.length));
+  },
+);
 
 When(
   "the log has been down for {int} s and an operator writes through each box",
@@ -109,25 +114,25 @@
     await world.clock.runUntil(world.clock.now() + seconds * 1_000);
     const resource = { ...soakModel(9), kind: "model", name: "m99" } as const;
     const body = Buffer.from(JSON.stringify({ changes: [{ action: "put", resource, base: 0 }] }));
-    const told: string[] = [];
-    notes(this).set("told", told);
+    const answers: string[] = [];
+    notes(this).set("write answers", answers);
     for (const { box } of world.boxes) {
       const headers = { authorization: `Bearer ${operatorToken}` };
       const { signal: gone } = new AbortController();
       void box.operators
         .handle({ method: "POST", path: "/v1/writes", headers, body, gone })
-        .then((answer) => told.push(Buffer.from(answer.body as Uint8Array).toString("utf8")));
+        .then((answer) => answers.push(Buffer.from(answer.body as Uint8Array).toString("utf8")));
     }
   },
 );
 
 Then(
-  "each is told within {int} s that the outcome is unknown",
+  "each write is answered within {int} s with an unknown outcome",
   async function (this: object, seconds: number) {
     const world = worldOf(this);
     await world.clock.runUntil(world.clock.now() + seconds * 1_000);
     const kinds = notes(this)
-      .get<string[]>("told")
+      .get<string[]>("write answers")
       .map((text) => JSON.parse(text).kind);
     assert.deepEqual(kinds, Array(world.boxes.length).fill("unknown"));
   },
--- a/packages/soak/src/scenarios/idle-deployment.ts
+++ b/packages/soak/src/scenarios/idle-deployment.ts
@@ -1,4 +1,4 @@
-/** What the steps of several scenarios share: a deployment at rest, and callers that ask for everything. */
+/** Shared by the steps of several features: a deployment without load, and probes of every model. */
 import { notes } from "@linkfall/test-support";
 import { createCallers, type ReportedOutcome } from "./callers.js";
 import { createOperators } from "./operators.js";
@@ -8,19 +8,19 @@
 export const modelCount = 10;
 const settleMs = 20_000;
 
-/** Notes a deployment of three boxes in which every model has been placed. */
+/** Creates a deployment of three boxes, waits until every model is loaded, and stores it in the scenario's notes. */
 export async function createIdleDeployment(world: object, settings = {}): Promise<void> {
-  const created = createWorld(5, { settings });
-  for (const name of ["b1", "b2", "b3"]) await created.startBox(name);
-  void createOperators(created).writeInitialState();
-  await created.clock.runUntil(settleMs);
-  notes(world).set("world", created);
+  const deployment = createWorld(5, { settings });
+  for (const name of ["b1", "b2", "b3"]) await deployment.startBox(name);
+  void createOperators(deployment).writeInitialState();
+  await deployment.clock.runUntil(settleMs);
+  notes(world).set("world", deployment);
 }
 
-/** The deployment of the running scenario. */
+/** Returns the deployment of the current scenario. */
 export const worldOf = (world: object) => notes(world).get<World>("world");
 
-/** Asks a box for every model and answers with what came of it. */
+/** Sends a request for every model to a box and returns the outcomes received within 8 s. */
 export async function probeAllModels(
   world: World,
   box: WorldBox,
@@ -29,7 +29,9 @@
   const outcomes: ReportedOutcome[] = [];
   for (let index = 0; index < modelCount; index++) {
     const account = accounts[index % accounts.length];
-    void callers.probe(box, account, soakModel(index).name).then((word) => outcomes.push(word));
+    void callers
+      .probe(box, account, soakModel(index).name)
+      .then((outcome) => outcomes.push(outcome));
   }
   await world.clock.runUntil(world.clock.now() + 8_000);
   return outcomes;
--- a/packages/soak/src/scenarios/interruptible-bodies.ts
+++ b/packages/soak/src/scenarios/interruptible-bodies.ts
@@ -1,4 +1,4 @@
-/** Answers and bodies of processes that may die, and of readers that may go. */
+/** Results and bodies that end early when the sending process is killed or the reader aborts. */
 import type { VirtualClock } from "@linkfall/kernel";
 import type { BodyPart } from "@linkfall/ports";
 import type { Milliseconds } from "@linkfall/types";
@@ -8,7 +8,7 @@
 
 const killPollMs: Milliseconds = 50;
 
-/** The result, or undefined once the process that should give it is dead. */
+/** Resolves to the result, or to undefined once the process that computes it is dead. */
 export function resolveUnlessKilled<T>(
   clock: VirtualClock,
   process: PausableProcess,
@@ -27,15 +27,15 @@
         settled = true;
         resolve(value);
       },
-      (problem) => {
+      (error) => {
         settled = true;
-        reject(problem);
+        reject(error);
       },
     );
   });
 }
 
-/** A body that breaks off when the process that gives it dies. */
+/** Yields a body; ends with an error if the process that sends it is killed. */
 export async function* bodyUntilKilled(
   clock: VirtualClock,
   process: PausableProcess,
@@ -57,7 +57,7 @@
   }
 }
 
-/** A body that ends like a cut one when its reader gives it up. */
+/** Yields a body; ends with an error if its reader aborts. */
 export async function* bodyUntilAborted(body: AsyncIterable<BodyPart>, signal: AbortSignal) {
   const parts = body[Symbol.asyncIterator]();
   const aborted = new Promise<undefined>((resolve) => {
--- a/packages/soak/src/scenarios/network.ts
+++ b/packages/soak/src/scenarios/network.ts
@@ -1,21 +1,23 @@
-/** The links between processes: delay, loss, cuts, late and repeated messages. */
+/** Simulated network with delay, loss, partitions, and late and repeated messages. */
 import type { PeerUnreachable, TargetUnreachable } from "@linkfall/errors";
 import { type Clock, type Random, sleep } from "@linkfall/kernel";
 import type { BodyPart } from "@linkfall/ports";
 import type { Milliseconds } from "@linkfall/types";
 import { type Either, Left } from "purify-ts";
 
-/** Rates of faults on every link, from 0 to 1. */
+/** Probabilities of faults on every link, from 0 to 1. */
 export interface LinkFaults {
+  /** Messages that are lost, in each direction. */
   loss: number;
-  /** Share of orders that arrive long after they were sent. */
+  /** Orders that arrive late, while their sender gets an error. */
   lateOrders: number;
-  /** Share of orders that arrive twice. */
+  /** Orders that are delivered a second time. */
   repeatedOrders: number;
-  /** Share of streams that are cut on the way. */
+  /** Streams that are cut in transit. */
   cutStreams: number;
 }
 
+/** Links between named processes, in each direction. */
 export interface Network {
   readonly faults: LinkFaults;
   /** Cuts messages from one process to another, in this direction only. */
@@ -23,37 +25,38 @@
   heal(from: string, to: string): void;
   healAll(): void;
   isCut(from: string, to: string): boolean;
-  /** Time for which a link has been whole; 0 while it is cut. */
+  /** Time since a link was last restored; 0 while it is cut, infinite if it never was. */
   connectedForMs(from: string, to: string): Milliseconds;
-  /** Sends a request and brings back its answer, as far as the links let it. */
+  /** Sends a request and returns the answer, or the result of `createLoss` if either message is lost. */
   exchange<F, T>(
     from: string,
     to: string,
     createLoss: (mayHaveArrived: boolean) => F,
     perform: () => Promise<Either<F, T>>,
   ): Promise<Either<F, T>>;
-  /** A body that may be cut on its way. */
+  /** Transfers a body, which may be cut in transit. */
   transferBody(from: string, to: string, body: AsyncIterable<BodyPart>): AsyncIterable<BodyPart>;
-  /** Delivers a message later, and perhaps once more, without an answer. */
+  /** Delivers a message after a random delay, without an answer. */
   deliverLate(act: () => void): void;
 }
 
 const minDelayMs: Milliseconds = 0.5;
 const delaySpreadMs: Milliseconds = 3;
+/** Time after which the sender of a lost message gives up. */
 const lossTimeoutMs: Milliseconds = 1_500;
 const maxLateDeliveryMs: Milliseconds = 12_000;
 
 export function targetLost(mayHaveArrived: boolean): TargetUnreachable {
-  return { kind: "target_unreachable", reason: "lost on the way", mayHaveArrived };
+  return { kind: "target_unreachable", reason: "message lost", mayHaveArrived };
 }
 
 export function peerLost(mayHaveArrived: boolean): PeerUnreachable {
-  return { kind: "peer_unreachable", reason: "lost on the way", mayHaveArrived };
+  return { kind: "peer_unreachable", reason: "message lost", mayHaveArrived };
 }
 
 /** Creates a network without faults. */
 export function createNetwork(clock: Clock, random: Random): Network {
-  /** How many faults cut a link; it is whole again when the last of them ends. */
+  /** Number of active cuts by link; a link is restored when its last cut is healed. */
   const cutCounts = new Map<string, number>();
   const faults: LinkFaults = { loss: 0, lateOrders: 0, repeatedOrders: 0, cutStreams: 0 };
   const linkKey = (from: string, to: string) => `${from}>${to}`;
--- a/packages/soak/src/scenarios/operators.ts
+++ b/packages/soak/src/scenarios/operators.ts
@@ -1,4 +1,4 @@
-/** Operators who race one another. They check that an accepted change comes into force and stays. */
+/** Simulated operators that write concurrently and check that accepted changes come into force in time. */
 import { pick, sleep } from "@linkfall/kernel";
 import { stateStoreName } from "@linkfall/state-store";
 import {
@@ -16,11 +16,15 @@
 const inForceDeadlineMs: Milliseconds = 5_000;
 const pollIntervalMs: Milliseconds = 100;
 
+/** The operators of a simulated deployment. */
 export interface Operators {
-  /** Writes the first desired state; resolves when it is accepted. */
+  /** Writes the initial desired state, with retries; resolves when it is accepted. */
   writeInitialState(): Promise<void>;
+  /** Writes random changes until the given time. */
   run(until: Milliseconds): Promise<void>;
+  /** Number of accepted writes. */
   accepted(): number;
+  /** Number of writes rejected with a revision conflict. */
   conflicts(): number;
 }
 
@@ -29,7 +33,7 @@
   readonly revision?: Revision;
 }
 
-/** Creates the operators of a world. */
+/** Creates the operators of a simulated deployment. */
 export function createOperators(world: World): Operators {
   const { clock, random } = world;
   const acceptedRevisions = new Map<string, Revision>();
@@ -65,7 +69,7 @@
     for (const box of world.liveBoxes()) void awaitInForce(box, revision);
   };
 
-  /** A box that no fault touches meanwhile must have the change in force in time. */
+  /** Checks that a change comes into force in time on a box that no fault disturbs. */
   const awaitInForce = async (box: WorldBox, revision: Revision) => {
     const start = clock.now();
     const store = box.box.kernel.find(stateStoreName);
@@ -93,15 +97,15 @@
     return { ...engine, role } as Resource;
   };
 
-  /** Two operators change the same resource from the same revision through two boxes. */
+  /** Writes a random change, sometimes twice at once through different boxes with the same base revision. */
   const writeConcurrently = async () => {
     const live = world.liveBoxes();
     if (live.length === 0) return;
     const [one, two] = [pick(random, live), pick(random, live)];
     const resource = randomResource();
     const base = storedRevision(one, resource);
-    const rivals = random.fraction() < 0.4 ? [one, two] : [one];
-    await Promise.all(rivals.map((box) => write(box, [{ action: "put", resource, base }])));
+    const writers = random.fraction() < 0.4 ? [one, two] : [one];
+    await Promise.all(writers.map((box) => write(box, [{ action: "put", resource, base }])));
   };
 
   return {
--- a/packages/soak/src/scenarios/pausable-process.ts
+++ b/packages/soak/src/scenarios/pausable-process.ts
@@ -1,20 +1,22 @@
-/** A process that can be paused, continued and killed under virtual time. */
+/** A simulated process that can be paused, resumed and killed. */
 import type { Clock } from "@linkfall/kernel";
 import type { BodyPart } from "@linkfall/ports";
 
+/** State of a simulated process and the delivery of results to it. */
 export interface PausableProcess {
-  /** The clock as the process sees it: it moves on while the process is paused. */
+  /** Clock of the process. Time advances during a pause; timers fire after it. */
   readonly clock: Clock;
   readonly state: () => "running" | "paused" | "dead";
   pause(): void;
   resume(): void;
   kill(): void;
-  /** Hands a result to the process once it runs; never when it is dead. */
+  /** Resolves with a result once the process is running; never settles if it is dead. */
   deliver<T>(result: Promise<T>): Promise<T>;
+  /** Delivers each part of a body like a result. */
   deliverBody(body: AsyncIterable<BodyPart>): AsyncIterable<BodyPart>;
 }
 
-/** Creates a running process on the given clock. */
+/** Creates a running process. */
 export function createPausableProcess(clock: Clock): PausableProcess {
   let state: "running" | "paused" | "dead" = "running";
   let pendingActions: (() => void)[] = [];
@@ -26,7 +28,7 @@
     new Promise<T>((resolve, reject) => {
       result.then(
         (value) => runWhenRunning(() => resolve(value)),
-        (problem) => runWhenRunning(() => reject(problem)),
+        (error) => runWhenRunning(() => reject(error)),
       );
     });
   return {
@@ -49,7 +51,7 @@
       state = "dead";
       pendingActions = [];
     },
-    deliver: deliver,
+    deliver,
     async *deliverBody(body) {
       const parts = body[Symbol.asyncIterator]();
       try {
--- a/packages/soak/src/scenarios/planted-faults.ts
+++ b/packages/soak/src/scenarios/planted-faults.ts
@@ -1,27 +1,28 @@
-/** Faults planted in the compiled program: each must make a run fail, or its guard is not proved. */
+/** Mutations of the compiled code that disable one safeguard each. The soak tests must detect every one. */
 import type { FaultName } from "./faults.js";
 
-/** One change of compiled text. */
+/** A replacement of text in a compiled file. */
 export interface PlantedEdit {
-  /** Compiled file, from the packages folder. */
+  /** Path of the compiled file, relative to the packages folder. */
   readonly file: string;
   readonly find: string;
   readonly replace: string;
 }
 
+/** A mutation and the tests that must detect it. */
 export interface PlantedFault extends PlantedEdit {
   readonly name: string;
-  /** Row of docs/PROMISES.md that the guard belongs to. */
+  /** Row of docs/PROMISES.md that the safeguard belongs to. */
   readonly promise: string;
-  /** A second guard that has to go too where one alone suffices. */
+  /** Second safeguard to disable if either one is sufficient. */
   readonly alsoEdit?: PlantedEdit;
-  /** Faults that bring it out; all where none are named. */
+  /** Faults to inject; all by default. */
   readonly faults?: readonly FaultName[];
-  /** The scenario that must fail, where seeds meet the case too seldom. */
+  /** Scenario that must fail, for mutations that random runs rarely detect. */
   readonly scenario?: string;
 }
 
-/** Guards taken out one at a time. */
+/** All mutations; each is tested in a run of its own. */
 export const plantedFaults: readonly PlantedFault[] = [
   {
     name: "unloads-repeated-blindly",
@@ -29,7 +30,7 @@
     file: "pool-control/dist/order-sender.js",
     find: 'if (order.kind === "unload" && !servedElsewhere(order))',
     replace: "if (false)",
-    scenario: "All faults, alone and in pairs: seed 100589",
+    scenario: "Random faults, alone and in pairs: seed 100589",
   },
   {
     name: "boxes-forgotten-during-an-outage",
@@ -37,7 +38,7 @@
     file: "membership/dist/membership.js",
     find: "electorate = freshMs() <= heardMs ? boxes : Math.max(electorate, boxes);",
     replace: "if (freshMs() <= heardMs) electorate = boxes;",
-    scenario: "A box that started during an outage of the log and is then cut off stops serving",
+    scenario: "A box that starts during a log outage and is then isolated stops serving",
   },
   {
     name: "holders-addresses-not-used",
@@ -45,7 +46,7 @@
     file: "membership/dist/membership.js",
     find: ", ...holderAddresses()]",
     replace: "]",
-    scenario: "Boxes that start while the platform's list is out find each other through the log",
+    scenario: "Boxes that start while the box list is down find each other through the log",
   },
   {
     name: "only-direct-word-confirms-an-outage",
@@ -54,7 +55,7 @@
     find: "const aliveBoxes = membership.alive().length;",
     replace: "const aliveBoxes = heard.lately().length + 1;",
     scenario:
-      "In a fleet where each box hears few others directly, an outage of the log is not taken for a cut",
+      "Boxes with few direct heartbeats do not mistake a log outage for a network partition",
   },
   {
     name: "relayed-reports-taken-for-new",
@@ -62,7 +63,7 @@
     file: "report-relay/dist/incoming.js",
     find: "requestedAt: askedAt - ageMs",
     replace: "requestedAt: askedAt",
-    scenario: "A reader that cannot reach an engine does not pass old word of it on as new",
+    scenario: "A report reader that cannot reach an engine does not relay old reports as new",
   },
   {
     name: "only-the-reader-reads",
@@ -70,7 +71,7 @@
     file: "target-watch/dist/index.js",
     find: "return !isFresh(reports.get(engine.name), settings.report_stale_ms * ownReadShare);",
     replace: "return false;",
-    scenario: "Boxes go on serving an engine whose only reader cannot reach it any more",
+    scenario: "Boxes keep using an engine that its only report reader can no longer reach",
   },
   {
     name: "ledger-forgets-open-orders",
@@ -143,7 +144,7 @@
     file: "completion/dist/completion.js",
     find: "const onGone = () => giveUp.abort();",
     replace: "const onGone = () => undefined;",
-    scenario: "A caller that goes cancels its work",
+    scenario: "A caller that disconnects cancels its request",
   },
   {
     name: "lost-request-called-not-run",
--- a/packages/soak/src/scenarios/planted-loader.ts
+++ b/packages/soak/src/scenarios/planted-loader.ts
@@ -1,9 +1,9 @@
-/** Loaded before the soak: changes one compiled file as it is read, and nothing on disk. */
+/** Module loader that applies a mutation to compiled files as they are loaded; files on disk are unchanged. */
 import { register } from "node:module";
 import { plantedFaults } from "./planted-faults.js";
 
 const fault = plantedFaults.find((entry) => entry.name === process.env.LINKFALL_PLANTED);
-if (!fault) throw new Error(`no planted fault ${process.env.LINKFALL_PLANTED}`);
+if (!fault) throw new Error(`unknown planted fault: ${process.env.LINKFALL_PLANTED}`);
 
 const edits = fault.alsoEdit ? [fault, fault.alsoEdit] : [fault];
 
@@ -14,7 +14,7 @@
     const edit = edits.find(({ file }) => url.endsWith("/packages/" + file));
     if (!edit) return loaded;
     const source = String(loaded.source);
-    if (!source.includes(edit.find)) throw new Error("planted fault does not fit: " + edit.file);
+    if (!source.includes(edit.find)) throw new Error("planted fault does not match the text of " + edit.file);
     return { ...loaded, source: source.replace(edit.find, () => edit.replace) };
   }
 `;
--- a/packages/soak/src/scenarios/reports.steps.ts
+++ b/packages/soak/src/scenarios/reports.steps.ts
@@ -6,31 +6,33 @@
 import { createIdleDeployment, modelCount, probeAllModels, worldOf } from "./idle-deployment.js";
 
 Given(
-  "a deployment at rest in which one box reads each engine for all",
+  "an idle deployment in which one box polls the reports of each engine for all boxes",
   async function (this: object) {
     await createIdleDeployment(this, { targets: { report_readers: 1 } });
   },
 );
 
-When("a box is cut from the engines that it reads for all", function (this: object) {
+When("a box is cut off from the engines whose reports it polls", function (this: object) {
   const world = worldOf(this);
-  const [cut] = world.boxes;
-  const { readersOf } = cut.box.kernel.find(targetWatchName);
-  const read = world.engines.filter(({ core }) => readersOf(core.engine).includes(cut.name));
-  assert.ok(read.length > 0);
-  for (const { core } of read) world.network.cut(cut.name, core.engine.name);
+  const [reader] = world.boxes;
+  const { readersOf } = reader.box.kernel.find(targetWatchName);
+  const readEngines = world.engines.filter(({ core }) =>
+    readersOf(core.engine).includes(reader.name),
+  );
+  assert.ok(readEngines.length > 0);
+  for (const { core } of readEngines) world.network.cut(reader.name, core.engine.name);
 });
 
 Then("the other boxes serve every model {int} s later", async function (this: object, s: number) {
   const world = worldOf(this);
   await world.clock.runUntil(world.clock.now() + s * 1_000);
   for (const box of world.boxes.slice(1)) {
-    const told = await probeAllModels(world, box);
-    assert.deepEqual(told, Array(modelCount).fill("answered"));
+    const outcomes = await probeAllModels(world, box);
+    assert.deepEqual(outcomes, Array(modelCount).fill("answered"));
   }
 });
 
-When("all engines but one leave", function (this: object) {
+When("all engines but one start leaving", function (this: object) {
   const world = worldOf(this);
   for (const engine of world.engines.slice(1)) {
     engine.core.leaving = true;
@@ -39,7 +41,7 @@
 });
 
 Then(
-  "no engine gets new work {int} s after it began to leave",
+  "no engine gets new requests {int} s after it started leaving",
   async function (this: object, s: number) {
     const world = worldOf(this);
     const until = world.clock.now() + 2 * s * 1_000;
--- a/packages/soak/src/scenarios/resources.ts
+++ b/packages/soak/src/scenarios/resources.ts
@@ -1,9 +1,9 @@
-/** The desired state that a run begins with: three domains, six engines, ten models. */
+/** Initial desired state of a run: three failure domains, six engines, ten models. */
 import { createHash } from "node:crypto";
 import type { Engine, Resource } from "@linkfall/types";
 
 export const poolName = "bulletins";
-/** Names of the boxes; each keeps its name over restarts. */
+/** Names of the boxes; a restarted box keeps its name. */
 export const boxNames = ["b1", "b2", "b3", "b4"] as const;
 export const domains = ["north", "south", "east"] as const;
 const engineCount = 6;
@@ -21,7 +21,7 @@
   return `token-of-${account}`;
 }
 
-/** Engines; every third one does not check who gives it an order. */
+/** The engines. Every third one is not fenced and accepts orders of any epoch. */
 export const soakEngines: readonly Engine[] = Array.from({ length: engineCount }, (_, index) => ({
   kind: "engine",
   name: `e${index + 1}`,
@@ -38,7 +38,7 @@
 
 export const serviceAddresses = ["10.3.0.1:80", "10.3.0.2:80"] as const;
 
-/** Models that belong to one account each, in turn. */
+/** Returns a model; accounts own the models in turn. */
 export function soakModel(index: number, version = "1"): Extract<Resource, { kind: "model" }> {
   return {
     kind: "model",
@@ -52,6 +52,7 @@
   };
 }
 
+/** Returns an adapter of the model with the same index. */
 export function soakAdapter(index: number, version = "1"): Extract<Resource, { kind: "adapter" }> {
   return {
     kind: "adapter",
@@ -63,7 +64,7 @@
   };
 }
 
-/** All resources at the start. */
+/** Returns all resources of the initial state. */
 export function soakResources(): readonly Resource[] {
   return [
     {
--- a/packages/soak/src/scenarios/retry-after.steps.ts
+++ b/packages/soak/src/scenarios/retry-after.steps.ts
@@ -5,18 +5,17 @@
 import { requestsByKind, sendAndWait } from "./crashing-requests.steps.js";
 import { worldOf } from "./idle-deployment.js";
 
-/** Between two calls. */
 const callIntervalMs = 200;
 
 Given(
-  "one target of the service asks to be left alone for {int} s",
+  "one target of the service rejects calls with a retry-after of {int} s",
   function (this: object, seconds: number) {
     worldOf(this).services[0].retryAfter = String(seconds);
   },
 );
 
 When(
-  "{string} sends {int} calls of the service, at all boxes by turns",
+  "{string} sends {int} calls of the service, to all boxes in turn",
   async function (this: object, account: "dispatch", count: number) {
     const world = worldOf(this);
     const answers: CallerResponse[] = [];
@@ -29,13 +28,13 @@
   },
 );
 
-Then("that target got no more than one call from each box", function (this: object) {
+Then("that target received at most one call from each box", function (this: object) {
   const { services, boxes } = worldOf(this);
-  const { receivedCalls: arrivals } = services[0];
-  assert.ok(arrivals > 0 && arrivals <= boxes.length, `${arrivals} calls`);
+  const { receivedCalls } = services[0];
+  assert.ok(receivedCalls > 0 && receivedCalls <= boxes.length, `${receivedCalls} calls`);
 });
 
-Then("every call was answered {int}", function (this: object, status: number) {
+Then("every call was answered with {int}", function (this: object, status: number) {
   const answers = notes(this).get<CallerResponse[]>("answers of the service");
   assert.deepEqual([...new Set(answers.map((answer) => answer.status))], [status]);
 });
--- a/packages/soak/src/scenarios/run-planted.ts
+++ b/packages/soak/src/scenarios/run-planted.ts
@@ -1,4 +1,4 @@
-/** `npm run planted-faults`: runs seeds with each planted fault until one of them fails. */
+/** `npm run planted-faults [-- NAME]`: mutation testing. Runs seeds with each planted fault until one fails. */
 import { spawn } from "node:child_process";
 import { fileURLToPath } from "node:url";
 import { type PlantedFault, plantedFaults } from "./planted-faults.js";
--- a/packages/soak/src/scenarios/run-seed.ts
+++ b/packages/soak/src/scenarios/run-seed.ts
@@ -1,4 +1,4 @@
-/** One randomised run: a world, callers, operators and faults from one seed, and the checks at its end. */
+/** Runs a simulated deployment with callers, operators and faults from one seed, and checks its invariants. */
 import { membershipName } from "@linkfall/membership";
 import { type StreamName, streams } from "@linkfall/ports";
 import { serialiseState } from "@linkfall/state-fold";
@@ -14,11 +14,11 @@
 const faultsFromMs: Milliseconds = 12_000;
 const faultsUntilMs: Milliseconds = 60_000;
 const probeAtMs: Milliseconds = 95_000;
-/** Length of a run. */
+/** Duration of a run in virtual time. */
 export const endMs: Milliseconds = 112_000;
 const modelCount = 10;
 
-/** What a run showed. */
+/** Result of a run. */
 export interface SeedResult {
   readonly seed: number;
   readonly violations: readonly string[];
@@ -30,50 +30,51 @@
   readonly appends: LogAppends;
 }
 
-/** What the log took in a run. */
+/** Appends to the log in a run. */
 export interface LogAppends {
-  /** Appends of each stream, over the whole run. */
+  /** Number of appends by stream. */
   readonly byStream: ReadonlyMap<StreamName, number>;
-  /** Most within any second. */
+  /** Maximum within any one second, over all streams. */
   readonly peakPerSecond: number;
 }
 
+/** Options of a run. */
 export interface SeedOptions extends WorldOptions {
-  /** Faults to draw from; all where none are named. */
+  /** Faults to choose from; all by default. */
   readonly faults?: readonly FaultName[];
-  /** Called with the world before the run, to look into it afterwards. */
+  /** Receives the simulated deployment before the run, for inspection. */
   readonly onWorld?: (world: World) => void;
 }
 
 const membershipCheckIntervalMs: Milliseconds = 1_000;
 const membershipGraceMs: Milliseconds = 5_000;
-/** After the end of a cut the next rounds of heartbeats bring word again. */
+/** Time after a healed partition in which heartbeats arrive again. */
 const reconnectGraceMs: Milliseconds = 1_000;
-/** While the list is out, boxes that start find each other by the next claim of a lease in the log. */
+/** While the box list is down, started boxes find each other through the next lease claim in the log. */
 const nextLeaseClaimMs: Milliseconds = 7_000;
 
-/** Boxes that no fault has touched for some time, and that are not on their way out. */
+/** Returns the boxes that are not draining and have not been disturbed for a while. */
 function undisturbedBoxes(world: World) {
-  const grace = world.list.down ? membershipGraceMs + nextLeaseClaimMs : membershipGraceMs;
-  const before = world.clock.now() - grace;
+  const graceMs = world.list.down ? membershipGraceMs + nextLeaseClaimMs : membershipGraceMs;
+  const disturbedBefore = world.clock.now() - graceMs;
   return world
     .liveBoxes()
-    .filter((box) => box.disturbances === 0 && box.disturbedAt < before && !box.draining);
+    .filter((box) => box.disturbances === 0 && box.disturbedAt < disturbedBefore && !box.draining);
 }
 
-/** Whether word of a box can come to another, directly or through a third. */
+/** Whether heartbeats of one box reach another, directly or relayed by a third. */
 function canReceiveFrom(world: World, box: WorldBox, other: WorldBox): boolean {
-  const { connectedForMs: wholeFor } = world.network;
+  const { connectedForMs } = world.network;
   const connected = (a: WorldBox, b: WorldBox) =>
-    Math.min(wholeFor(a.name, b.name), wholeFor(b.name, a.name)) >= reconnectGraceMs;
-  const relays = undisturbedBoxes(world).filter((third) => third !== box && third !== other);
+    Math.min(connectedForMs(a.name, b.name), connectedForMs(b.name, a.name)) >= reconnectGraceMs;
+  const relays = undisturbedBoxes(world).filter((relay) => relay !== box && relay !== other);
   return (
     connected(box, other) ||
-    relays.some((third) => connected(box, third) && connected(third, other))
+    relays.some((relay) => connected(box, relay) && connected(relay, other))
   );
 }
 
-/** Boxes in good order must not suspect each other, whatever happens to others. */
+/** Checks periodically that undisturbed boxes do not suspect each other. */
 function checkMembership(world: World): void {
   const boxes = undisturbedBoxes(world);
   for (const box of boxes) {
@@ -86,12 +87,13 @@
     const suspected = boxes.find(
       (other) => !alive.has(other.box.incarnation) && canReceiveFrom(world, box, other),
     );
-    if (suspected) world.violation(`${box.name} suspects ${suspected.name} without a reason`);
+    if (suspected)
+      world.violation(`${box.name} suspects ${suspected.name}, which is alive and connected`);
   }
   world.clock.after(membershipCheckIntervalMs, () => checkMembership(world));
 }
 
-/** Boxes that have read as far hold the same state. */
+/** Checks that boxes at the same log offset have the same state. */
 function checkStatesAgree(world: World): void {
   const byOffset = new Map<number, string>();
   for (const box of world.liveBoxes()) {
@@ -112,26 +114,26 @@
   for (const box of world.liveBoxes()) {
     for (let index = 0; index < modelCount; index++) {
       const account = accounts[index % accounts.length];
-      const told = await callers.probe(box, account, soakModel(index).name);
-      if (told !== "answered") {
-        world.violation(`model m${index} is not reachable through ${box.name}: ${told}`);
+      const outcome = await callers.probe(box, account, soakModel(index).name);
+      if (outcome !== "answered") {
+        world.violation(`model m${index} is not reachable through ${box.name}: ${outcome}`);
       }
     }
   }
 }
 
-/** The boxes keep their own limits, so that the log never has to refuse them. */
+/** Checks that the boxes stay within the append rate limit of the log. */
 function checkAppendLimit({ log, violation }: World): void {
   if (log.refusedAppends() > 0)
-    violation(`the log refused ${log.refusedAppends()} appends as too many`);
+    violation(`the log rejected ${log.refusedAppends()} appends over its rate limit`);
 }
 
-/** In every second seed the boxes divide the reading of reports among themselves. */
+/** Enables shared polling of reports for every second seed. */
 function settingsOf(seed: number): ExtraSettings {
   return { targets: { report_readers: seed % 2 } };
 }
 
-/** Runs one seed to its end. */
+/** Runs one seed and returns its result. */
 export async function runSeed(seed: number, options: SeedOptions = {}): Promise<SeedResult> {
   const world = createWorld(seed, { ...options, settings: options.settings ?? settingsOf(seed) });
   options.onWorld?.(world);
@@ -159,7 +161,10 @@
     let ended = false;
     void Promise.all([finished, probed]).then(() => (ended = true));
     await new Promise((resolve) => setImmediate(resolve));
-    if (!ended) world.violation(`never ended: ${callers.unanswered().join(", ")}`);
+    if (!ended)
+      world.violation(
+        `requests without an outcome at the end of the run: ${callers.unanswered().join(", ")}`,
+      );
   } catch (problem) {
     defect(problem);
   } finally {
--- a/packages/soak/src/scenarios/session.ts
+++ b/packages/soak/src/scenarios/session.ts
@@ -1,4 +1,4 @@
-/** One session from start to end, with its whole external exchange as text. */
+/** Records the external messages of one session as text, for the golden file. */
 import type { BodyPart, CallerRequest, CallerResponse } from "@linkfall/ports";
 import { createOperators } from "./operators.js";
 import { tokenOf } from "./resources.js";
@@ -6,7 +6,7 @@
 
 const settleMs = 12_000;
 const maxTraceLines = 60;
-/** Time for one answer; all asking together ends before the ticket does. */
+/** Time for each answer; all requests together must end before the ticket expires. */
 const answerWaitMs = 1_000;
 
 async function bodyText(response: CallerResponse): Promise<string> {
@@ -21,7 +21,7 @@
   return text;
 }
 
-/** Random identifiers by order of appearance, and clock readings left out. */
+/** Replaces random identifiers by their order of appearance, and tickets and timestamps by placeholders. */
 function replaceVolatileText(lines: readonly string[]): string {
   const names = new Map<string, string>();
   const nameOf = (id: string) => {
@@ -36,7 +36,7 @@
     .replace(/2026-01-01T[0-9:.]+Z/g, "<time>")}\n`;
 }
 
-/** Plays the session and answers with its trace. */
+/** Runs the session and returns its trace. */
 export async function playSession(): Promise<string> {
   const lines: string[] = [];
   const isRecorded = (line: string) => !line.includes("/report") && !/linkfall-audit/.test(line);
--- a/packages/soak/src/scenarios/settings.ts
+++ b/packages/soak/src/scenarios/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of boxes and engines in a run: shorter times, so that more happens in it. */
+/** Settings of boxes and engines in a run. Intervals are shortened to exercise more events per run. */
 import { readSettings, type Settings } from "@linkfall/config";
 import type { BatchOptions } from "@linkfall/stand-ins";
 import { stringify } from "ini";
@@ -13,10 +13,10 @@
   prefixCharacters: 64,
 };
 
-/** Sections that a run may add to, or change. */
+/** Keys by section that are added to the settings or replace them. */
 export type ExtraSettings = Readonly<Record<string, Readonly<Record<string, string | number>>>>;
 
-/** Settings of one box. */
+/** Returns the settings of one box. */
 export function soakSettings(
   name: string,
   domain: string,
--- a/packages/soak/src/scenarios/soak.feature
+++ b/packages/soak/src/scenarios/soak.feature
@@ -1,7 +1,7 @@
-Feature: The promises hold under faults drawn from a seed
+Feature: Invariants hold under random faults
 
-  Scenario Outline: All faults, alone and in pairs: seed <seed>
-    Then a run with seed <seed> and all faults breaks no promise
+  Scenario Outline: Random faults, alone and in pairs: seed <seed>
+    Then a run with seed <seed> and all faults violates no invariant
 
     Examples:
       | seed |
@@ -16,8 +16,8 @@
       | 100589 |
       | 100778 |
 
-  Scenario Outline: One fault again and again: <fault>
-    Then a run with seed 7 and the fault "<fault>" breaks no promise
+  Scenario Outline: A single kind of fault, repeatedly: <fault>
+    Then a run with seed 7 and the fault "<fault>" violates no invariant
 
     Examples:
       | fault           |
@@ -37,76 +37,76 @@
       | lateOrders      |
 
   Scenario: A new box starts while the log is down
-    Given a deployment at rest
+    Given an idle deployment
     When the log goes down and a box joins
     Then the new box serves every model within 5 s
 
-  Scenario: In a fleet where each box hears few others directly, an outage of the log is not taken for a cut
-    Given 24 boxes that each send a heartbeat to one other a round
-    When the log goes down for 15 s, more than twice the time that a cut-off box may serve
+  Scenario: Boxes with few direct heartbeats do not mistake a log outage for a network partition
+    Given 24 boxes that each send one heartbeat per round
+    When the log is down for 15 s, more than twice the time that an isolated box may serve
     Then every box still serves
 
-  Scenario: In such a fleet boxes that are cut off from the rest and the log stop serving
-    Given 24 boxes that each send a heartbeat to one other a round
-    When 4 boxes are cut off from the rest and from the log for 15 s
-    Then those 4 refuse and the others serve
+  Scenario: Boxes that are partitioned from the log and the other boxes stop serving
+    Given 24 boxes that each send one heartbeat per round
+    When 4 boxes are partitioned from the log and the other boxes for 15 s
+    Then those 4 reject requests and the others serve
 
-  Scenario: A write during an outage is answered within its limit, whatever waits before it
-    Given a deployment at rest
+  Scenario: A write during a log outage is answered within its time limit
+    Given an idle deployment
     When the log has been down for 2 s and an operator writes through each box
-    Then each is told within 11 s that the outcome is unknown
+    Then each write is answered within 11 s with an unknown outcome
 
-  Scenario: A box that started during an outage of the log and is then cut off stops serving
-    Given a deployment at rest
+  Scenario: A box that starts during a log outage and is then isolated stops serving
+    Given an idle deployment
     When a box joins after the log has been down for 4 s
-    And 3 s later it is cut off from everyone for 10 s
-    Then it refuses and the others serve
-
-  Scenario: Boxes that start while the platform's list is out find each other through the log
-    Given a deployment at rest
-    When the list goes out and every box is replaced
-    Then within 12 s every box hears every other
-
-  Scenario: A log that has lost what no snapshot holds is not taken for an empty one
-    Given a deployment at rest that writes no snapshots
-    When every box is gone, the log has dropped its oldest records, and a new box starts
-    Then the new box refuses with "not_ready" and does not take itself for ready
-
-  Scenario: A box that was paused sends nothing to targets that began to leave meanwhile
-    Given a deployment at rest
-    When a box is paused, every engine but one begins to leave, and callers ask the box 4 s later
-    Then no leaving engine got new work
-
-  Scenario: Boxes go on serving an engine whose only reader cannot reach it any more
-    Given a deployment at rest in which one box reads each engine for all
-    When a box is cut from the engines that it reads for all
+    And 3 s later it is partitioned from all others for 10 s
+    Then it rejects requests and the others serve
+
+  Scenario: Boxes that start while the box list is down find each other through the log
+    Given an idle deployment
+    When the box list goes down and every box is replaced
+    Then within 12 s every box sees every other as alive
+
+  Scenario: A log that lost records without a snapshot is not mistaken for an empty log
+    Given an idle deployment without snapshots
+    When all boxes are removed, the log drops its oldest records, and a new box starts
+    Then the new box is not ready and rejects requests with "not_ready"
+
+  Scenario: A box that was paused sends nothing to targets that started leaving meanwhile
+    Given an idle deployment
+    When a box is paused, all engines but one start leaving, and the box resumes with new requests 4 s later
+    Then no leaving engine got a new request
+
+  Scenario: Boxes keep using an engine that its only report reader can no longer reach
+    Given an idle deployment in which one box polls the reports of each engine for all boxes
+    When a box is cut off from the engines whose reports it polls
     Then the other boxes serve every model 4 s later
 
-  Scenario: A reader that cannot reach an engine does not pass old word of it on as new
-    Given a deployment at rest in which one box reads each engine for all
-    When a box is cut from the engines that it reads for all
-    And all engines but one leave
-    Then no engine gets new work 3 s after it began to leave
+  Scenario: A report reader that cannot reach an engine does not relay old reports as new
+    Given an idle deployment in which one box polls the reports of each engine for all boxes
+    When a box is cut off from the engines whose reports it polls
+    And all engines but one start leaving
+    Then no engine gets new requests 3 s after it started leaving
 
-  Scenario: A caller that goes cancels its work at the engine
-    Given a deployment at rest
-    When a caller of a long stream goes after its first token
-    Then no engine works on anything 1 s later
+  Scenario: A caller that disconnects cancels its request at the engine
+    Given an idle deployment
+    When the caller of a long stream disconnects after the first token
+    Then no engine has running or queued requests 1 s later
 
-  Scenario: The loss of a failure domain is made good within the weight store's limits
-    Given a deployment at rest
+  Scenario: The models of a lost failure domain are reloaded within the limits of the weight store
+    Given an idle deployment
     When the engines of one failure domain are lost
-    Then every model is ready again within 30 s and no more than 8 loads ran at once
+    Then every model is served again within 30 s and at most 8 loads ran concurrently
 
-  Scenario Outline: An account's rate holds over all boxes, however its requests are spread
-    Given a deployment at rest
-    When an account of 20 requests a second sends 90 a second to <boxes> boxes for 30 s
-    Then between 15 and 30 a second were let through in the last 15 s
+  Scenario Outline: The rate limit of an account holds across all boxes
+    Given an idle deployment
+    When an account limited to 20 requests per second sends 90 per second to <boxes> boxes for 30 s
+    Then between 15 and 30 requests per second were admitted in the last 15 s
 
     Examples:
       | boxes |
       | 1     |
       | 3     |
 
-  Scenario: The external exchange of one session is as recorded
-    Then the session's trace agrees with session.golden.txt
+  Scenario: The external messages of a session match the recording
+    Then the trace of the session matches session.golden.txt
--- a/packages/soak/src/scenarios/soak.steps.ts
+++ b/packages/soak/src/scenarios/soak.steps.ts
@@ -16,26 +16,27 @@
 const goldenFile = "packages/soak/src/scenarios/session.golden.txt";
 setDefaultTimeout(180_000);
 
-const reproduceCommand = (seed: number) => `repeat with: npm run soak -- --seeds ${seed}..${seed}`;
+const reproduceCommand = (seed: number) =>
+  `reproduce with: npm run soak -- --seeds ${seed}..${seed}`;
 
-Then("a run with seed {int} and all faults breaks no promise", async (seed: number) => {
+Then("a run with seed {int} and all faults violates no invariant", async (seed: number) => {
   const result = await runSeed(seed);
   assert.deepEqual(result.violations, [], reproduceCommand(seed));
 });
 
 Then(
-  "a run with seed {int} and the fault {string} breaks no promise",
+  "a run with seed {int} and the fault {string} violates no invariant",
   async (seed: number, fault: string) => {
     const result = await runSeed(seed, { faults: [fault as FaultName] });
     assert.deepEqual(result.violations, [], `${reproduceCommand(seed)} --faults ${fault}`);
   },
 );
 
-Given("a deployment at rest", async function (this: object) {
+Given("an idle deployment", async function (this: object) {
   await createIdleDeployment(this);
 });
 
-Given("a deployment at rest that writes no snapshots", async function (this: object) {
+Given("an idle deployment without snapshots", async function (this: object) {
   const platform = { snapshot_every_records: 1_000_000, snapshot_every_ms: 86_400_000 };
   await createIdleDeployment(this, { platform });
 });
@@ -49,12 +50,12 @@
 Then("the new box serves every model within 5 s", async function (this: object) {
   const world = worldOf(this);
   await world.clock.runUntil(world.clock.now() + 5_000);
-  const told = await probeAllModels(world, notes(this).get<WorldBox>("box"));
-  assert.deepEqual(told, Array(modelCount).fill("answered"));
+  const outcomes = await probeAllModels(world, notes(this).get<WorldBox>("box"));
+  assert.deepEqual(outcomes, Array(modelCount).fill("answered"));
 });
 
 When(
-  "every box is gone, the log has dropped its oldest records, and a new box starts",
+  "all boxes are removed, the log drops its oldest records, and a new box starts",
   async function (this: object) {
     const world = worldOf(this);
     for (const box of [...world.boxes]) world.removeBox(box);
@@ -65,7 +66,7 @@
 );
 
 Then(
-  "the new box refuses with {string} and does not take itself for ready",
+  "the new box is not ready and rejects requests with {string}",
   async function (this: object, code: string) {
     const box = notes(this).get<WorldBox>("box");
     assert.equal(box.box.kernel.find(stateStoreName).ready(), false);
@@ -82,7 +83,7 @@
 );
 
 When(
-  "a box is paused, every engine but one begins to leave, and callers ask the box 4 s later",
+  "a box is paused, all engines but one start leaving, and the box resumes with new requests 4 s later",
   async function (this: object) {
     const world = worldOf(this);
     const [box] = world.boxes;
@@ -98,35 +99,38 @@
   },
 );
 
-Then("no leaving engine got new work", function (this: object) {
+Then("no leaving engine got a new request", function (this: object) {
   assert.deepEqual(worldOf(this).violations, []);
 });
 
-When("a caller of a long stream goes after its first token", async function (this: object) {
-  const world = worldOf(this);
-  const caller = new AbortController();
-  const asked = world.boxes[0].box.callers.handle({
-    method: "POST",
-    path: "/v1/completions",
-    headers: { authorization: `Bearer ${tokenOf("dispatch")}`, "linkfall-deadline-ms": "60000" },
-    body: Buffer.from(
-      JSON.stringify({ model: "m0", prompt: "long", max_tokens: 400, stream: true }),
-    ),
-    gone: caller.signal,
-  });
-  await world.clock.runUntil(world.clock.now() + 1_000);
-  assert.equal((await asked).status, 200);
-  assert.equal(countEngineRequests(world), 1);
-  caller.abort();
-});
+When(
+  "the caller of a long stream disconnects after the first token",
+  async function (this: object) {
+    const world = worldOf(this);
+    const caller = new AbortController();
+    const asked = world.boxes[0].box.callers.handle({
+      method: "POST",
+      path: "/v1/completions",
+      headers: { authorization: `Bearer ${tokenOf("dispatch")}`, "linkfall-deadline-ms": "60000" },
+      body: Buffer.from(
+        JSON.stringify({ model: "m0", prompt: "long", max_tokens: 400, stream: true }),
+      ),
+      gone: caller.signal,
+    });
+    await world.clock.runUntil(world.clock.now() + 1_000);
+    assert.equal((await asked).status, 200);
+    assert.equal(countEngineRequests(world), 1);
+    caller.abort();
+  },
+);
 
-Then("no engine works on anything 1 s later", async function (this: object) {
+Then("no engine has running or queued requests 1 s later", async function (this: object) {
   const world = worldOf(this);
   await world.clock.runUntil(world.clock.now() + 1_000);
   assert.equal(countEngineRequests(world), 0);
 });
 
-/** Requests that run or wait at the engines. */
+/** Counts running and queued requests of all engines. */
 function countEngineRequests(world: World): number {
   const reports = world.engines.map(({ core }) => core.report());
   return reports.reduce((sum, { running, queued }) => sum + running + queued, 0);
@@ -141,19 +145,19 @@
 });
 
 Then(
-  "every model is ready again within 30 s and no more than 8 loads ran at once",
+  "every model is served again within 30 s and at most 8 loads ran concurrently",
   async function (this: object) {
     const world = worldOf(this);
     await world.clock.runUntil(world.clock.now() + 30_000);
-    const told = await probeAllModels(world, world.boxes[0]);
-    assert.deepEqual(told, Array(modelCount).fill("answered"));
+    const outcomes = await probeAllModels(world, world.boxes[0]);
+    assert.deepEqual(outcomes, Array(modelCount).fill("answered"));
     assert.ok(world.weights.peakConcurrentLoads() <= 8);
     assert.deepEqual(world.violations, []);
   },
 );
 
 When(
-  "an account of {int} requests a second sends {int} a second to {int} boxes for {int} s",
+  "an account limited to {int} requests per second sends {int} per second to {int} boxes for {int} s",
   async function (this: object, rate: number, sent: number, count: number, seconds: number) {
     const world = worldOf(this);
     const resource = { ...accountResource("dispatch"), requestsPerSecond: rate };
@@ -162,7 +166,7 @@
     const half = start + (seconds * 1_000) / 2;
     let admitted = 0;
     const sendOne = async (box: WorldBox) => {
-      const lateEnough = world.clock.now() >= half;
+      const inSecondHalf = world.clock.now() >= half;
       const response = await world.call(box, {
         method: "GET",
         path: "/services/feed/snippets",
@@ -173,7 +177,7 @@
       if (response && !(response.body instanceof Uint8Array)) {
         for await (const part of response.body) assert.ok(part.isRight());
       }
-      if (lateEnough && response?.status === 200) admitted += 1;
+      if (inSecondHalf && response?.status === 200) admitted += 1;
     };
     for (let index = 0; index < sent * seconds; index++) {
       await world.clock.runUntil(start + (index * 1_000) / sent);
@@ -185,14 +189,14 @@
 );
 
 Then(
-  "between {int} and {int} a second were let through in the last 15 s",
-  function (this: object, least: number, most: number) {
+  "between {int} and {int} requests per second were admitted in the last 15 s",
+  function (this: object, minRate: number, maxRate: number) {
     const rate = notes(this).get<number>("admittedRate");
-    assert.ok(rate >= least && rate <= most, `${rate} a second`);
+    assert.ok(rate >= minRate && rate <= maxRate, `${rate} requests per second`);
   },
 );
 
-/** Declares one resource over what stands. */
+/** Writes a resource based on its stored revision. */
 async function putResource(world: World, resource: Resource): Promise<void> {
   const stored = world.boxes[0].box.kernel.find(stateStoreName).state().resources;
   const base = stored.get(resourceKey(resource))?.revision ?? 0;
@@ -212,7 +216,7 @@
   return found;
 }
 
-Then("the session's trace agrees with session.golden.txt", async () => {
+Then("the trace of the session matches session.golden.txt", async () => {
   const trace = await playSession();
   if (process.env.UPDATE_GOLDEN === "1" || !existsSync(goldenFile))
     writeFileSync(goldenFile, trace);
--- a/packages/soak/src/scenarios/world-ports.ts
+++ b/packages/soak/src/scenarios/world-ports.ts
@@ -1,4 +1,4 @@
-/** What a box of a world reaches the outside with: links that may lose, delay and repeat. */
+/** Ports that connect a box to the simulated network. */
 import type { BoxPorts } from "@linkfall/box";
 import type { LogFailure, PeerUnreachable } from "@linkfall/errors";
 import { withTimeout } from "@linkfall/kernel";
@@ -23,10 +23,10 @@
 
 const peerTimeoutMs: Milliseconds = 1_500;
 
-/** One exchange with the outside, for golden files. */
+/** Records an external message, for the golden file. */
 export type Trace = (line: string) => void;
 
-/** The place of a box in a world. */
+/** A box of a simulated deployment, as its ports need it. */
 export interface BoxConnection {
   readonly world: World;
   readonly name: string;
@@ -34,7 +34,7 @@
   readonly trace: Trace;
 }
 
-/** Ports of one box to everything outside. */
+/** Ports of a box to other processes. */
 export type ExternalPorts = Pick<BoxPorts, "log" | "boxList" | "peers" | "engines" | "targets">;
 
 /** Creates the ports of one box. */
@@ -48,10 +48,10 @@
   };
 }
 
-const logLoss = (): LogFailure => ({ kind: "log_unavailable", reason: "lost on the way" });
+const logLoss = (): LogFailure => ({ kind: "log_unavailable", reason: "message lost" });
 
 function createListPort({ world, name, process }: BoxConnection): BoxListPort {
-  const lost = () => ({ kind: "log_unavailable", reason: "lost" }) as const;
+  const lost = () => ({ kind: "log_unavailable", reason: "message lost" }) as const;
   return {
     read: () =>
       process.deliver(world.network.exchange(name, "list", lost, () => world.list.read())),
@@ -153,16 +153,16 @@
         if (!engine || engine.down) return Left(targetLost(false));
         return Right(handleEngineRequest(engine.core, request.path, request));
       };
-      const response = await process.deliver(network.exchange(name, endpoint, targetLost, act));
-      return response.map((response): TargetResponse => {
-        const carried = network.transferBody(endpoint, name, response.body);
-        return { ...response, body: bodyUntilAborted(process.deliverBody(carried), signal) };
+      const result = await process.deliver(network.exchange(name, endpoint, targetLost, act));
+      return result.map((response): TargetResponse => {
+        const transferred = network.transferBody(endpoint, name, response.body);
+        return { ...response, body: bodyUntilAborted(process.deliverBody(transferred), signal) };
       });
     },
   };
 }
 
-/** What a peer answers, or that it died before it did. */
+/** Calls a peer; fails if the peer is killed before it answers. */
 async function callPeer<T>(world: World, peer: WorldBox, act: (peer: WorldBox) => Promise<T>) {
   const answer = peer.process.deliver(
     peer.process.deliver(Promise.resolve()).then(() => act(peer)),
@@ -183,8 +183,8 @@
       ),
     );
   };
-  const withPeerTimeout = async <T>(asked: Promise<Either<PeerUnreachable, T>>) =>
-    (await withTimeout(process.clock, peerTimeoutMs, asked)) ?? Left(peerLost(true));
+  const withPeerTimeout = async <T>(answer: Promise<Either<PeerUnreachable, T>>) =>
+    (await withTimeout(process.clock, peerTimeoutMs, answer)) ?? Left(peerLost(true));
   return {
     heartbeat: (address, message) =>
       withPeerTimeout(call(address, async (peer) => peer.box.peerHandler.heartbeat(message))),
@@ -202,7 +202,7 @@
   };
 }
 
-/** A body that breaks off when the box that gives it dies. */
+/** Returns the response with a body that ends with an error if the box is killed. */
 export function withInterruptibleBody(
   world: World,
   box: WorldBox,
--- a/packages/soak/src/scenarios/world.ts
+++ b/packages/soak/src/scenarios/world.ts
@@ -1,4 +1,4 @@
-/** A whole deployment in one process: real boxes over stand-ins, a virtual clock and faulty links. */
+/** A simulated deployment in one process: real boxes, test doubles, a virtual clock and a faulty network. */
 import { type Box, type BoxPorts, createBox } from "@linkfall/box";
 import { createVirtualClock, type Random, seededRandom, type VirtualClock } from "@linkfall/kernel";
 import { type EventName, recordingLogger } from "@linkfall/logger";
@@ -28,38 +28,39 @@
 
 const listLagMs: Milliseconds = 700;
 const reportLagMs: Milliseconds = 300;
-/** Boxes that a fault touched within this time before an append are left out of its times. */
+/** Boxes disturbed within this time before an append are excluded from in-force times. */
 const disturbanceGraceMs: Milliseconds = 5_000;
 const maxConcurrentLoads = 8;
 const serviceCallMs: Milliseconds = 30;
-/** From the start of a run to the end of its process, where it brings that about. */
+/** Time from the start of a crashing request to the crash of its target. */
 const crashDelayMs: Milliseconds = 20;
-/** How long such a process is away. */
+/** Time until a crashed target restarts. */
 const downtimeMs: Milliseconds = 2_000;
 
-/** A box with the process that it runs in. */
+/** A box and its simulated process. */
 export interface WorldBox {
   readonly name: string;
   readonly peerAddress: string;
   readonly box: Box;
   readonly process: PausableProcess;
-  /** Whether a planned stop has begun. */
+  /** Whether the box is draining. */
   draining: boolean;
-  /** Faults that touch this box or its links now. */
+  /** Number of active faults of this box or its links. */
   disturbances: number;
-  /** Last time at which such a fault began or ended. */
+  /** Last time at which such a fault started or ended. */
   disturbedAt: Milliseconds;
-  /** Since when it has reached neither the log nor any other box. */
+  /** Time since which the box is partitioned from the log, the box list and all other boxes. */
   isolatedSince?: Milliseconds;
 }
 
-/** An engine that can be out of reach. */
+/** An engine that can be taken down. */
 export interface WorldEngine {
   readonly core: EngineCore;
   down: boolean;
   leavingSince?: Milliseconds;
 }
 
+/** A simulated deployment. */
 export interface World {
   readonly clock: VirtualClock;
   readonly random: Random;
@@ -68,38 +69,38 @@
   readonly list: BoxListCore;
   readonly weights: WeightStoreCore;
   readonly engines: readonly WorldEngine[];
-  /** Last time at which an engine restarted, stopped or began to leave. */
+  /** Last time at which an engine restarted, stopped or started leaving. */
   engineLostAt: Milliseconds;
   readonly services: readonly ServiceCore[];
   readonly boxes: WorldBox[];
-  /** A prompt, or a body of a service's call, that ends the process which runs it; it is back after a while. */
+  /** Prompt, or body of a service call, that crashes the target that runs it. */
   crashTrigger?: string;
-  /** Targets that have ended by it. */
+  /** Number of targets crashed by it. */
   crashes: number;
-  /** Starts of a prompt at engines, and of a body at services. */
+  /** Number of runs by prompt at engines, and by path and body at services. */
   readonly runs: Map<string, number>;
   readonly violations: string[];
   violation(text: string): void;
   readonly eventCounts: Map<EventName, number>;
-  /** For each accepted write and box in good order: the time from the log to its being in force there. */
+  /** Time from the append of a write until it is in force, for each accepted write and undisturbed box. */
   readonly inForceTimes: Milliseconds[];
   startBox(name: string): Promise<WorldBox>;
   removeBox(box: WorldBox): void;
-  /** Boxes whose process runs. */
+  /** Boxes whose process is running. */
   liveBoxes(): readonly WorldBox[];
-  /** Sends a caller's request to a box; undefined when the connection breaks. */
+  /** Sends a caller's request to a box; resolves to undefined if the connection breaks. */
   call(box: WorldBox, request: CallerRequest): Promise<CallerResponse | undefined>;
-  /** Checks that the weight store's limit was kept. */
+  /** Checks that concurrent loads stayed within the limit of the weight store. */
   checkWeights(): void;
 }
 
-/** The targets of a world. */
+/** The targets of a simulated deployment. */
 export interface WorldTargets {
   readonly engines: readonly Engine[];
   readonly serviceAddresses: readonly string[];
   readonly domains: readonly string[];
   readonly batchOptions: Omit<BatchOptions, "concurrency">;
-  /** What the weight store gives each load, in megabytes a second. */
+  /** Transfer rate of the weight store for each load. */
   readonly weightMbPerSecond: number;
 }
 
@@ -118,7 +119,7 @@
   readonly trace?: Trace;
 }
 
-/** Creates a world without boxes. */
+/** Creates a simulated deployment without boxes. */
 export function createWorld(seed: number, options: WorldOptions = {}): World {
   const clock = createVirtualClock();
   const random = seededRandom(seed);
@@ -248,13 +249,12 @@
       if (target.process.state() === "dead") return undefined;
       const responsePromise = target.process.deliver(target.box.callers.handle(request));
       const response = await resolveUnlessKilled(clock, target.process, responsePromise);
-      if (!response && target.draining)
-        violation(`the planned stop of ${target.name} cut a request`);
+      if (!response && target.draining) violation(`draining ${target.name} aborted a request`);
       return response && withInterruptibleBody(world, target, response);
     },
     checkWeights() {
       if (weights.peakConcurrentLoads() > maxConcurrentLoads)
-        violation(`${weights.peakConcurrentLoads()} loads ran at once`);
+        violation(`${weights.peakConcurrentLoads()} loads ran concurrently`);
     },
   };
   return world;
