--- a/packages/process-soak/src/invariant-checks.feature
+++ b/packages/process-soak/src/invariant-checks.feature
@@ -1,7 +1,7 @@
 Feature: Each invariant check reports a violation, and passes without one
 
   Scenario: A request that may not be repeated runs twice
-    Given a request "r1" that may not be repeated, answered completely with 200
+    Given a request "r1" that may not be repeated, answered whole with 200
     And "r1" started at "p1"
     Then the check "at most once" passes
     When "r1" started at "p2"
@@ -9,58 +9,58 @@
 
   Scenario: A rejected request runs
     Given a request "r1" that may be repeated, rejected with 503
-    Then the check "rejected requests do not run" passes
+    Then the check "not run is true" passes
     When "r1" started at "p1"
-    Then the check "rejected requests do not run" reports "r1"
+    Then the check "not run is true" reports "r1"
 
   Scenario: A target receives a header that a caller forged
     Given "r1" started at "p1" with the header value "own"
-    Then the check "callers cannot forge headers" passes
+    Then the check "callers do not steer targets" passes
     Given "r2" started at "p1" with the header value "forged"
-    Then the check "callers cannot forge headers" reports "r2"
+    Then the check "callers do not steer targets" reports "r2"
 
   Scenario Outline: A target receives <what>
     Given a request "r1" of the account "a"
     And "r1" started at "p1" with account "a" and the header value "x"
-    Then the check "requests have the right account" passes
+    Then the check "requests belong to accounts" passes
     Given a request "r2" <whose>
-    And "r2" started at "p1" with account "<account>" and the header value "<value>"
-    Then the check "requests have the right account" reports "r2"
+    And "r2" started at "p1" with account "<told>" and the header value "<value>"
+    Then the check "requests belong to accounts" reports "r2"
 
     Examples:
-      | what                           | whose               | account | value |
-      | a request with another account | of the account "a"  | b       | x     |
-      | a key                          | of the account "a"  | a       | key   |
-      | a request with an unknown key  | with an unknown key | a       | x     |
+      | what                                 | whose                        | told | value |
+      | a request under another name         | of the account "a"           | b    | x     |
+      | a key                                | of the account "a"           | a    | key   |
+      | a request of a key that nobody holds | with a key that nobody holds | a    | x     |
 
   Scenario: A caller receives the answer to another request
-    Given a request "r1" that may be repeated, answered completely with 200
-    Then the check "complete answers are right" passes
+    Given a request "r1" that may be repeated, answered whole with 200
+    Then the check "whole and own answers" passes
     Given a request "r2" with a complete answer to another request
-    Then the check "complete answers are right" reports "r2"
+    Then the check "whole and own answers" reports "r2"
 
   Scenario: Two lease holders send orders in one epoch
     Given an order from "b1" in epoch 4 at "e1"
     And an order from "b2" in epoch 5 at "e1"
-    Then the check "one lease holder per epoch" passes
+    Then the check "one order giver" passes
     Given an order from "b3" in epoch 5 at "e2"
-    Then the check "one lease holder per epoch" reports "epoch 5"
+    Then the check "one order giver" reports "epoch 5"
 
   Scenario: An incarnation of a box loses its configuration
-    Given a probe of "b1" in incarnation 1 that has version 3
-    And a probe of "b1" in incarnation 2 that does not have version 3
-    Then the check "configuration does not roll back" passes
-    Given a probe of "b1" in incarnation 1 that does not have version 3
-    Then the check "configuration does not roll back" reports "version 3"
+    Given a probe of "b1" in life 1 that knows version 3
+    And a probe of "b1" in life 2 that does not know version 3
+    Then the check "a configuration does not revert" passes
+    Given a probe of "b1" in life 1 that does not know version 3
+    Then the check "a configuration does not revert" reports "version 3"
 
   Scenario: A leaving target gets a new request
     Given "r1" started at "p1"
-    Then the check "leaving targets get no new requests" passes
+    Then the check "a leaving target gets nothing new" passes
     When 10 ms later "r2" started at "p1"
-    Then the check "leaving targets get no new requests" reports "r2"
+    Then the check "a leaving target gets nothing new" reports "r2"
 
   Scenario: A request is not answered in a period without faults
-    Given a request "r1" that may be repeated, answered completely with 200
+    Given a request "r1" that may be repeated, answered whole with 200
     Then the check "every request is answered" passes
     Given a request "r2" that may be repeated, rejected with 503
     Then the check "every request is answered" reports "r2"
--- a/packages/process-soak/src/invariant-checks.steps.ts
+++ b/packages/process-soak/src/invariant-checks.steps.ts
@@ -47,7 +47,7 @@
 };
 
 Given(
-  /^a request "(.*)" that may (not )?be repeated, answered completely with 200$/,
+  /^a request "(.*)" that may (not )?be repeated, answered whole with 200$/,
   function (this: object, id: string, not: string | undefined) {
     stateOf(this).outcomes.push({ ...answer, id, repeatable: not === undefined });
   },
@@ -85,7 +85,7 @@
   },
 );
 
-Given("a request {string} with an unknown key", function (this: object, id: string) {
+Given("a request {string} with a key that nobody holds", function (this: object, id: string) {
   stateOf(this).outcomes.push({ ...completeAnswer, id });
 });
 
@@ -111,15 +111,15 @@
 );
 
 Given(
-  /^a probe of "(.*)" in incarnation (\d+) that (has|does not have) version (\d+)$/,
-  function (this: object, box: string, incarnation: string, has: string, version: string) {
+  /^a probe of "(.*)" in life (\d+) that (knows|does not know) version (\d+)$/,
+  function (this: object, box: string, incarnation: string, knows: string, version: string) {
     const { probes } = stateOf(this);
     const sentAt = probes.length * 10;
     const probe = {
       box,
       incarnation: Number(incarnation),
       version: Number(version),
-      hasVersion: has === "has",
+      hasVersion: knows === "knows",
     };
     probes.push({ ...probe, sentAt, endedAt: sentAt + 1 });
   },
@@ -137,15 +137,15 @@
 const drainedAt = 5;
 const checks: Readonly<Record<string, (state: ScenarioState) => readonly Finding[]>> = {
   "at most once": ({ outcomes, runs }) => checkAtMostOnce(outcomes, runs),
-  "rejected requests do not run": ({ outcomes, runs }) => checkRejectedNotRun(outcomes, runs),
-  "complete answers are right": ({ outcomes }) => checkCompleteAnswers(outcomes),
-  "callers cannot forge headers": ({ runs }) => checkNoForgedHeaders(runs, "forged"),
-  "requests have the right account": ({ outcomes, runs }) =>
+  "not run is true": ({ outcomes, runs }) => checkRejectedNotRun(outcomes, runs),
+  "whole and own answers": ({ outcomes }) => checkCompleteAnswers(outcomes),
+  "callers do not steer targets": ({ runs }) => checkNoForgedHeaders(runs, "forged"),
+  "requests belong to accounts": ({ outcomes, runs }) =>
     checkAccountsOfRuns(outcomes, runs, ["key"]),
-  "one lease holder per epoch": ({ orders }) => checkOneHolderPerEpoch(orders),
-  "configuration does not roll back": ({ probes }) =>
+  "one order giver": ({ orders }) => checkOneHolderPerEpoch(orders),
+  "a configuration does not revert": ({ probes }) =>
     checkNoConfigurationRollback(probes, () => Infinity),
-  "leaving targets get no new requests": ({ runs }) => checkDraining(runs, "p1", drainedAt),
+  "a leaving target gets nothing new": ({ runs }) => checkDraining(runs, "p1", drainedAt),
   "every request is answered": ({ outcomes }) => checkAllAnswered(outcomes, "without faults"),
 };
 
--- a/packages/process-soak/src/tests/invariant-checks.ts
+++ b/packages/process-soak/src/tests/invariant-checks.ts
@@ -85,7 +85,7 @@
   return outcomes
     .filter(({ id, status }) => rejectedStatuses.has(status ?? 0) && runsByRequest.has(id))
     .map(({ id, status }) => ({
-      promise: "rejected requests do not run",
+      promise: "not run is true",
       detail: `${id} was rejected with ${status} and ran at ${targetsOf(runsByRequest, id)}`,
     }));
 }
@@ -102,7 +102,7 @@
   return runs
     .filter(({ headerValues }) => headerValues?.includes(forgedValue))
     .map(({ id, target }) => ({
-      promise: "callers cannot forge headers",
+      promise: "callers do not steer targets",
       detail: `${id} reached ${target} with a header that callers must not set`,
     }));
 }
@@ -125,7 +125,7 @@
       );
     })
     .map(({ id, target, account }) => ({
-      promise: "requests have the right account",
+      promise: "requests belong to accounts",
       detail: `${id} of account ${accountsById.get(id) ?? "nobody"} reached ${target} with account ${account ?? "nobody"}, or with a key`,
     }));
 }
@@ -137,7 +137,7 @@
       ({ status, complete, matchesRequest }) => status === okStatus && complete && !matchesRequest,
     )
     .map(({ id, box }) => ({
-      promise: "complete answers are right",
+      promise: "whole and own answers",
       detail: `${id} got a wrong or truncated answer as complete from ${box}`,
     }));
 }
@@ -151,7 +151,7 @@
     if (firstHolder === holder) return [];
     return [
       {
-        promise: "one lease holder per epoch",
+        promise: "one order giver",
         detail: `${engine} received orders from ${firstHolder} and ${holder} in epoch ${epoch}`,
       },
     ];
@@ -176,7 +176,7 @@
     if (!lostBeforeReplaced || !sentAfterLatest) return [];
     return [
       {
-        promise: "configuration does not roll back",
+        promise: "a configuration does not revert",
         detail: `${probe.box} lost version ${probe.version}`,
       },
     ];
@@ -191,7 +191,7 @@
 ): readonly Finding[] {
   const lateRuns = runs.filter((run) => run.target === target && run.at > drainedAt);
   return lateRuns.map(({ id }) => ({
-    promise: "leaving targets get no new requests",
+    promise: "a leaving target gets nothing new",
     detail: `${id} started at ${target} after it was drained`,
   }));
 }
--- a/packages/soak/src/scenarios/bad-input.steps.ts
+++ b/packages/soak/src/scenarios/bad-input.steps.ts
@@ -16,26 +16,26 @@
 const notRepeatable = { "linkfall-repeatable": "false" };
 
 const badInputs: Readonly<Record<string, BadInput>> = {
-  "a body that is not JSON": { body: "{" },
+  "a body that is no JSON": { body: "{" },
   "no model": { body: completion({ model: undefined }) },
   "max_tokens of 0": { body: completion({ max_tokens: 0 }) },
   "a model that does not exist": { body: completion({ model: "nothing" }) },
   "the model of another account": { body: completion({ model: "m1" }) },
-  "a deadline that is not a number": { headers: () => ({ "linkfall-deadline-ms": "soon" }) },
+  "a deadline that is no number": { headers: () => ({ "linkfall-deadline-ms": "soon" }) },
   "a priority of 10": { headers: () => ({ "linkfall-priority": "10" }) },
   "repeatable as maybe": { headers: () => ({ "linkfall-repeatable": "maybe" }) },
   "a path that does not exist": { path: "/v1/nothing" },
   "a service that does not exist": { path: "/services/nothing/at/all" },
   "no token": { headers: () => ({ authorization: "" }) },
-  "an unknown token": { headers: () => ({ authorization: "Bearer nobody" }) },
-  "a non-repeatable request without a ticket": { headers: () => notRepeatable },
+  "a token of nobody": { headers: () => ({ authorization: "Bearer nobody" }) },
+  "a not repeatable request without a ticket": { headers: () => notRepeatable },
   "a forged ticket of this box": {
     headers: (box) => ({
       ...notRepeatable,
       "linkfall-request-id": `${box.box.incarnation}.1.99999999.${"0".repeat(24)}/1`,
     }),
   },
-  "a deadline that cannot be met": { headers: () => ({ "linkfall-deadline-ms": "1" }) },
+  "a deadline that nothing can make": { headers: () => ({ "linkfall-deadline-ms": "1" }) },
 };
 
 When("{string} sends {string}", async function (this: object, account: "dispatch", input: string) {
--- a/packages/soak/src/scenarios/crashing-requests.feature
+++ b/packages/soak/src/scenarios/crashing-requests.feature
@@ -5,7 +5,7 @@
   Scenario Outline: A <kind> that crashes its targets is resent to three boxes in turn
     Given an idle deployment
     And "crash" crashes each target that runs it
-    When "dispatch" sends <what> with "crash" 15 times, to all boxes in turn
+    When "dispatch" sends <what> with "crash" 15 times, at all boxes by turns
     Then at most 3 targets have crashed
     And the last request is rejected as not run with "held_back"
 
@@ -18,7 +18,7 @@
     Heartbeats alone would lose the crash reports with the last box that holds them.
     Given an idle deployment
     And "crash" crashes each target that runs it
-    When "dispatch" sends a completion with "crash" 9 times, to all boxes in turn
+    When "dispatch" sends a completion with "crash" 9 times, at all boxes by turns
     And all boxes are replaced at once
-    And "dispatch" sends a completion with "crash" 9 times, to all boxes in turn
+    And "dispatch" sends a completion with "crash" 9 times, at all boxes by turns
     Then at most 3 targets have crashed
--- a/packages/soak/src/scenarios/crashing-requests.steps.ts
+++ b/packages/soak/src/scenarios/crashing-requests.steps.ts
@@ -52,7 +52,7 @@
 }
 
 When(
-  /^"(.*)" sends (.*) with "(.*)" (\d+) times, to all boxes in turn$/,
+  /^"(.*)" sends (.*) with "(.*)" (\d+) times, at all boxes by turns$/,
   async function (this: object, account: "dispatch", what: string, text: string, times: string) {
     const world = worldOf(this);
     for (let time = 0; time < Number(times); time++) {
--- a/packages/soak/src/scenarios/fleet.steps.ts
+++ b/packages/soak/src/scenarios/fleet.steps.ts
@@ -115,7 +115,7 @@
     const resource = { ...soakModel(9), kind: "model", name: "m99" } as const;
     const body = Buffer.from(JSON.stringify({ changes: [{ action: "put", resource, base: 0 }] }));
     const answers: string[] = [];
-    notes(this).set("write answers", answers);
+    notes(this).set("told", answers);
     for (const { box } of world.boxes) {
       const headers = { authorization: `Bearer ${operatorToken}` };
       const { signal: gone } = new AbortController();
@@ -132,7 +132,7 @@
     const world = worldOf(this);
     await world.clock.runUntil(world.clock.now() + seconds * 1_000);
     const kinds = notes(this)
-      .get<string[]>("write answers")
+      .get<string[]>("told")
       .map((text) => JSON.parse(text).kind);
     assert.deepEqual(kinds, Array(world.boxes.length).fill("unknown"));
   },
--- a/packages/soak/src/scenarios/retry-after.feature
+++ b/packages/soak/src/scenarios/retry-after.feature
@@ -3,6 +3,6 @@
   Scenario: A target that sent a retry-after header gets no further calls before it expires
     Given an idle deployment
     And one target of the service rejects calls with a retry-after of 9 s
-    When "dispatch" sends 40 calls of the service, to all boxes in turn
+    When "dispatch" sends 40 calls of the service, at all boxes by turns
     Then that target received at most one call from each box
     And every call was answered with 200
--- a/packages/soak/src/scenarios/retry-after.steps.ts
+++ b/packages/soak/src/scenarios/retry-after.steps.ts
@@ -15,7 +15,7 @@
 );
 
 When(
-  "{string} sends {int} calls of the service, to all boxes in turn",
+  "{string} sends {int} calls of the service, at all boxes by turns",
   async function (this: object, account: "dispatch", count: number) {
     const world = worldOf(this);
     const answers: CallerResponse[] = [];
--- a/packages/soak/src/scenarios/world-ports.ts
+++ b/packages/soak/src/scenarios/world-ports.ts
@@ -51,7 +51,7 @@
 const logLoss = (): LogFailure => ({ kind: "log_unavailable", reason: "message lost" });
 
 function createListPort({ world, name, process }: BoxConnection): BoxListPort {
-  const lost = () => ({ kind: "log_unavailable", reason: "message lost" }) as const;
+  const lost = () => ({ kind: "log_unavailable", reason: "lost" }) as const;
   return {
     read: () =>
       process.deliver(world.network.exchange(name, "list", lost, () => world.list.read())),
