--- a/packages/bench/src/permit-load.ts
+++ b/packages/bench/src/permit-load.ts
@@ -60,8 +60,8 @@
   const gapMs = millisecondsPerSecond / (perSecond * demandOverLimit);
   const arrivals: PermitArrival[] = [];
   for (let at = 0; at < loadMs;) {
-    at += -Math.log(1 - random.fraction()) * gapMs;
-    arrivals.push({ at, box: random.below(boxes) });
+    at += -Math.log(1 - random.nextFloat()) * gapMs;
+    arrivals.push({ at, box: random.nextInt(boxes) });
   }
   return arrivals;
 }
--- a/packages/bench/src/permits.steps.ts
+++ b/packages/bench/src/permits.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Then, When } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { permitLoads } from "./permit-load.js";
 import { runPermits, type PermitResult } from "./permit-run.js";
 import { permitWays } from "./permit-ways.js";
@@ -18,13 +18,13 @@
         results.push(await runPermits(load, permitWays[way], seed));
       }
     }
-    notes(this).set("permits", results);
+    scenarioState(this).set("permits", results);
   },
 );
 
 const fullestOf = (world: object) =>
   Math.max(
-    ...notes(world)
+    ...scenarioState(world)
       .get<PermitResult[]>("permits")
       .map((result) => result.fullestWindow),
   );
@@ -39,7 +39,7 @@
 
 Then("the target gets at least {int} in 100 of its limit", function (this: object, least: number) {
   const used = Math.min(
-    ...notes(this)
+    ...scenarioState(this)
       .get<PermitResult[]>("permits")
       .map((result) => result.used),
   );
--- a/packages/bench/src/policy-run.ts
+++ b/packages/bench/src/policy-run.ts
@@ -68,7 +68,7 @@
       "linkfall-deadline-ms": String(arrival.deadlineMs),
     },
     body: Buffer.from(JSON.stringify(body)),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
   const whole = response !== undefined && (await readWhole(response));
   if (!measured) return;
@@ -109,7 +109,7 @@
     path: "/v1/writes",
     headers: { authorization: `Bearer ${operatorToken}` },
     body: Buffer.from(JSON.stringify({ changes })),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
 }
 
--- a/packages/bench/src/quota-load.ts
+++ b/packages/bench/src/quota-load.ts
@@ -112,7 +112,7 @@
 }
 
 function exponential(random: Random, mean: number): number {
-  return -Math.log(1 - random.fraction()) * mean;
+  return -Math.log(1 - random.nextFloat()) * mean;
 }
 
 /** Requests of a load, in the order of time. */
@@ -124,7 +124,7 @@
     at += exponential(random, usualGapMs / (isWithin(at, load.hot) ? (load.hot?.times ?? 1) : 1));
     const boxes = isWithin(at, load.gathered) ? (load.gathered?.boxes ?? 1) : load.boxes;
     const units = Math.ceil(Math.min(largestUnits, exponential(random, meanUnits)));
-    arrivals.push({ at, box: random.below(boxes), units });
+    arrivals.push({ at, box: random.nextInt(boxes), units });
   }
   return arrivals;
 }
--- a/packages/bench/src/quota-ways.ts
+++ b/packages/bench/src/quota-ways.ts
@@ -163,7 +163,7 @@
     unit: "tokens",
     perSecond: load.perSecond,
     burst: load.perSecond,
-    plainTokens: 200,
+    defaultTokens: 200,
   } as const;
   const account = { name: "a", keys: [], limit };
   return {
--- a/packages/bench/src/quota.steps.ts
+++ b/packages/bench/src/quota.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Then, When } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { quotaLoads } from "./quota-load.js";
 import { type QuotaResult, runQuota } from "./quota-run.js";
 import { quotaWays } from "./quota-ways.js";
@@ -21,7 +21,7 @@
       results.push({ ...result, cut: load.cut !== undefined });
     }
   }
-  notes(world).set("results", results);
+  scenarioState(world).set("results", results);
 }
 
 When(
@@ -36,7 +36,7 @@
   return playLoads(this, 1, way);
 });
 
-const resultsOf = (world: object) => notes(world).get<PlayedLoad[]>("results");
+const resultsOf = (world: object) => scenarioState(world).get<PlayedLoad[]>("results");
 const fullestOf = (world: object) =>
   Math.max(...resultsOf(world).map(({ fullestWindow }) => fullestWindow));
 const mostRefused = (results: readonly PlayedLoad[]) =>
--- a/packages/bench/src/workload.ts
+++ b/packages/bench/src/workload.ts
@@ -56,13 +56,17 @@
   const { models, adapters } = deployment;
   const base = models.map((_, index) => 1 / (index + 1) ** skew);
   const total = base.reduce((sum, weight) => sum + weight, 0);
-  const shifted = Array.from({ length: shiftedModels }, () => random.below(models.length));
+  const shifted = Array.from({ length: shiftedModels }, () => random.nextInt(models.length));
   let burst = { model: 0, until: -Infinity, next: burstEveryMs };
   let sent = 0;
 
   const updateBurst = (now: Milliseconds) => {
     if (steady || now < burst.next) return;
-    burst = { model: random.below(models.length), until: now + burstMs, next: now + burstEveryMs };
+    burst = {
+      model: random.nextInt(models.length),
+      until: now + burstMs,
+      next: now + burstEveryMs,
+    };
   };
 
   const weights = (now: Milliseconds) =>
@@ -74,7 +78,7 @@
     });
 
   const pickIndex = (list: readonly number[], sum: number) => {
-    let left = random.fraction() * sum;
+    let left = random.nextFloat() * sum;
     const index = list.findIndex((weight) => (left -= weight) < 0);
     return index < 0 ? list.length - 1 : index;
   };
@@ -84,7 +88,7 @@
       updateBurst(now);
       const sum = weights(now).reduce((all, weight) => all + weight, 0);
       const rate = (deployment.baseRate * sum) / total;
-      return (-Math.log(1 - random.fraction()) * 1_000) / rate;
+      return (-Math.log(1 - random.nextFloat()) * 1_000) / rate;
     },
     next(now) {
       const list = weights(now);
@@ -94,13 +98,13 @@
       );
       const model = models[index].name;
       const own = adapters.filter((adapter) => adapter.model === model);
-      const useAdapter = own.length > 0 && random.fraction() < adapterShare;
-      const station = Math.floor(stationsPerModel * random.fraction() ** 2);
+      const useAdapter = own.length > 0 && random.nextFloat() < adapterShare;
+      const station = Math.floor(stationsPerModel * random.nextFloat() ** 2);
       return {
-        model: useAdapter ? own[random.below(own.length)].name : model,
+        model: useAdapter ? own[random.nextInt(own.length)].name : model,
         prompt: `${stationLog(model, station)} question ${++sent}`,
-        maxTokens: 2 + random.below(mostTokens - 1),
-        deadlineMs: random.fraction() < shortShare ? shortDeadlineMs : longDeadlineMs,
+        maxTokens: 2 + random.nextInt(mostTokens - 1),
+        deadlineMs: random.nextFloat() < shortShare ? shortDeadlineMs : longDeadlineMs,
       };
     },
   };
--- a/packages/daemon/src/processes.steps.ts
+++ b/packages/daemon/src/processes.steps.ts
@@ -10,7 +10,7 @@
   tokenAt,
   waitUntil,
 } from "@linkfall/stand-ins";
-import { account, model, notes, pool } from "@linkfall/test-support";
+import { account, model, scenarioState, pool } from "@linkfall/test-support";
 import type { Change, Resource } from "@linkfall/types";
 
 const token = "token-of-one";
@@ -35,7 +35,7 @@
   leaving: false,
 }));
 
-const deploymentOf = (world: object) => notes(world).get<DeploymentProcesses>("deployment");
+const deploymentOf = (world: object) => scenarioState(world).get<DeploymentProcesses>("deployment");
 
 async function operatorAsk<T>(box: RunningBox, path: string, body?: unknown): Promise<T> {
   const answer = await fetch(`http://${box.operatorAddress}${path}`, {
@@ -82,7 +82,7 @@
   "a deployment of 3 boxes and 4 engines as processes, with every model placed",
   async function (this: object) {
     const deployment = new DeploymentProcesses();
-    notes(this).set("deployment", deployment);
+    scenarioState(this).set("deployment", deployment);
     await deployment.startPlatform();
     const engines = await Promise.all(shapes.map((shape) => deployment.startEngine(shape)));
     for (const [index, domain] of ["north", "south", "north"].entries()) {
@@ -168,19 +168,19 @@
     owner.child.kill("SIGKILL");
     assert.equal(await first, "broken");
     const repeat = await complete(other, { prompt, headers });
-    notes(this).set(
+    scenarioState(this).set(
       "outcome",
       ((await repeat.json()) as { error: { outcome: string } }).error.outcome,
     );
-    notes(this).set("prompt", prompt);
+    scenarioState(this).set("prompt", prompt);
   },
 );
 
 Then(
   "the repeat is told {string} and the request ran once",
   function (this: object, outcome: string) {
-    assert.equal(notes(this).get("outcome"), outcome);
-    assert.equal(runsOf(deploymentOf(this), notes(this).get("prompt")), 1);
+    assert.equal(scenarioState(this).get("outcome"), outcome);
+    assert.equal(runsOf(deploymentOf(this), scenarioState(this).get("prompt")), 1);
   },
 );
 
@@ -230,14 +230,14 @@
 When("the log goes down and a new box starts", async function (this: object) {
   const deployment = deploymentOf(this);
   await deployment.post(deployment.logAddress, "/faults", { down: true });
-  notes(this).set("box", await deployment.startBox("box-4", "south", times));
+  scenarioState(this).set("box", await deployment.startBox("box-4", "south", times));
 });
 
 Then(
   "the new box becomes ready and answers, and after the outage a change is in force on every box",
   async function (this: object) {
     const deployment = deploymentOf(this);
-    const box = notes(this).get<RunningBox>("box");
+    const box = scenarioState(this).get<RunningBox>("box");
     await deployment.waitUntilReady(box);
     const prompt = "during the outage";
     const answers = async () => (await complete(box, { prompt })).status === 200;
@@ -262,14 +262,14 @@
     started.push(await deployment.startBox(name, "north", times));
   }
   await Promise.all(started.map((box) => deployment.waitUntilReady(box)));
-  notes(this).set("started", started);
+  scenarioState(this).set("started", started);
 });
 
 Then(
   "each of the new boxes serves, with every copy where it was, and no stand-in saw a violation",
   async function (this: object) {
     const deployment = deploymentOf(this);
-    for (const box of notes(this).get<RunningBox[]>("started")) {
+    for (const box of scenarioState(this).get<RunningBox[]>("started")) {
       const serves = async () => (await complete(box, { prompt: "after the kill" })).status === 200;
       await waitUntil(serves, () => "a new box does not serve");
       const seesBothCopies = async () =>
@@ -293,31 +293,33 @@
     () => "not all streams began",
   );
   box.child.kill(signal);
-  notes(world).set("texts", await Promise.all(streams));
-  notes(world).set("prompts", prompts);
+  scenarioState(world).set("texts", await Promise.all(streams));
+  scenarioState(world).set("prompts", prompts);
   return box;
 }
 
 When("a box is stopped while streams run through it", async function (this: object) {
   const box = await signalUnderStreams(this, "SIGTERM");
-  notes(this).set("exit", await box.exited);
+  scenarioState(this).set("exit", await box.exited);
 });
 
 When("a box is told so while streams run through it", async function (this: object) {
-  notes(this).set("box", await signalUnderStreams(this, "SIGHUP"));
+  scenarioState(this).set("box", await signalUnderStreams(this, "SIGHUP"));
 });
 
 Then("every stream ends whole and the box goes on serving", async function (this: object) {
-  const prompts = notes(this).get<string[]>("prompts");
-  assert.deepEqual(notes(this).get("texts"), prompts.map(expectedText));
-  const answer = await complete(notes(this).get<RunningBox>("box"), { prompt: "afterwards" });
+  const prompts = scenarioState(this).get<string[]>("prompts");
+  assert.deepEqual(scenarioState(this).get("texts"), prompts.map(expectedText));
+  const answer = await complete(scenarioState(this).get<RunningBox>("box"), {
+    prompt: "afterwards",
+  });
   assert.equal(answer.status, 200);
 });
 
 Then("every stream ends whole and the box exits with 0", function (this: object) {
-  const prompts = notes(this).get<string[]>("prompts");
-  assert.deepEqual(notes(this).get("texts"), prompts.map(expectedText));
-  assert.equal(notes(this).get("exit"), 0);
+  const prompts = scenarioState(this).get<string[]>("prompts");
+  assert.deepEqual(scenarioState(this).get("texts"), prompts.map(expectedText));
+  assert.equal(scenarioState(this).get("exit"), 0);
 });
 
 When("the engine of a repeatable stream is killed", async function (this: object) {
@@ -332,10 +334,10 @@
     each.lines.some((line) => line.prompt === prompt),
   );
   engine?.child.kill("SIGKILL");
-  notes(this).set("text", await stream);
-  notes(this).set("prompt", prompt);
+  scenarioState(this).set("text", await stream);
+  scenarioState(this).set("prompt", prompt);
 });
 
 Then("the stream ends whole", function (this: object) {
-  assert.equal(notes(this).get("text"), expectedText(notes(this).get("prompt")));
+  assert.equal(scenarioState(this).get("text"), expectedText(scenarioState(this).get("prompt")));
 });
--- a/packages/process-soak/src/tests/fault-series.ts
+++ b/packages/process-soak/src/tests/fault-series.ts
@@ -29,8 +29,8 @@
   const applicableKinds = kinds.filter((kind) => kind.subjects.length > 0);
   const faults = Array.from({ length: count }, (): Fault => {
     const { kind, subjects, mostMs } = pick(random, applicableKinds);
-    const atMs = random.below(seriesMs);
-    const forMs = minDurationMs + random.below(Math.max(1, Math.min(mostMs, seriesMs - atMs)));
+    const atMs = random.nextInt(seriesMs);
+    const forMs = minDurationMs + random.nextInt(Math.max(1, Math.min(mostMs, seriesMs - atMs)));
     return { atMs, kind, subject: pick(random, subjects), forMs };
   });
   return faults.sort((left, right) => left.atMs - right.atMs);
--- a/packages/soak/src/scenarios/box-faults.ts
+++ b/packages/soak/src/scenarios/box-faults.ts
@@ -48,7 +48,7 @@
 /** Removes all boxes, or all but one, at once and restarts them later. */
 export function replaceBoxes(world: World): EndFault {
   const running = world.boxes.filter((box) => box.process.state() === "running" && !box.draining);
-  const replaced = running.slice(world.random.below(2));
+  const replaced = running.slice(world.random.nextInt(2));
   for (const box of replaced) world.removeBox(box);
   return () => {
     for (const box of replaced) void world.startBox(box.name);
--- a/packages/soak/src/scenarios/callers.ts
+++ b/packages/soak/src/scenarios/callers.ts
@@ -86,7 +86,7 @@
     path,
     headers: { authorization: `Bearer ${tokenOf(account)}`, ...headers },
     body: Buffer.from(body === undefined ? "" : JSON.stringify(body)),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
 
   const entriesFor = async (account: AccountName): Promise<CachedEntries | undefined> => {
@@ -207,7 +207,7 @@
   ) => {
     const id = `${entryList.ticket}/${history.key.replaceAll(" ", ".")}`;
     const headers = { "linkfall-repeatable": "false", "linkfall-request-id": id };
-    const sendDuplicate = random.fraction() < 0.2;
+    const sendDuplicate = random.nextFloat() < 0.2;
     if (sendDuplicate) void send(pick(random, entryList.entries), headers);
     for (let attempt = 0; attempt < maxAttempts; attempt++) {
       await send(pick(random, entryList.entries), headers);
@@ -222,11 +222,11 @@
     const number = ++startedRequests;
     const entryList = await entriesFor(account);
     if (!entryList || entryList.entries.length === 0) return;
-    const kindFraction = random.fraction();
-    const index = accounts.indexOf(account) + 2 * random.below(calledModels / 2);
-    const withAdapter = index < 3 && random.fraction() < 0.3;
+    const kindFraction = random.nextFloat();
+    const index = accounts.indexOf(account) + 2 * random.nextInt(calledModels / 2);
+    const withAdapter = index < 3 && random.nextFloat() < 0.3;
     const model = withAdapter ? `a${index}` : `m${index}`;
-    const streamed = random.fraction() < 0.5;
+    const streamed = random.nextFloat() < 0.5;
     const isService = kindFraction > 0.75;
     const repeatable = isService ? kindFraction > 0.9 : kindFraction > 0.35;
     const key = `request ${number}`;
@@ -253,7 +253,7 @@
           pendingRequests.delete(pending),
         );
         pendingRequests.add(pending);
-        await sleep(clock, 2 * meanRequestIntervalMs * random.fraction());
+        await sleep(clock, 2 * meanRequestIntervalMs * random.nextFloat());
       }
       await Promise.all(pendingRequests);
     },
--- a/packages/soak/src/scenarios/crashing-requests.steps.ts
+++ b/packages/soak/src/scenarios/crashing-requests.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import type { CallerResponse } from "@linkfall/ports";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { tokenOf } from "./resources.js";
 import { worldOf } from "./idle-deployment.js";
 import type { World, WorldBox } from "./world.js";
@@ -42,7 +42,7 @@
       "linkfall-repeatable": "true",
     },
     body: Buffer.from(body),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
   let answered = false;
   void responsePromise.then(() => (answered = true));
@@ -57,7 +57,10 @@
     const world = worldOf(this);
     for (let time = 0; time < Number(times); time++) {
       const box = world.boxes[time % world.boxes.length];
-      notes(this).set("last", await sendAndWait(world, box, account, requestsByKind[what](text)));
+      scenarioState(this).set(
+        "last",
+        await sendAndWait(world, box, account, requestsByKind[what](text)),
+      );
     }
   },
 );
@@ -78,7 +81,7 @@
 Then(
   "the last request is rejected as not run with {string}",
   function (this: object, code: string) {
-    const { status, body } = notes(this).get<CallerResponse>("last");
+    const { status, body } = scenarioState(this).get<CallerResponse>("last");
     const { error } = JSON.parse(Buffer.from(body as Uint8Array).toString("utf8"));
     assert.deepEqual([status, error.code, error.outcome], [503, code, "not_run"]);
   },
--- a/packages/soak/src/scenarios/faults.ts
+++ b/packages/soak/src/scenarios/faults.ts
@@ -174,12 +174,12 @@
       if (activeFaults.delete(endOnce)) end();
     };
     activeFaults.add(endOnce);
-    clock.after(minFaultMs + random.fraction() * (maxFaultMs - minFaultMs), endOnce);
+    clock.after(minFaultMs + random.nextFloat() * (maxFaultMs - minFaultMs), endOnce);
   };
   while (clock.now() < until) {
     inject();
-    if (random.fraction() < 0.5) inject();
-    await sleep(clock, 1_000 + random.fraction() * 6_000);
+    if (random.nextFloat() < 0.5) inject();
+    await sleep(clock, 1_000 + random.nextFloat() * 6_000);
   }
   for (const end of [...activeFaults]) end();
   world.network.healAll();
--- a/packages/soak/src/scenarios/fleet.steps.ts
+++ b/packages/soak/src/scenarios/fleet.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { membershipName } from "@linkfall/membership";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { createOperators } from "./operators.js";
 import { soakModel } from "./resources.js";
 import { operatorToken } from "./settings.js";
@@ -18,7 +18,7 @@
     for (let index = 1; index <= count; index++) await world.startBox(`b${index}`);
     void createOperators(world).writeInitialState();
     await world.clock.runUntil(fleetWarmUpMs);
-    notes(this).set("world", world);
+    scenarioState(this).set("world", world);
   },
 );
 
@@ -52,7 +52,7 @@
     const world = worldOf(this);
     world.log.faults.down = true;
     await world.clock.runUntil(world.clock.now() + seconds * 1_000);
-    notes(this).set("box", await world.startBox("b4"));
+    scenarioState(this).set("box", await world.startBox("b4"));
   },
 );
 
@@ -61,7 +61,7 @@
   async function (this: object, after: number, seconds: number) {
     const world = worldOf(this);
     await world.clock.runUntil(world.clock.now() + after * 1_000);
-    const { name } = notes(this).get<WorldBox>("box");
+    const { name } = scenarioState(this).get<WorldBox>("box");
     for (const other of [...world.boxes.map((box) => box.name), "log", "list"]) {
       world.network.cut(name, other);
       world.network.cut(other, name);
@@ -71,7 +71,7 @@
 );
 
 Then("it rejects requests and the others serve", function (this: object) {
-  assert.deepEqual(findIsolatedBoxes(worldOf(this)), [notes(this).get<WorldBox>("box")]);
+  assert.deepEqual(findIsolatedBoxes(worldOf(this)), [scenarioState(this).get<WorldBox>("box")]);
 });
 
 const findIsolatedBoxes = (world: World) =>
@@ -115,12 +115,12 @@
     const resource = { ...soakModel(9), kind: "model", name: "m99" } as const;
     const body = Buffer.from(JSON.stringify({ changes: [{ action: "put", resource, base: 0 }] }));
     const answers: string[] = [];
-    notes(this).set("told", answers);
+    scenarioState(this).set("told", answers);
     for (const { box } of world.boxes) {
       const headers = { authorization: `Bearer ${operatorToken}` };
       const { signal: gone } = new AbortController();
       void box.operators
-        .handle({ method: "POST", path: "/v1/writes", headers, body, gone })
+        .handle({ method: "POST", path: "/v1/writes", headers, body, signal: gone })
         .then((answer) => answers.push(Buffer.from(answer.body as Uint8Array).toString("utf8")));
     }
   },
@@ -131,7 +131,7 @@
   async function (this: object, seconds: number) {
     const world = worldOf(this);
     await world.clock.runUntil(world.clock.now() + seconds * 1_000);
-    const kinds = notes(this)
+    const kinds = scenarioState(this)
       .get<string[]>("told")
       .map((text) => JSON.parse(text).kind);
     assert.deepEqual(kinds, Array(world.boxes.length).fill("unknown"));
--- a/packages/soak/src/scenarios/idle-deployment.ts
+++ b/packages/soak/src/scenarios/idle-deployment.ts
@@ -1,5 +1,5 @@
 /** Shared by the steps of several features: a deployment without load, and probes of every model. */
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { createCallers, type ReportedOutcome } from "./callers.js";
 import { createOperators } from "./operators.js";
 import { accounts, soakModel } from "./resources.js";
@@ -14,11 +14,11 @@
   for (const name of ["b1", "b2", "b3"]) await deployment.startBox(name);
   void createOperators(deployment).writeInitialState();
   await deployment.clock.runUntil(settleMs);
-  notes(world).set("world", deployment);
+  scenarioState(world).set("world", deployment);
 }
 
 /** Returns the deployment of the current scenario. */
-export const worldOf = (world: object) => notes(world).get<World>("world");
+export const worldOf = (world: object) => scenarioState(world).get<World>("world");
 
 /** Sends a request for every model to a box and returns the outcomes received within 8 s. */
 export async function probeAllModels(
--- a/packages/soak/src/scenarios/network.ts
+++ b/packages/soak/src/scenarios/network.ts
@@ -66,8 +66,8 @@
     cutCounts.delete(link);
     healedAt.set(link, clock.now());
   };
-  const delay = () => sleep(clock, minDelayMs + random.fraction() * delaySpreadMs);
-  const isLost = () => random.fraction() < faults.loss;
+  const delay = () => sleep(clock, minDelayMs + random.nextFloat() * delaySpreadMs);
+  const isLost = () => random.nextFloat() < faults.loss;
   return {
     faults,
     cut: (from, to) =>
@@ -97,7 +97,7 @@
       return Left(createLoss(true));
     },
     async *transferBody(from, to, body) {
-      const cutAfter = random.fraction() < faults.cutStreams ? random.below(8) : Infinity;
+      const cutAfter = random.nextFloat() < faults.cutStreams ? random.nextInt(8) : Infinity;
       let count = 0;
       for await (const part of body) {
         if (count++ >= cutAfter || isCut(from, to)) {
@@ -108,7 +108,7 @@
       }
     },
     deliverLate(act) {
-      clock.after(random.fraction() * maxLateDeliveryMs, act);
+      clock.after(random.nextFloat() * maxLateDeliveryMs, act);
     },
   };
 }
--- a/packages/soak/src/scenarios/operators.ts
+++ b/packages/soak/src/scenarios/operators.ts
@@ -47,7 +47,7 @@
       path: "/v1/writes",
       headers: { authorization: `Bearer ${operatorToken}` },
       body: Buffer.from(JSON.stringify({ changes })),
-      gone: new AbortController().signal,
+      signal: new AbortController().signal,
     };
     const response = await box.process.deliver(box.box.operators.handle(request));
     const result = JSON.parse(Buffer.from(response.body as Uint8Array).toString("utf8"));
@@ -88,12 +88,12 @@
     box.box.kernel.find(stateStoreName).state().resources.get(resourceKey(resource))?.revision ?? 0;
 
   const randomResource = (): Resource => {
-    const index = random.below(10);
-    const kind = random.fraction();
+    const index = random.nextInt(10);
+    const kind = random.nextFloat();
     if (kind < 0.2 && index < 3) return soakAdapter(index, String(++version));
     if (kind < 0.8) return soakModel(index, String(++version));
     const engine = soakResources().filter((resource) => resource.kind === "engine")[index % 6];
-    const role = random.fraction() < 0.5 ? "batch" : "mixed";
+    const role = random.nextFloat() < 0.5 ? "batch" : "mixed";
     return { ...engine, role } as Resource;
   };
 
@@ -104,7 +104,7 @@
     const [one, two] = [pick(random, live), pick(random, live)];
     const resource = randomResource();
     const base = storedRevision(one, resource);
-    const writers = random.fraction() < 0.4 ? [one, two] : [one];
+    const writers = random.nextFloat() < 0.4 ? [one, two] : [one];
     await Promise.all(writers.map((box) => write(box, [{ action: "put", resource, base }])));
   };
 
@@ -124,7 +124,7 @@
     async run(until) {
       while (clock.now() < until) {
         void writeConcurrently();
-        await sleep(clock, 2 * writeIntervalMs * random.fraction());
+        await sleep(clock, 2 * writeIntervalMs * random.nextFloat());
       }
     },
     accepted: () => accepted,
--- a/packages/soak/src/scenarios/retry-after.steps.ts
+++ b/packages/soak/src/scenarios/retry-after.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import type { CallerResponse } from "@linkfall/ports";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { requestsByKind, sendAndWait } from "./crashing-requests.steps.js";
 import { worldOf } from "./idle-deployment.js";
 
@@ -24,7 +24,7 @@
       const call = requestsByKind["a call of the service"](`call ${index}`);
       answers.push(await sendAndWait(world, box, account, call, callIntervalMs));
     }
-    notes(this).set("answers of the service", answers);
+    scenarioState(this).set("answers of the service", answers);
   },
 );
 
@@ -35,6 +35,6 @@
 });
 
 Then("every call was answered with {int}", function (this: object, status: number) {
-  const answers = notes(this).get<CallerResponse[]>("answers of the service");
+  const answers = scenarioState(this).get<CallerResponse[]>("answers of the service");
   assert.deepEqual([...new Set(answers.map((answer) => answer.status))], [status]);
 });
--- a/packages/soak/src/scenarios/session.ts
+++ b/packages/soak/src/scenarios/session.ts
@@ -54,7 +54,7 @@
       path,
       headers: { authorization: `Bearer ${tokenOf("dispatch")}`, ...headers },
       body: Buffer.from(body === undefined ? "" : JSON.stringify(body)),
-      gone: new AbortController().signal,
+      signal: new AbortController().signal,
     };
     lines.push(
       `caller to b${index + 1}: ${request.method} ${path} ${JSON.stringify(headers)} ${JSON.stringify(body ?? null)}`,
--- a/packages/soak/src/scenarios/soak.steps.ts
+++ b/packages/soak/src/scenarios/soak.steps.ts
@@ -3,7 +3,7 @@
 import { Given, setDefaultTimeout, Then, When } from "@cucumber/cucumber";
 import { streams } from "@linkfall/ports";
 import { stateStoreName } from "@linkfall/state-store";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import type { FaultName } from "./faults.js";
 import { type Account, type Resource, resourceKey } from "@linkfall/types";
 import { type AccountName, domains, soakResources, tokenOf } from "./resources.js";
@@ -44,13 +44,13 @@
 When("the log goes down and a box joins", async function (this: object) {
   const world = worldOf(this);
   world.log.faults.down = true;
-  notes(this).set("box", await world.startBox("b4"));
+  scenarioState(this).set("box", await world.startBox("b4"));
 });
 
 Then("the new box serves every model within 5 s", async function (this: object) {
   const world = worldOf(this);
   await world.clock.runUntil(world.clock.now() + 5_000);
-  const outcomes = await probeAllModels(world, notes(this).get<WorldBox>("box"));
+  const outcomes = await probeAllModels(world, scenarioState(this).get<WorldBox>("box"));
   assert.deepEqual(outcomes, Array(modelCount).fill("answered"));
 });
 
@@ -60,7 +60,7 @@
     const world = worldOf(this);
     for (const box of [...world.boxes]) world.removeBox(box);
     world.log.truncate(streams.state, 3);
-    notes(this).set("box", await world.startBox("b4"));
+    scenarioState(this).set("box", await world.startBox("b4"));
     await world.clock.runUntil(world.clock.now() + 10_000);
   },
 );
@@ -68,14 +68,14 @@
 Then(
   "the new box is not ready and rejects requests with {string}",
   async function (this: object, code: string) {
-    const box = notes(this).get<WorldBox>("box");
+    const box = scenarioState(this).get<WorldBox>("box");
     assert.equal(box.box.kernel.find(stateStoreName).ready(), false);
     const response = await box.box.callers.handle({
       method: "GET",
       path: "/v1/entries",
       headers: {},
       body: new Uint8Array(),
-      gone: new AbortController().signal,
+      signal: new AbortController().signal,
     });
     const { error } = JSON.parse(Buffer.from(response.body as Uint8Array).toString("utf8"));
     assert.equal(error.code, code);
@@ -115,7 +115,7 @@
       body: Buffer.from(
         JSON.stringify({ model: "m0", prompt: "long", max_tokens: 400, stream: true }),
       ),
-      gone: caller.signal,
+      signal: caller.signal,
     });
     await world.clock.runUntil(world.clock.now() + 1_000);
     assert.equal((await asked).status, 200);
@@ -172,7 +172,7 @@
         path: "/services/feed/snippets",
         headers: { authorization: `Bearer ${tokenOf("dispatch")}` },
         body: new Uint8Array(),
-        gone: new AbortController().signal,
+        signal: new AbortController().signal,
       });
       if (response && !(response.body instanceof Uint8Array)) {
         for await (const part of response.body) assert.ok(part.isRight());
@@ -184,14 +184,14 @@
       void sendOne(world.boxes[index % count]);
     }
     await world.clock.runUntil(world.clock.now() + 1_000);
-    notes(this).set("admittedRate", (admitted * 2) / seconds);
+    scenarioState(this).set("admittedRate", (admitted * 2) / seconds);
   },
 );
 
 Then(
   "between {int} and {int} requests per second were admitted in the last 15 s",
   function (this: object, minRate: number, maxRate: number) {
-    const rate = notes(this).get<number>("admittedRate");
+    const rate = scenarioState(this).get<number>("admittedRate");
     assert.ok(rate >= minRate && rate <= maxRate, `${rate} requests per second`);
   },
 );
@@ -205,7 +205,7 @@
     path: "/v1/writes",
     headers: { authorization: `Bearer ${operatorToken}` },
     body: Buffer.from(JSON.stringify({ changes: [{ action: "put", resource, base }] })),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
   await world.clock.runUntil(world.clock.now() + 3_000);
 }
--- a/packages/soak/src/scenarios/world-ports.ts
+++ b/packages/soak/src/scenarios/world-ports.ts
@@ -6,7 +6,7 @@
   BoxListPort,
   CallerResponse,
   EnginePort,
-  Listening,
+  ListenerStatus,
   LogPort,
   PeerPort,
   TargetPort,
@@ -101,8 +101,8 @@
         const engine = engineAt(world, address);
         if (engine && !engine.down) engine.core.order(order);
       };
-      if (random.fraction() < network.faults.repeatedOrders) network.deliverLate(deliverOrder);
-      if (random.fraction() < network.faults.lateOrders) {
+      if (random.nextFloat() < network.faults.repeatedOrders) network.deliverLate(deliverOrder);
+      if (random.nextFloat() < network.faults.lateOrders) {
         network.deliverLate(deliverOrder);
         return process.deliver(Promise.resolve(Left(targetLost(true))));
       }
@@ -133,13 +133,13 @@
 function createTargetPort({ world, name, process, trace }: BoxConnection): TargetPort {
   const { network, services } = world;
   return {
-    async listens(address) {
+    async probeListener(address) {
       const engine = engineAt(world, address);
       const service = services.find((entry) => entry.address === address);
       const endpoint = engine?.core.engine.name ?? address;
       const readState = async () => Right((engine ?? service)?.down ? "refuses" : "listens");
       const state = await process.deliver(network.exchange(name, endpoint, targetLost, readState));
-      return state.orDefault("unknown") as Listening;
+      return state.orDefault("unknown") as ListenerStatus;
     },
     async send(request, signal) {
       const engine = engineAt(world, request.address);
--- a/packages/stand-ins/src/http-stand-ins.ts
+++ b/packages/stand-ins/src/http-stand-ins.ts
@@ -42,7 +42,7 @@
       const [path, query] = request.path.split("?", 2);
       return handle(request, path, new URLSearchParams(query));
     },
-    defect(problem) {
+    onDefect(problem) {
       throw problem;
     },
   });
@@ -134,7 +134,7 @@
         const response = core.complete(attempt, parseBody<EngineRequest>(request));
         return toCallerResponse({
           ...response,
-          body: untilDisconnected(response.body, request.gone),
+          body: untilDisconnected(response.body, request.signal),
         });
       })
       .with(["GET", P._], () =>
--- a/packages/stand-ins/src/log-core.ts
+++ b/packages/stand-ins/src/log-core.ts
@@ -87,19 +87,19 @@
     faults,
     async append(stream, data) {
       if (faults.down) return unavailable("down");
-      if (faults.slowMs > 0) await sleep(clock, faults.slowMs * random.fraction());
+      if (faults.slowMs > 0) await sleep(clock, faults.slowMs * random.nextFloat());
       if (!bucket.take()) {
         refusedCount += 1;
         return Left({ kind: "log_busy" });
       }
       const offset = appendEntry(stream, data);
-      if (faults.slowMs > 0) await sleep(clock, faults.slowMs * random.fraction());
-      if (random.fraction() < faults.loseReplies) return unavailable("no reply");
+      if (faults.slowMs > 0) await sleep(clock, faults.slowMs * random.nextFloat());
+      if (random.nextFloat() < faults.loseReplies) return unavailable("no reply");
       return Right(offset);
     },
     async read(stream, from, limit) {
       if (faults.down) return unavailable("down");
-      if (faults.slowMs > 0) await sleep(clock, faults.slowMs * random.fraction());
+      if (faults.slowMs > 0) await sleep(clock, faults.slowMs * random.nextFloat());
       const list = entriesOf(stream);
       const newest = lastOffsets.get(stream) ?? 0;
       const first = list[0]?.offset ?? newest + 1;
--- a/packages/stand-ins/src/weight-store-http.ts
+++ b/packages/stand-ins/src/weight-store-http.ts
@@ -24,9 +24,9 @@
         const cancel = core.load(sizeMb, () =>
           resolve({ status: 200, headers: {}, body: Buffer.from("{}") }),
         );
-        request.gone.addEventListener("abort", cancel, { once: true });
+        request.signal.addEventListener("abort", cancel, { once: true });
       }),
-    defect(problem) {
+    onDefect(problem) {
       throw problem;
     },
   });
