--- a/packages/bench/src/deployments.ts
+++ b/packages/bench/src/deployments.ts
@@ -69,7 +69,7 @@
   stepMs: 160,
   stepPerRequestMs: 12,
   prefillMsPerCharacter: 0.12,
-  cachedPrefixes: 24,
+  maxCachedPrefixes: 24,
   prefixCharacters: 512,
 };
 
@@ -154,7 +154,7 @@
       engines,
       serviceAddresses,
       domains: shape.domains,
-      speeds: benchSpeeds,
+      batchOptions: benchSpeeds,
       weightMbPerSecond: 4_000,
     },
   };
--- a/packages/cli/src/operators.steps.ts
+++ b/packages/cli/src/operators.steps.ts
@@ -4,7 +4,7 @@
 import { join } from "node:path";
 import { PassThrough } from "node:stream";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { DeploymentProcesses, hashToken, operatorToken, until } from "@linkfall/stand-ins";
+import { DeploymentProcesses, hashToken, operatorToken, waitUntil } from "@linkfall/stand-ins";
 import { account, engine, model, scenarioState, pool } from "@linkfall/test-support";
 import type { Resource } from "@linkfall/types";
 import { stringify } from "yaml";
@@ -25,7 +25,7 @@
   await deployment.startPlatform();
   const runningEngine = await deployment.startEngine(engine("e1"));
   for (const name of ["box-1", "box-2"]) await deployment.startBox(name, "north");
-  await Promise.all(deployment.boxes.map((box) => deployment.untilReady(box)));
+  await Promise.all(deployment.boxes.map((box) => deployment.waitUntilReady(box)));
   const owner = account("one", { tokenHash: hashToken("one") });
   scenarioState(this).set("context", {
     deployment,
@@ -84,7 +84,7 @@
         await runAsOperator(this, ["get", "model", "notices"], operatorToken, box);
         return scenarioState(this).get("code") === 0;
       };
-      await until(inForce, () => scenarioState(this).get("text"));
+      await waitUntil(inForce, () => scenarioState(this).get("text"));
     }
   },
 );
--- a/packages/daemon/src/addresses.steps.ts
+++ b/packages/daemon/src/addresses.steps.ts
@@ -1,7 +1,12 @@
 import assert from "node:assert/strict";
 import { createServer, type Server } from "node:net";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { DeploymentProcesses, freeAddresses, loopback, type RunningBox } from "@linkfall/stand-ins";
+import {
+  DeploymentProcesses,
+  freeAddresses,
+  loopbackHost,
+  type RunningBox,
+} from "@linkfall/stand-ins";
 import { scenarioState } from "@linkfall/test-support";
 
 interface TestContext {
@@ -28,7 +33,7 @@
     const address = addresses[`${addressKind}_address`];
     const portHolder = createServer();
     const port = Number(address.split(":")[1]);
-    await new Promise<void>((resolve) => portHolder.listen(port, loopback, resolve));
+    await new Promise<void>((resolve) => portHolder.listen(port, loopbackHost, resolve));
     const boxSection = { name: "box-1", domain: "north", ...addresses };
     scenarioState(this).set("addressContext", { deployment, portHolder, boxSection, address });
   },
@@ -43,9 +48,9 @@
   "it exits with code {int} and logs the unavailable address, not a broken invariant",
   async function (this: object, code: number) {
     const box = scenarioState(this).get<RunningBox>("box");
-    assert.equal(await box.exited, code, box.errors());
-    assert.match(box.errors(), new RegExp(`cannot listen on ${contextOf(this).address}`));
-    assert.doesNotMatch(box.errors(), /invariantBroken/);
+    assert.equal(await box.exited, code, box.stderrText());
+    assert.match(box.stderrText(), new RegExp(`cannot listen on ${contextOf(this).address}`));
+    assert.doesNotMatch(box.stderrText(), /invariantBroken/);
   },
 );
 
--- a/packages/daemon/src/processes.steps.ts
+++ b/packages/daemon/src/processes.steps.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import {
-  answerLength,
+  answerTokenCount,
   DeploymentProcesses,
-  type EngineShape,
+  type EngineSpec,
   hashToken,
   operatorToken,
   type RunningBox,
   tokenAt,
-  until,
+  waitUntil,
 } from "@linkfall/stand-ins";
 import { account, model, scenarioState, pool } from "@linkfall/test-support";
 import type { Change, Resource } from "@linkfall/types";
@@ -23,7 +23,7 @@
   placement: { plan_ms: 300 },
 };
 
-const engineShapes: readonly EngineShape[] = [1, 2, 3, 4].map((number) => ({
+const engineShapes: readonly EngineSpec[] = [1, 2, 3, 4].map((number) => ({
   name: `e${number}`,
   pool: "p",
   domain: number % 2 === 0 ? "north" : "south",
@@ -71,7 +71,7 @@
     revision = response.revision;
     return response.kind === "accepted";
   };
-  await until(writeAccepted, () => "the write was not accepted");
+  await waitUntil(writeAccepted, () => "the write was not accepted");
   return revision;
 }
 
@@ -90,7 +90,7 @@
     for (const [index, domain] of ["north", "south", "north"].entries()) {
       await deployment.startBox(`box-${index + 1}`, domain, timingSettings);
     }
-    await Promise.all(deployment.boxes.map((box) => deployment.untilReady(box)));
+    await Promise.all(deployment.boxes.map((box) => deployment.waitUntilReady(box)));
     const owner = account("one", { tokenHash: hashToken(token) });
     // Two replicas of each model allow a stream to fail over.
     const models = modelNames.map((name) => model(name, { sizeMb: 20, minReplicas: 2 }));
@@ -101,7 +101,7 @@
         (status) => status.models.length > 0 && status.models.every((entry) => entry.ready >= 2),
       );
     };
-    await until(allModelsLoaded, () => "not all models were loaded");
+    await waitUntil(allModelsLoaded, () => "not all models were loaded");
   },
 );
 
@@ -134,7 +134,9 @@
 
 function expectedText(prompt: string): string {
   const request = { model: "model:a@1", prompt, max_tokens: maxTokens };
-  return Array.from({ length: answerLength(request) }, (_, at) => tokenAt(request, at)).join("");
+  return Array.from({ length: answerTokenCount(request) }, (_, at) => tokenAt(request, at)).join(
+    "",
+  );
 }
 
 /** Returns the text of a stream; fails unless it ends with the end marker. */
@@ -166,7 +168,7 @@
       () => "answered",
       () => "broken",
     );
-    await until(
+    await waitUntil(
       () => countRuns(deployment, prompt) === 1,
       () => "the request never started",
     );
@@ -204,7 +206,7 @@
     assert.ok(holder);
     const others = deployment.boxes.filter((box) => box !== holder);
     holder.child.kill("SIGSTOP");
-    await until(
+    await waitUntil(
       async () => (await findLeaseHolder(others)) !== undefined,
       () => "no other box acquired the lease",
     );
@@ -227,7 +229,7 @@
       const statuses = await Promise.all(deployment.boxes.map(fetchStatus));
       return statuses.every((status) => isReady(status, "a", "2"));
     };
-    await until(readyOnAllBoxes, () => "version 2 did not become ready");
+    await waitUntil(readyOnAllBoxes, () => "version 2 did not become ready");
     assert.deepEqual(deployment.violations(), []);
   },
 );
@@ -243,17 +245,17 @@
   async function (this: object) {
     const deployment = deploymentOf(this);
     const box = scenarioState(this).get<RunningBox>("box");
-    await deployment.untilReady(box);
+    await deployment.waitUntilReady(box);
     const prompt = "during the outage";
     const serves = async () => (await requestCompletion(box, { prompt })).status === 200;
-    await until(serves, () => "the new box does not serve");
+    await waitUntil(serves, () => "the new box does not serve");
     await deployment.post(deployment.logAddress, "/faults", { down: false });
     const revision = await write(box, [account("two")], 0);
     const inForce = async () => {
       const statuses = await Promise.all(deployment.boxes.map(fetchStatus));
       return statuses.every((status) => status.offset >= revision);
     };
-    await until(inForce, () => "the change is not in force on all boxes");
+    await waitUntil(inForce, () => "the change is not in force on all boxes");
   },
 );
 
@@ -266,7 +268,7 @@
   for (const name of ["box-1", "box-2", "box-3"]) {
     started.push(await deployment.startBox(name, "north", timingSettings));
   }
-  await Promise.all(started.map((box) => deployment.untilReady(box)));
+  await Promise.all(started.map((box) => deployment.waitUntilReady(box)));
   scenarioState(this).set("started", started);
 });
 
@@ -277,10 +279,10 @@
     for (const box of scenarioState(this).get<RunningBox[]>("started")) {
       const serves = async () =>
         (await requestCompletion(box, { prompt: "after the kill" })).status === 200;
-      await until(serves, () => "a new box does not serve");
+      await waitUntil(serves, () => "a new box does not serve");
       const reportsBothReplicas = async () =>
         (await fetchStatus(box)).models.every((entry) => entry.ready === 2);
-      await until(reportsBothReplicas, () => "a new box does not report both replicas");
+      await waitUntil(reportsBothReplicas, () => "a new box does not report both replicas");
     }
     assert.deepEqual(deployment.violations(), []);
   },
@@ -294,7 +296,7 @@
   const streams = prompts.map((prompt) =>
     requestCompletion(box, { prompt, stream: true }).then(readCompleteStream),
   );
-  await until(
+  await waitUntil(
     () => prompts.every((prompt) => countRuns(deployment, prompt) > 0),
     () => "not all streams started",
   );
@@ -334,7 +336,7 @@
   const stream = requestCompletion(deployment.boxes[0], { prompt, stream: true }).then(
     readCompleteStream,
   );
-  await until(
+  await waitUntil(
     () => countRuns(deployment, prompt) === 1,
     () => "the stream did not start",
   );
--- a/packages/daemon/src/tls.steps.ts
+++ b/packages/daemon/src/tls.steps.ts
@@ -3,7 +3,7 @@
 import { request } from "node:https";
 import { After, Given, Then } from "@cucumber/cucumber";
 import { createOperatorClient } from "@linkfall/operator-client";
-import { DeploymentProcesses, operatorToken, until } from "@linkfall/stand-ins";
+import { DeploymentProcesses, operatorToken, waitUntil } from "@linkfall/stand-ins";
 import { scenarioState } from "@linkfall/test-support";
 
 const certificateDirectory = "packages/daemon/test-certificates";
@@ -52,7 +52,7 @@
       const boxes = (await operator.boxes()).orDefault([]);
       return boxes.filter((entry) => entry.state === "alive").length === 2;
     };
-    await until(bothBoxesAlive, () => box.errors().slice(-1_000));
+    await waitUntil(bothBoxesAlive, () => box.stderrText().slice(-1_000));
     const unauthenticated = 401;
     assert.equal(await fetchStatusOverTls(box.callerAddress), unauthenticated);
     await assert.rejects(fetch(`http://${box.callerAddress}/v1/entries`));
--- a/packages/process-soak/src/tests/fault-series.ts
+++ b/packages/process-soak/src/tests/fault-series.ts
@@ -1,14 +1,15 @@
-/** Draws a series of faults from a seed: they overlap, and any may come more than once. */
+/** Draws a random series of faults, which may overlap and repeat. */
 import { pick, type Random } from "@linkfall/kernel";
 
-/** One kind of fault, and what it may strike. */
+/** A kind of fault and the subjects it can be injected into. */
 export interface FaultKind {
   readonly kind: string;
   readonly subjects: readonly string[];
-  /** Longest time that it lasts. */
+  /** Maximum duration, in addition to the minimum that every fault has. */
   readonly mostMs: number;
 }
 
+/** A fault at a time, in milliseconds from the start of the series. */
 export interface Fault {
   readonly atMs: number;
   readonly kind: string;
@@ -16,20 +17,20 @@
   readonly forMs: number;
 }
 
-const leastMs = 50;
+const minDurationMs = 50;
 
-/** Faults over `lengthMs`, in the order of their time; each ends within it. */
+/** Draws `count` faults, ordered by start. Each ends at most the minimum duration after `seriesMs`. */
 export function drawFaults(
   random: Random,
   kinds: readonly FaultKind[],
   count: number,
-  lengthMs: number,
+  seriesMs: number,
 ): readonly Fault[] {
-  const able = kinds.filter((kind) => kind.subjects.length > 0);
+  const applicableKinds = kinds.filter((kind) => kind.subjects.length > 0);
   const faults = Array.from({ length: count }, (): Fault => {
-    const { kind, subjects, mostMs } = pick(random, able);
-    const atMs = random.nextInt(lengthMs);
-    const forMs = leastMs + random.nextInt(Math.max(1, Math.min(mostMs, lengthMs - atMs)));
+    const { kind, subjects, mostMs } = pick(random, applicableKinds);
+    const atMs = random.nextInt(seriesMs);
+    const forMs = minDurationMs + random.nextInt(Math.max(1, Math.min(mostMs, seriesMs - atMs)));
     return { atMs, kind, subject: pick(random, subjects), forMs };
   });
   return faults.sort((left, right) => left.atMs - right.atMs);
--- /dev/null
+++ b/packages/process-soak/src/tests/invariant-checks.ts
@@ -0,0 +1,207 @@
+/** Invariants that a soak test checks, as pure functions of what callers and targets recorded. */
+
+/** The result of a request as its caller observed it. Times are in milliseconds. */
+export interface Outcome {
+  readonly id: string;
+  readonly repeatable: boolean;
+  readonly sentAt: number;
+  readonly endedAt: number;
+  /** Absent if the connection ended without an answer. */
+  readonly status?: number;
+  /** Whether the whole answer was received. */
+  readonly complete: boolean;
+  /** Whether the answer is the one expected for this request. */
+  readonly matchesRequest: boolean;
+  readonly box: string;
+  /** Account of the key that was sent; absent if the key is unknown. */
+  readonly account?: string;
+}
+
+/** A request that a target started to run. */
+export interface TargetRun {
+  readonly id: string;
+  readonly target: string;
+  readonly at: number;
+  /** Values of the headers that the target received. */
+  readonly headerValues?: readonly string[];
+  /** Account that the target received with the request. */
+  readonly account?: string;
+}
+
+/** An order that an engine received. */
+export interface ReceivedOrder {
+  readonly engine: string;
+  readonly holder: string;
+  readonly epoch: number;
+  readonly at: number;
+}
+
+/** Whether a box had the route of a configuration version when it was polled. */
+export interface RouteProbe {
+  readonly box: string;
+  readonly incarnation: number;
+  readonly version: number;
+  readonly hasVersion: boolean;
+  readonly sentAt: number;
+  readonly endedAt: number;
+}
+
+/** A violated invariant. */
+export interface Finding {
+  readonly promise: string;
+  readonly detail: string;
+}
+
+/** Statuses that guarantee that the request has not run and will not run. */
+const rejectedStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const okStatus = 200;
+
+function groupRunsById(runs: readonly TargetRun[]): ReadonlyMap<string, readonly TargetRun[]> {
+  const runsByRequest = new Map<string, TargetRun[]>();
+  for (const run of runs) runsByRequest.set(run.id, [...(runsByRequest.get(run.id) ?? []), run]);
+  return runsByRequest;
+}
+
+/** Checks that requests that are not repeatable run at most once. */
+export function checkAtMostOnce(
+  outcomes: readonly Outcome[],
+  runs: readonly TargetRun[],
+): readonly Finding[] {
+  const runsByRequest = groupRunsById(runs);
+  return outcomes
+    .filter(({ id, repeatable }) => !repeatable && (runsByRequest.get(id)?.length ?? 0) > 1)
+    .map(({ id }) => ({
+      promise: "at most once",
+      detail: `${id} ran at ${targetsOf(runsByRequest, id)}`,
+    }));
+}
+
+/** Checks that requests rejected as not run have not run. */
+export function checkRejectedNotRun(
+  outcomes: readonly Outcome[],
+  runs: readonly TargetRun[],
+): readonly Finding[] {
+  const runsByRequest = groupRunsById(runs);
+  return outcomes
+    .filter(({ id, status }) => rejectedStatuses.has(status ?? 0) && runsByRequest.has(id))
+    .map(({ id, status }) => ({
+      promise: "not run is true",
+      detail: `${id} was rejected with ${status} and ran at ${targetsOf(runsByRequest, id)}`,
+    }));
+}
+
+function targetsOf(runsByRequest: ReadonlyMap<string, readonly TargetRun[]>, id: string): string {
+  return (runsByRequest.get(id) ?? []).map((run) => run.target).join(", ");
+}
+
+/** Checks that no header forged by a caller reaches a target; forged headers have the value `forgedValue`. */
+export function checkNoForgedHeaders(
+  runs: readonly TargetRun[],
+  forgedValue: string,
+): readonly Finding[] {
+  return runs
+    .filter(({ headerValues }) => headerValues?.includes(forgedValue))
+    .map(({ id, target }) => ({
+      promise: "callers do not steer targets",
+      detail: `${id} reached ${target} with a header that callers must not set`,
+    }));
+}
+
+/** Checks that targets receive only requests of known accounts, with the right account and without any key. */
+export function checkAccountsOfRuns(
+  outcomes: readonly Outcome[],
+  runs: readonly TargetRun[],
+  keys: readonly string[],
+): readonly Finding[] {
+  const accountsById = new Map(outcomes.map(({ id, account }) => [id, account]));
+  return runs
+    .filter(({ id }) => accountsById.has(id))
+    .filter(({ id, account, headerValues = [] }) => {
+      const expectedAccount = accountsById.get(id);
+      return (
+        expectedAccount === undefined ||
+        expectedAccount !== account ||
+        keys.some((key) => headerValues.includes(key))
+      );
+    })
+    .map(({ id, target, account }) => ({
+      promise: "requests belong to accounts",
+      detail: `${id} of account ${accountsById.get(id) ?? "nobody"} reached ${target} with account ${account ?? "nobody"}, or with a key`,
+    }));
+}
+
+/** Checks that a successful, complete answer is the one expected for its request. */
+export function checkCompleteAnswers(outcomes: readonly Outcome[]): readonly Finding[] {
+  return outcomes
+    .filter(
+      ({ status, complete, matchesRequest }) => status === okStatus && complete && !matchesRequest,
+    )
+    .map(({ id, box }) => ({
+      promise: "whole and own answers",
+      detail: `${id} got a wrong or truncated answer as complete from ${box}`,
+    }));
+}
+
+/** Checks that all orders of an epoch come from the same lease holder. */
+export function checkOneHolderPerEpoch(orders: readonly ReceivedOrder[]): readonly Finding[] {
+  const holdersByEpoch = new Map<number, string>();
+  return orders.flatMap(({ engine, holder, epoch }) => {
+    const firstHolder = holdersByEpoch.get(epoch) ?? holder;
+    holdersByEpoch.set(epoch, firstHolder);
+    if (firstHolder === holder) return [];
+    return [
+      {
+        promise: "one order giver",
+        detail: `${engine} received orders from ${firstHolder} and ${holder} in epoch ${epoch}`,
+      },
+    ];
+  });
+}
+
+/** Checks that an incarnation of a box does not lose a configuration version before it is replaced. */
+export function checkNoConfigurationRollback(
+  probes: readonly RouteProbe[],
+  replacedAt: (version: number) => number,
+): readonly Finding[] {
+  const latestProbes = new Map<string, RouteProbe>();
+  return probes.flatMap((probe) => {
+    const key = `${probe.box} ${probe.incarnation}`;
+    const latest = latestProbes.get(key);
+    if (probe.hasVersion && (!latest || probe.version >= latest.version))
+      latestProbes.set(key, probe);
+    if (probe.hasVersion || !latest) return [];
+    const lostBeforeReplaced =
+      latest.version === probe.version && probe.endedAt < replacedAt(probe.version);
+    const sentAfterLatest = probe.sentAt > latest.endedAt;
+    if (!lostBeforeReplaced || !sentAfterLatest) return [];
+    return [
+      {
+        promise: "a configuration does not revert",
+        detail: `${probe.box} lost version ${probe.version}`,
+      },
+    ];
+  });
+}
+
+/** Checks that a leaving target starts no request after `drainedAt`. */
+export function checkDraining(
+  runs: readonly TargetRun[],
+  target: string,
+  drainedAt: number,
+): readonly Finding[] {
+  const lateRuns = runs.filter((run) => run.target === target && run.at > drainedAt);
+  return lateRuns.map(({ id }) => ({
+    promise: "a leaving target gets nothing new",
+    detail: `${id} started at ${target} after it was drained`,
+  }));
+}
+
+/** Checks that every request of a period without faults gets a complete, successful answer. */
+export function checkAllAnswered(outcomes: readonly Outcome[], period: string): readonly Finding[] {
+  return outcomes
+    .filter(({ status, complete }) => status !== okStatus || !complete)
+    .map(({ id, status, box }) => ({
+      promise: `every request is answered ${period}`,
+      detail: `${id} got ${status ?? "no answer"} from ${box}`,
+    }));
+}
--- a/packages/process-soak/src/tests/supervised-process.ts
+++ b/packages/process-soak/src/tests/supervised-process.ts
@@ -1,81 +1,83 @@
-/** A real process that is started again whenever it ends, as the platform does it. */
+/** A child process that is restarted whenever it exits, as the platform does. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { closeSync, openSync } from "node:fs";
 
-export interface ProcessInput {
+/** Command and restart settings of a supervised process. */
+export interface ProcessOptions {
   readonly name: string;
   readonly command: string;
   readonly args: readonly string[];
   readonly env: Readonly<Record<string, string>>;
-  /** Takes standard output and standard error of all its lives. */
+  /** Standard output and standard error of all incarnations are appended to this file. */
   readonly logFile: string;
-  /** Time from an end to the next start. */
-  readonly restartMs: number;
+  /** Delay between an exit and the next start. */
+  readonly restartDelayMs: number;
 }
 
+/** A process under supervision. */
 export interface SupervisedProcess {
   readonly name: string;
-  /** Counts starts; 1 during the first. */
-  life(): number;
+  /** Number of starts, from 1. */
+  incarnation(): number;
   running(): boolean;
-  /** Sends a signal to the process of now, if there is one. */
+  /** Sends a signal to the current process, if one is running. */
   signal(signal: NodeJS.Signals): void;
-  /** Ends of its own that no signal explains: exit codes, in order. */
-  ownEnds(): readonly number[];
-  /** Ends the process for good. */
-  end(): Promise<void>;
+  /** Exit codes of exits that no signal of the supervisor caused, in order; -1 without a code. */
+  unexpectedExitCodes(): readonly number[];
+  /** Kills the process and does not restart it. */
+  stop(): Promise<void>;
 }
 
-/** Signals after which an end is no wonder. */
-const endingSignals: ReadonlySet<NodeJS.Signals> = new Set(["SIGTERM", "SIGKILL"]);
+/** Signals that are expected to end the process. */
+const terminatingSignals: ReadonlySet<NodeJS.Signals> = new Set(["SIGTERM", "SIGKILL"]);
 
-/** Starts the process. */
-export function superviseProcess(input: ProcessInput): SupervisedProcess {
-  const ownEnds: number[] = [];
-  let life = 0;
-  let ended = false;
-  let asked = false;
+/** Starts a process and keeps it running until it is stopped. */
+export function superviseProcess(options: ProcessOptions): SupervisedProcess {
+  const unexpectedExitCodes: number[] = [];
+  let incarnation = 0;
+  let stopped = false;
+  let exitExpected = false;
   let child: ChildProcess | undefined;
-  let restart: NodeJS.Timeout | undefined;
+  let restartTimer: NodeJS.Timeout | undefined;
 
   const start = () => {
-    life += 1;
-    asked = false;
-    const log = openSync(input.logFile, "a");
-    child = spawn(input.command, input.args, {
-      env: { PATH: process.env.PATH, ...input.env },
+    incarnation += 1;
+    exitExpected = false;
+    const log = openSync(options.logFile, "a");
+    child = spawn(options.command, options.args, {
+      env: { PATH: process.env.PATH, ...options.env },
       stdio: ["ignore", log, log],
     });
     closeSync(log);
     child.once("exit", (code) => {
       child = undefined;
-      if (!asked) ownEnds.push(code ?? -1);
-      if (!ended) restart = setTimeout(start, input.restartMs);
+      if (!exitExpected) unexpectedExitCodes.push(code ?? -1);
+      if (!stopped) restartTimer = setTimeout(start, options.restartDelayMs);
     });
   };
   start();
 
   return {
-    name: input.name,
-    life: () => life,
+    name: options.name,
+    incarnation: () => incarnation,
     running: () => child !== undefined,
     signal(signal) {
-      if (endingSignals.has(signal)) asked = true;
+      if (terminatingSignals.has(signal)) exitExpected = true;
       child?.kill(signal);
     },
-    ownEnds: () => ownEnds,
-    async end() {
-      ended = true;
-      clearTimeout(restart);
-      const last = child;
-      if (!last) return;
-      asked = true;
-      const gone = new Promise<void>((resolve) => {
-        last.once("exit", () => resolve());
+    unexpectedExitCodes: () => unexpectedExitCodes,
+    async stop() {
+      stopped = true;
+      clearTimeout(restartTimer);
+      const lastChild = child;
+      if (!lastChild) return;
+      exitExpected = true;
+      const exited = new Promise<void>((resolve) => {
+        lastChild.once("exit", () => resolve());
       });
-      last.kill("SIGCONT");
-      last.kill("SIGKILL");
-      await gone;
+      lastChild.kill("SIGCONT");
+      lastChild.kill("SIGKILL");
+      await exited;
     },
   };
 }
--- a/packages/soak/src/scenarios/callers.ts
+++ b/packages/soak/src/scenarios/callers.ts
@@ -1,43 +1,48 @@
-/** Callers of a run. Each checks what it is told against what the targets really did. */
+/** Simulated callers. They check the outcomes that boxes report against the runs at the targets. */
 import { pick, sleep } from "@linkfall/kernel";
 import type { BodyPart, CallerRequest, CallerResponse, HeaderMap } from "@linkfall/ports";
-import { answerLength, tokenAt } from "@linkfall/stand-ins";
+import { answerTokenCount, tokenAt } from "@linkfall/stand-ins";
 import type { Milliseconds } from "@linkfall/types";
 import { type AccountName, accounts, tokenOf } from "./resources.js";
 import type { World, WorldBox } from "./world.js";
 
-const meanGapMs: Milliseconds = 60;
-const repeatGapMs: Milliseconds = 300;
-const sendings = 4;
+const meanRequestIntervalMs: Milliseconds = 60;
+const retryDelayMs: Milliseconds = 300;
+const maxAttempts = 4;
 const maxTokens = 10;
-const modelsCalled = 10;
-/** The setting of 6 s, and a margin for word of peers that was under way. */
-const longestStaleMs: Milliseconds = 7_000;
+const calledModels = 10;
+/** `stale_serving_ms` of the settings plus a margin for heartbeats in transit. */
+const maxStaleServingMs: Milliseconds = 7_000;
 
-/** What one sending of a request came to, in the eyes of its caller. */
-export type Told = "answered" | "not_run" | "failed" | "outcome_unknown" | "cut" | "no_connection";
+/** Outcome of one attempt as the caller observed it. */
+export type ReportedOutcome =
+  "answered" | "not_run" | "failed" | "outcome_unknown" | "cut" | "no_connection";
 
-interface Conversation {
+/** A request and the outcomes of its attempts. */
+interface RequestHistory {
   readonly key: string;
   readonly repeatable: boolean;
-  readonly told: Told[];
+  readonly outcomes: ReportedOutcome[];
 }
 
-interface Directory {
+/** Boxes and ticket that an account received from `/v1/entries`. */
+interface CachedEntries {
   entries: readonly string[];
   ticket: string;
-  until: Milliseconds;
+  validUntil: Milliseconds;
 }
 
+/** The callers of a simulated deployment. */
 export interface Callers {
   /** Sends requests until the given time; resolves when all have ended. */
   run(until: Milliseconds): Promise<void>;
-  /** Sends one request to a model through a box and says what came of it. */
-  probe(box: WorldBox, account: AccountName, model: string): Promise<Told>;
-  /** Compares what callers were told with the runs at the targets. */
+  /** Sends one request for a model to a box and resolves to its outcome. */
+  probe(box: WorldBox, account: AccountName, model: string): Promise<ReportedOutcome>;
+  /** Checks the reported outcomes against the runs at the targets. */
   check(): void;
-  counts(): ReadonlyMap<Told, number>;
-  /** Requests that have had no answer of any kind. */
+  /** Number of requests by final outcome. */
+  outcomeCounts(): ReadonlyMap<ReportedOutcome, number>;
+  /** Requests without any outcome. */
   unanswered(): readonly string[];
 }
 
@@ -54,7 +59,7 @@
   return { text, cut };
 }
 
-/** The text of a streamed answer; undefined when its end marker is missing. */
+/** Returns the text of a streamed answer, or undefined if the end marker is missing. */
 function streamedText(text: string): string | undefined {
   const events = text.split("\n\n").filter((event) => event !== "");
   if (events.at(-1) !== "data: [DONE]") return undefined;
@@ -64,12 +69,12 @@
     .join("");
 }
 
-/** Creates the callers of a world. */
+/** Creates the callers of a simulated deployment. */
 export function createCallers(world: World): Callers {
   const { clock, random } = world;
-  const conversations: Conversation[] = [];
-  const directories = new Map<AccountName, Directory>();
-  let sent = 0;
+  const histories: RequestHistory[] = [];
+  const cachedEntries = new Map<AccountName, CachedEntries>();
+  let startedRequests = 0;
 
   const request = (
     account: AccountName,
@@ -84,9 +89,9 @@
     signal: new AbortController().signal,
   });
 
-  const directoryOf = async (account: AccountName): Promise<Directory | undefined> => {
-    const known = directories.get(account);
-    if (known && clock.now() < known.until) return known;
+  const entriesFor = async (account: AccountName): Promise<CachedEntries | undefined> => {
+    const cached = cachedEntries.get(account);
+    if (cached && clock.now() < cached.validUntil) return cached;
     const live = world.liveBoxes();
     if (live.length === 0) return undefined;
     const response = await world.call(
@@ -96,165 +101,188 @@
     if (!response || response.status !== 200) return undefined;
     const answer = JSON.parse((await readBody(response)).text);
     if (!answer.ticket) return undefined;
-    const directory = {
+    const entries = {
       entries: answer.entries.map((entry: { box: string }) => entry.box),
       ticket: answer.ticket.id,
-      until: clock.now() + answer.lifetime_ms,
+      validUntil: clock.now() + answer.lifetime_ms,
     };
-    directories.set(account, directory);
-    return directory;
+    cachedEntries.set(account, entries);
+    return entries;
   };
 
-  /** The start of the named box that an address leads to now. */
-  const boxNamed = (name: string) =>
+  /** Finds the current incarnation of a box. */
+  const findBox = (name: string) =>
     world.boxes.find((box) => box.name === name && box.process.state() !== "dead");
 
-  const toldBy = async (
+  const outcomeOf = async (
     response: CallerResponse | undefined,
     expected: string | undefined,
     streamed: boolean,
     key: string,
-  ): Promise<Told> => {
+  ): Promise<ReportedOutcome> => {
     if (!response) return "no_connection";
     const { text, cut } = await readBody(response);
     if (cut) return "cut";
-    if (response.status !== 200) return JSON.parse(text).error.outcome as Told;
+    if (response.status !== 200) return JSON.parse(text).error.outcome as ReportedOutcome;
     const answer = streamed ? streamedText(text) : undefined;
     if (streamed && answer === undefined) {
-      world.violation(`a fragment looked like a whole answer: ${key}`);
+      world.violation(`truncated answer was reported as complete: ${key}`);
     }
-    const got = streamed
+    const received = streamed
       ? answer
       : expected === undefined
         ? text
         : JSON.parse(text).choices?.[0]?.text;
-    if (expected !== undefined && got !== expected) {
-      world.violation(`wrong answer to ${key}: ${got} instead of ${expected}`);
+    if (expected !== undefined && received !== expected) {
+      world.violation(`wrong answer to ${key}: got ${received}, expected ${expected}`);
     }
     if (expected === undefined && !text.includes(key)) {
-      world.violation(`someone else's answer to ${key}: ${text}`);
+      world.violation(`answer of another request for ${key}: ${text}`);
     }
     return "answered";
   };
 
   const sendCompletion = async (
-    conversation: Conversation,
+    history: RequestHistory,
     account: AccountName,
     boxName: string,
     model: string,
     streamed: boolean,
     headers: HeaderMap,
   ) => {
-    const box = boxNamed(boxName);
+    const box = findBox(boxName);
     const sentAt = clock.now();
-    const prompt = conversation.key;
+    const prompt = history.key;
     const body = { model, prompt, max_tokens: maxTokens, stream: streamed };
     const response =
       box && (await world.call(box, request(account, "/v1/completions", body, headers)));
-    const asked = { model: `model:${model.replace("a", "m")}@`, prompt, max_tokens: maxTokens };
-    const length = answerLength(asked);
-    const expected = Array.from({ length }, (_, position) => tokenAt(asked, position)).join("");
-    const told = await toldBy(response, expected, streamed, prompt);
-    checkIsolation(box, sentAt, told);
-    conversation.told.push(told);
+    const engineRequest = {
+      model: `model:${model.replace("a", "m")}@`,
+      prompt,
+      max_tokens: maxTokens,
+    };
+    const length = answerTokenCount(engineRequest);
+    const expected = Array.from({ length }, (_, position) => tokenAt(engineRequest, position)).join(
+      "",
+    );
+    const outcome = await outcomeOf(response, expected, streamed, prompt);
+    checkIsolation(box, sentAt, outcome);
+    history.outcomes.push(outcome);
   };
 
   const sendService = async (
-    conversation: Conversation,
+    history: RequestHistory,
     account: AccountName,
     boxName: string,
     headers: HeaderMap,
   ) => {
-    const box = boxNamed(boxName);
-    const path = conversation.repeatable ? "/services/feed/snippets" : "/services/feed/alerts";
-    const body = { id: conversation.key };
+    const box = findBox(boxName);
+    const path = history.repeatable ? "/services/feed/snippets" : "/services/feed/alerts";
+    const body = { id: history.key };
     const response = box && (await world.call(box, request(account, path, body, headers)));
-    conversation.told.push(await toldBy(response, undefined, false, conversation.key));
+    history.outcomes.push(await outcomeOf(response, undefined, false, history.key));
   };
 
-  /** A box that has been cut off for long must not answer from what it last knew. */
-  const checkIsolation = (box: WorldBox | undefined, sentAt: Milliseconds, told: Told) => {
+  /** Checks that a box does not serve stale state after it has been isolated for too long. */
+  const checkIsolation = (
+    box: WorldBox | undefined,
+    sentAt: Milliseconds,
+    outcome: ReportedOutcome,
+  ) => {
     const since = box?.isolatedSince;
-    if (told !== "answered" || since === undefined) return;
+    if (outcome !== "answered" || since === undefined) return;
     const isolatedMs = sentAt - since;
-    if (isolatedMs > longestStaleMs) {
-      world.violation(`${box?.name} answered although cut off for ${isolatedMs} ms`);
+    if (isolatedMs > maxStaleServingMs) {
+      world.violation(`${box?.name} answered after being isolated for ${isolatedMs} ms`);
     }
   };
 
   type Send = (box: string, headers: HeaderMap) => Promise<void>;
 
-  /** A not repeatable request is sent again under its identifier after a broken connection. */
-  const converseOnce = async (directory: Directory, conversation: Conversation, send: Send) => {
-    const id = `${directory.ticket}/${conversation.key.replaceAll(" ", ".")}`;
+  /** Sends a non-repeatable request; retries with the same identifier after a broken connection. */
+  const sendNotRepeatable = async (
+    entryList: CachedEntries,
+    history: RequestHistory,
+    send: Send,
+  ) => {
+    const id = `${entryList.ticket}/${history.key.replaceAll(" ", ".")}`;
     const headers = { "linkfall-repeatable": "false", "linkfall-request-id": id };
-    const twiceAtOnce = random.nextFloat() < 0.2;
-    if (twiceAtOnce) void send(pick(random, directory.entries), headers);
-    for (let sending = 0; sending < sendings; sending++) {
-      await send(pick(random, directory.entries), headers);
-      const last = conversation.told.at(-1);
+    const sendDuplicate = random.nextFloat() < 0.2;
+    if (sendDuplicate) void send(pick(random, entryList.entries), headers);
+    for (let attempt = 0; attempt < maxAttempts; attempt++) {
+      await send(pick(random, entryList.entries), headers);
+      const last = history.outcomes.at(-1);
       if (last !== "no_connection" && last !== "cut") return;
-      await sleep(clock, repeatGapMs);
+      await sleep(clock, retryDelayMs);
     }
   };
 
-  const converse = async () => {
+  const sendRandomRequest = async () => {
     const account = pick(random, accounts);
-    const number = ++sent;
-    const directory = await directoryOf(account);
-    if (!directory || directory.entries.length === 0) return;
-    const kind = random.nextFloat();
-    const index = accounts.indexOf(account) + 2 * random.nextInt(modelsCalled / 2);
+    const number = ++startedRequests;
+    const entryList = await entriesFor(account);
+    if (!entryList || entryList.entries.length === 0) return;
+    const kindFraction = random.nextFloat();
+    const index = accounts.indexOf(account) + 2 * random.nextInt(calledModels / 2);
     const withAdapter = index < 3 && random.nextFloat() < 0.3;
     const model = withAdapter ? `a${index}` : `m${index}`;
     const streamed = random.nextFloat() < 0.5;
-    const isService = kind > 0.75;
-    const repeatable = isService ? kind > 0.9 : kind > 0.35;
+    const isService = kindFraction > 0.75;
+    const repeatable = isService ? kindFraction > 0.9 : kindFraction > 0.35;
     const key = `request ${number}`;
-    const conversation: Conversation = { key, repeatable, told: [] };
-    conversations.push(conversation);
+    const history: RequestHistory = { key, repeatable, outcomes: [] };
+    histories.push(history);
     const send: Send = (box, headers) =>
       isService
-        ? sendService(conversation, account, box, headers)
-        : sendCompletion(conversation, account, box, model, streamed, headers);
-    if (repeatable) await send(pick(random, directory.entries), {});
-    else await converseOnce(directory, conversation, send);
+        ? sendService(history, account, box, headers)
+        : sendCompletion(history, account, box, model, streamed, headers);
+    if (repeatable) await send(pick(random, entryList.entries), {});
+    else await sendNotRepeatable(entryList, history, send);
   };
 
   const runsOf = (key: string) => {
-    const ofService = [...world.runs].filter(([run]) => run.includes(`"${key}"`));
-    return (world.runs.get(key) ?? 0) + ofService.reduce((sum, [, count]) => sum + count, 0);
+    const serviceRuns = [...world.runs].filter(([run]) => run.includes(`"${key}"`));
+    return (world.runs.get(key) ?? 0) + serviceRuns.reduce((sum, [, count]) => sum + count, 0);
   };
 
   return {
     async run(until) {
-      const open = new Set<Promise<void>>();
+      const pendingRequests = new Set<Promise<void>>();
       while (clock.now() < until) {
-        const one: Promise<void> = converse().finally(() => open.delete(one));
-        open.add(one);
-        await sleep(clock, 2 * meanGapMs * random.nextFloat());
+        const pending: Promise<void> = sendRandomRequest().finally(() =>
+          pendingRequests.delete(pending),
+        );
+        pendingRequests.add(pending);
+        await sleep(clock, 2 * meanRequestIntervalMs * random.nextFloat());
       }
-      await Promise.all(open);
+      await Promise.all(pendingRequests);
     },
     async probe(box, account, model) {
-      const conversation: Conversation = { key: `probe ${++sent}`, repeatable: true, told: [] };
-      conversations.push(conversation);
-      await sendCompletion(conversation, account, box.name, model, false, {});
-      return conversation.told[0];
+      const history: RequestHistory = {
+        key: `probe ${++startedRequests}`,
+        repeatable: true,
+        outcomes: [],
+      };
+      histories.push(history);
+      await sendCompletion(history, account, box.name, model, false, {});
+      return history.outcomes[0];
     },
     check() {
-      for (const { key, repeatable, told } of conversations) {
+      for (const { key, repeatable, outcomes } of histories) {
         const runs = runsOf(key);
         if (!repeatable && runs > 1) world.violation(`${key} ran ${runs} times`);
-        const refused = told.length > 0 && told.every((word) => word === "not_run");
-        if (refused && runs > 0) world.violation(`${key} was refused as not run, yet it ran`);
+        const reportedNotRun =
+          outcomes.length > 0 && outcomes.every((outcome) => outcome === "not_run");
+        if (reportedNotRun && runs > 0)
+          world.violation(`${key} was reported as not run, but it ran`);
       }
     },
-    unanswered: () => conversations.filter(({ told }) => told.length === 0).map(({ key }) => key),
-    counts() {
-      const counts = new Map<Told, number>();
-      for (const { told } of conversations) {
-        const last = told.includes("answered") ? "answered" : told.at(-1);
+    unanswered: () =>
+      histories.filter(({ outcomes }) => outcomes.length === 0).map(({ key }) => key),
+    outcomeCounts() {
+      const counts = new Map<ReportedOutcome, number>();
+      for (const { outcomes } of histories) {
+        const last = outcomes.includes("answered") ? "answered" : outcomes.at(-1);
         if (last) counts.set(last, (counts.get(last) ?? 0) + 1);
       }
       return counts;
--- a/packages/soak/src/scenarios/operators.ts
+++ b/packages/soak/src/scenarios/operators.ts
@@ -1,4 +1,4 @@
-/** Operators who race one another. They check that an accepted change comes into force and stays. */
+/** Simulated operators that write concurrently and check that accepted changes come into force in time. */
 import { pick, sleep } from "@linkfall/kernel";
 import { stateStoreName } from "@linkfall/state-store";
 import {
@@ -12,15 +12,19 @@
 import { operatorToken } from "./settings.js";
 import type { World, WorldBox } from "./world.js";
 
-const gapMs: Milliseconds = 1_800;
-const inForceLimitMs: Milliseconds = 5_000;
-const sampleMs: Milliseconds = 100;
+const writeIntervalMs: Milliseconds = 1_800;
+const inForceDeadlineMs: Milliseconds = 5_000;
+const pollIntervalMs: Milliseconds = 100;
 
+/** The operators of a simulated deployment. */
 export interface Operators {
-  /** Writes the first desired state; resolves when it is accepted. */
-  begin(): Promise<void>;
+  /** Writes the initial desired state, with retries; resolves when it is accepted. */
+  writeInitialState(): Promise<void>;
+  /** Writes random changes until the given time. */
   run(until: Milliseconds): Promise<void>;
+  /** Number of accepted writes. */
   accepted(): number;
+  /** Number of writes rejected with a revision conflict. */
   conflicts(): number;
 }
 
@@ -29,10 +33,10 @@
   readonly revision?: Revision;
 }
 
-/** Creates the operators of a world. */
+/** Creates the operators of a simulated deployment. */
 export function createOperators(world: World): Operators {
   const { clock, random } = world;
-  const wonBases = new Map<string, Revision>();
+  const acceptedRevisions = new Map<string, Revision>();
   let accepted = 0;
   let conflicts = 0;
   let version = 1;
@@ -45,35 +49,35 @@
       body: Buffer.from(JSON.stringify({ changes })),
       signal: new AbortController().signal,
     };
-    const response = await box.process.gate(box.box.operators.handle(request));
+    const response = await box.process.deliver(box.box.operators.handle(request));
     const result = JSON.parse(Buffer.from(response.body as Uint8Array).toString("utf8"));
-    if (result.kind === "accepted") noteAccepted(changes, result.revision);
+    if (result.kind === "accepted") recordAccepted(changes, result.revision);
     if (result.kind === "revision_conflict") conflicts += 1;
     return result;
   };
 
-  const noteAccepted = (changes: readonly Change[], revision: Revision) => {
+  const recordAccepted = (changes: readonly Change[], revision: Revision) => {
     accepted += 1;
     for (const change of changes) {
       const key = resourceKey(change.action === "put" ? change.resource : change.name);
-      const won = `${key} based on ${change.base}`;
-      if (wonBases.has(won) && wonBases.get(won) !== revision) {
-        world.violation(`two writes of ${won} were accepted`);
+      const acceptedBase = `${key} based on ${change.base}`;
+      if (acceptedRevisions.has(acceptedBase) && acceptedRevisions.get(acceptedBase) !== revision) {
+        world.violation(`two writes of ${acceptedBase} were accepted`);
       }
-      wonBases.set(won, revision);
+      acceptedRevisions.set(acceptedBase, revision);
     }
     for (const box of world.liveBoxes()) void awaitInForce(box, revision);
   };
 
-  /** A box that no fault touches meanwhile must have the change in force in time. */
+  /** Checks that a change comes into force in time on a box that no fault disturbs. */
   const awaitInForce = async (box: WorldBox, revision: Revision) => {
     const start = clock.now();
     const store = box.box.kernel.find(stateStoreName);
     while (store.state().offset < revision) {
-      await sleep(clock, sampleMs);
-      const touched = box.disturbances > 0 || box.disturbedAt > start - inForceLimitMs;
-      if (touched || box.process.state() !== "running") return;
-      if (clock.now() - start > inForceLimitMs) {
+      await sleep(clock, pollIntervalMs);
+      const disturbed = box.disturbances > 0 || box.disturbedAt > start - inForceDeadlineMs;
+      if (disturbed || box.process.state() !== "running") return;
+      if (clock.now() - start > inForceDeadlineMs) {
         world.violation(`revision ${revision} is not in force on ${box.name} after 5 s`);
         return;
       }
@@ -83,7 +87,7 @@
   const storedRevision = (box: WorldBox, resource: Resource): Revision =>
     box.box.kernel.find(stateStoreName).state().resources.get(resourceKey(resource))?.revision ?? 0;
 
-  const wished = (): Resource => {
+  const randomResource = (): Resource => {
     const index = random.nextInt(10);
     const kind = random.nextFloat();
     if (kind < 0.2 && index < 3) return soakAdapter(index, String(++version));
@@ -93,19 +97,19 @@
     return { ...engine, role } as Resource;
   };
 
-  /** Two operators change the same resource from the same revision through two boxes. */
-  const race = async () => {
+  /** Writes a random change, sometimes twice at once through different boxes with the same base revision. */
+  const writeConcurrently = async () => {
     const live = world.liveBoxes();
     if (live.length === 0) return;
     const [one, two] = [pick(random, live), pick(random, live)];
-    const resource = wished();
+    const resource = randomResource();
     const base = storedRevision(one, resource);
-    const rivals = random.nextFloat() < 0.4 ? [one, two] : [one];
-    await Promise.all(rivals.map((box) => write(box, [{ action: "put", resource, base }])));
+    const writers = random.nextFloat() < 0.4 ? [one, two] : [one];
+    await Promise.all(writers.map((box) => write(box, [{ action: "put", resource, base }])));
   };
 
   return {
-    async begin() {
+    async writeInitialState() {
       const changes = soakResources().map((resource): Change => ({
         action: "put",
         resource,
@@ -114,13 +118,13 @@
       for (;;) {
         const result = await write(world.boxes[0], changes);
         if (result.kind === "accepted") return;
-        await sleep(clock, gapMs);
+        await sleep(clock, writeIntervalMs);
       }
     },
     async run(until) {
       while (clock.now() < until) {
-        void race();
-        await sleep(clock, 2 * gapMs * random.nextFloat());
+        void writeConcurrently();
+        await sleep(clock, 2 * writeIntervalMs * random.nextFloat());
       }
     },
     accepted: () => accepted,
--- a/packages/soak/src/scenarios/left-alone.steps.ts
+++ b/packages/soak/src/scenarios/retry-after.steps.ts
@@ -2,14 +2,13 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import type { CallerResponse } from "@linkfall/ports";
 import { scenarioState } from "@linkfall/test-support";
-import { bodies, sendOnce } from "./crashing-requests.steps.js";
-import { worldOf } from "./rest.js";
+import { requestsByKind, sendAndWait } from "./crashing-requests.steps.js";
+import { worldOf } from "./idle-deployment.js";
 
-/** Between two calls. */
-const betweenMs = 200;
+const callIntervalMs = 200;
 
 Given(
-  "one target of the service asks to be left alone for {int} s",
+  "one target of the service rejects calls with a retry-after of {int} s",
   function (this: object, seconds: number) {
     worldOf(this).services[0].retryAfter = String(seconds);
   },
@@ -22,20 +21,20 @@
     const answers: CallerResponse[] = [];
     for (let index = 0; index < count; index++) {
       const box = world.boxes[index % world.boxes.length];
-      const call = bodies["a call of the service"](`call ${index}`);
-      answers.push(await sendOnce(world, box, account, call, betweenMs));
+      const call = requestsByKind["a call of the service"](`call ${index}`);
+      answers.push(await sendAndWait(world, box, account, call, callIntervalMs));
     }
     scenarioState(this).set("answers of the service", answers);
   },
 );
 
-Then("that target got no more than one call from each box", function (this: object) {
+Then("that target received at most one call from each box", function (this: object) {
   const { services, boxes } = worldOf(this);
-  const { arrivals } = services[0];
-  assert.ok(arrivals > 0 && arrivals <= boxes.length, `${arrivals} calls`);
+  const { receivedCalls } = services[0];
+  assert.ok(receivedCalls > 0 && receivedCalls <= boxes.length, `${receivedCalls} calls`);
 });
 
-Then("every call was answered {int}", function (this: object, status: number) {
+Then("every call was answered with {int}", function (this: object, status: number) {
   const answers = scenarioState(this).get<CallerResponse[]>("answers of the service");
   assert.deepEqual([...new Set(answers.map((answer) => answer.status))], [status]);
 });
--- a/packages/soak/src/scenarios/run-seed.ts
+++ b/packages/soak/src/scenarios/run-seed.ts
@@ -1,101 +1,106 @@
-/** One randomised run: a world, callers, operators and faults from one seed, and the checks at its end. */
+/** Runs a simulated deployment with callers, operators and faults from one seed, and checks its invariants. */
 import { membershipName } from "@linkfall/membership";
 import { type StreamName, streams } from "@linkfall/ports";
 import { serialiseState } from "@linkfall/state-fold";
 import { stateStoreName } from "@linkfall/state-store";
 import type { Milliseconds } from "@linkfall/types";
-import { createCallers, type Told } from "./callers.js";
+import { createCallers, type ReportedOutcome } from "./callers.js";
 import { type FaultName, faultsByName, injectFaults } from "./faults.js";
 import { createOperators } from "./operators.js";
 import { accounts, boxNames, soakModel } from "./resources.js";
 import type { ExtraSettings } from "./settings.js";
 import { createWorld, type World, type WorldBox, type WorldOptions } from "./world.js";
 
-const startMs: Milliseconds = 12_000;
+const faultsFromMs: Milliseconds = 12_000;
 const faultsUntilMs: Milliseconds = 60_000;
-const quietUntilMs: Milliseconds = 95_000;
-/** Length of a run. */
+const probeAtMs: Milliseconds = 95_000;
+/** Duration of a run in virtual time. */
 export const endMs: Milliseconds = 112_000;
 const modelCount = 10;
 
-/** What a run showed. */
+/** Result of a run. */
 export interface SeedResult {
   readonly seed: number;
   readonly violations: readonly string[];
   readonly faults: readonly FaultName[];
-  readonly told: ReadonlyMap<Told, number>;
+  readonly outcomes: ReadonlyMap<ReportedOutcome, number>;
   readonly inForceTimes: readonly Milliseconds[];
   readonly acceptedWrites: number;
   readonly conflicts: number;
-  readonly appends: Appends;
+  readonly appends: LogAppends;
 }
 
-/** What the log took in a run. */
-export interface Appends {
-  /** Appends of each stream, over the whole run. */
+/** Appends to the log in a run. */
+export interface LogAppends {
+  /** Number of appends by stream. */
   readonly byStream: ReadonlyMap<StreamName, number>;
-  /** Most within any second. */
-  readonly busiestSecond: number;
+  /** Maximum within any one second, over all streams. */
+  readonly peakPerSecond: number;
 }
 
+/** Options of a run. */
 export interface SeedOptions extends WorldOptions {
-  /** Faults to draw from; all where none are named. */
+  /** Faults to choose from; all by default. */
   readonly faults?: readonly FaultName[];
-  /** Called with the world before the run, to look into it afterwards. */
+  /** Receives the simulated deployment before the run, for inspection. */
   readonly onWorld?: (world: World) => void;
 }
 
-const memberCheckMs: Milliseconds = 1_000;
-const memberGraceMs: Milliseconds = 5_000;
-/** After the end of a cut the next rounds of heartbeats bring word again. */
-const heardAgainMs: Milliseconds = 1_000;
-/** While the list is out, boxes that start find each other by the next claim of a lease in the log. */
-const nextClaimMs: Milliseconds = 7_000;
-
-/** Boxes that no fault has touched for some time, and that are not on their way out. */
-function steadyBoxes(world: World) {
-  const grace = world.list.down ? memberGraceMs + nextClaimMs : memberGraceMs;
-  const before = world.clock.now() - grace;
+const membershipCheckIntervalMs: Milliseconds = 1_000;
+const membershipGraceMs: Milliseconds = 5_000;
+/** Time after a healed partition in which heartbeats arrive again. */
+const reconnectGraceMs: Milliseconds = 1_000;
+/** While the box list is down, started boxes find each other through the next lease claim in the log. */
+const nextLeaseClaimMs: Milliseconds = 7_000;
+
+/** Returns the boxes that are not draining and have not been disturbed for a while. */
+function undisturbedBoxes(world: World) {
+  const graceMs = world.list.down ? membershipGraceMs + nextLeaseClaimMs : membershipGraceMs;
+  const disturbedBefore = world.clock.now() - graceMs;
   return world
     .liveBoxes()
-    .filter((box) => box.disturbances === 0 && box.disturbedAt < before && !box.draining);
+    .filter((box) => box.disturbances === 0 && box.disturbedAt < disturbedBefore && !box.draining);
 }
 
-/** Whether word of a box can come to another, directly or through a third. */
-function canHear(world: World, box: WorldBox, other: WorldBox): boolean {
-  const { wholeFor } = world.network;
-  const joined = (a: WorldBox, b: WorldBox) =>
-    Math.min(wholeFor(a.name, b.name), wholeFor(b.name, a.name)) >= heardAgainMs;
-  const thirds = steadyBoxes(world).filter((third) => third !== box && third !== other);
-  return joined(box, other) || thirds.some((third) => joined(box, third) && joined(third, other));
+/** Whether heartbeats of one box reach another, directly or relayed by a third. */
+function canReceiveFrom(world: World, box: WorldBox, other: WorldBox): boolean {
+  const { connectedForMs } = world.network;
+  const connected = (a: WorldBox, b: WorldBox) =>
+    Math.min(connectedForMs(a.name, b.name), connectedForMs(b.name, a.name)) >= reconnectGraceMs;
+  const relays = undisturbedBoxes(world).filter((relay) => relay !== box && relay !== other);
+  return (
+    connected(box, other) ||
+    relays.some((relay) => connected(box, relay) && connected(relay, other))
+  );
 }
 
-/** Boxes in good order must not suspect each other, whatever happens to others. */
-function checkMembers(world: World): void {
-  const steady = steadyBoxes(world);
-  for (const box of steady) {
+/** Checks periodically that undisturbed boxes do not suspect each other. */
+function checkMembership(world: World): void {
+  const boxes = undisturbedBoxes(world);
+  for (const box of boxes) {
     const alive = new Set(
       box.box.kernel
         .find(membershipName)
         .alive()
         .map((entry) => entry.incarnation),
     );
-    const missed = steady.find(
-      (other) => !alive.has(other.box.incarnation) && canHear(world, box, other),
+    const suspected = boxes.find(
+      (other) => !alive.has(other.box.incarnation) && canReceiveFrom(world, box, other),
     );
-    if (missed) world.violation(`${box.name} suspects ${missed.name} without a reason`);
+    if (suspected)
+      world.violation(`${box.name} suspects ${suspected.name}, which is alive and connected`);
   }
-  world.clock.after(memberCheckMs, () => checkMembers(world));
+  world.clock.after(membershipCheckIntervalMs, () => checkMembership(world));
 }
 
-/** Boxes that have read as far hold the same state. */
-function checkAgreement(world: World): void {
+/** Checks that boxes at the same log offset have the same state. */
+function checkStatesAgree(world: World): void {
   const byOffset = new Map<number, string>();
   for (const box of world.liveBoxes()) {
     const state = box.box.kernel.find(stateStoreName).state();
     const text = serialiseState(state);
-    const known = byOffset.get(state.offset);
-    if (known !== undefined && known !== text) {
+    const sameOffsetText = byOffset.get(state.offset);
+    if (sameOffsetText !== undefined && sameOffsetText !== text) {
       world.violation(`boxes disagree at offset ${state.offset}`);
     }
     byOffset.set(state.offset, text);
@@ -109,25 +114,26 @@
   for (const box of world.liveBoxes()) {
     for (let index = 0; index < modelCount; index++) {
       const account = accounts[index % accounts.length];
-      const told = await callers.probe(box, account, soakModel(index).name);
-      if (told !== "answered") {
-        world.violation(`model m${index} is not reachable through ${box.name}: ${told}`);
+      const outcome = await callers.probe(box, account, soakModel(index).name);
+      if (outcome !== "answered") {
+        world.violation(`model m${index} is not reachable through ${box.name}: ${outcome}`);
       }
     }
   }
 }
 
-/** The boxes keep their own limits, so that the log never has to refuse them. */
-function checkAppends({ log, violation }: World): void {
-  if (log.refusedBusy() > 0) violation(`the log refused ${log.refusedBusy()} appends as too many`);
+/** Checks that the boxes stay within the append rate limit of the log. */
+function checkAppendLimit({ log, violation }: World): void {
+  if (log.refusedAppends() > 0)
+    violation(`the log rejected ${log.refusedAppends()} appends over its rate limit`);
 }
 
-/** In every second seed the boxes divide the reading of reports among themselves. */
+/** Enables shared polling of reports for every second seed. */
 function settingsOf(seed: number): ExtraSettings {
   return { targets: { report_readers: seed % 2 } };
 }
 
-/** Runs one seed to its end. */
+/** Runs one seed and returns its result. */
 export async function runSeed(seed: number, options: SeedOptions = {}): Promise<SeedResult> {
   const world = createWorld(seed, { ...options, settings: options.settings ?? settingsOf(seed) });
   options.onWorld?.(world);
@@ -137,9 +143,9 @@
   let injected: readonly FaultName[] = [];
 
   const scenario = async () => {
-    await operators.begin();
-    const untilStart = new Promise<void>((resolve) => world.clock.after(startMs, resolve));
-    await untilStart;
+    await operators.writeInitialState();
+    const faultsStart = new Promise<void>((resolve) => world.clock.after(faultsFromMs, resolve));
+    await faultsStart;
     const faults = injectFaults(world, names, faultsUntilMs).then((list) => (injected = list));
     await Promise.all([faults, callers.run(faultsUntilMs + 5_000), operators.run(faultsUntilMs)]);
   };
@@ -148,28 +154,31 @@
   try {
     for (const name of boxNames) await world.startBox(name);
     const finished = scenario().catch(defect);
-    world.clock.after(startMs, () => checkMembers(world));
-    await world.clock.runUntil(quietUntilMs);
+    world.clock.after(faultsFromMs, () => checkMembership(world));
+    await world.clock.runUntil(probeAtMs);
     const probed = checkReachability(world, callers).catch(defect);
     await world.clock.runUntil(endMs);
     let ended = false;
     void Promise.all([finished, probed]).then(() => (ended = true));
     await new Promise((resolve) => setImmediate(resolve));
-    if (!ended) world.violation(`never ended: ${callers.unanswered().join(", ")}`);
+    if (!ended)
+      world.violation(
+        `requests without an outcome at the end of the run: ${callers.unanswered().join(", ")}`,
+      );
   } catch (problem) {
     defect(problem);
   } finally {
     process.off("unhandledRejection", defect);
   }
-  checkAgreement(world);
+  checkStatesAgree(world);
   world.checkWeights();
-  checkAppends(world);
+  checkAppendLimit(world);
   callers.check();
   return {
     seed,
     violations: world.violations,
     faults: injected,
-    told: callers.counts(),
+    outcomes: callers.outcomeCounts(),
     inForceTimes: world.inForceTimes,
     acceptedWrites: operators.accepted(),
     conflicts: operators.conflicts(),
@@ -177,11 +186,11 @@
   };
 }
 
-function appendsOf({ log }: World): Appends {
+function appendsOf({ log }: World): LogAppends {
   const names = Object.values(streams);
   return {
-    byStream: new Map(names.map((stream) => [stream, log.appended(stream)])),
-    busiestSecond: log.busiestSecond(),
+    byStream: new Map(names.map((stream) => [stream, log.appendCount(stream)])),
+    peakPerSecond: log.peakAppendsPerSecond(),
   };
 }
 
--- a/packages/soak/src/scenarios/settings.ts
+++ b/packages/soak/src/scenarios/settings.ts
@@ -1,22 +1,22 @@
-/** Settings of boxes and engines in a run: shorter times, so that more happens in it. */
+/** Settings of boxes and engines in a run. Intervals are shortened to exercise more events per run. */
 import { readSettings, type Settings } from "@linkfall/config";
-import type { BatchSpeeds } from "@linkfall/stand-ins";
+import type { BatchOptions } from "@linkfall/stand-ins";
 import { stringify } from "ini";
 
 export const operatorToken = "operator-of-the-soak";
 
-export const soakSpeeds: Omit<BatchSpeeds, "concurrency"> = {
+export const soakBatchOptions: Omit<BatchOptions, "concurrency"> = {
   stepMs: 40,
   stepPerRequestMs: 2,
   prefillMsPerCharacter: 0.05,
-  cachedPrefixes: 16,
+  maxCachedPrefixes: 16,
   prefixCharacters: 64,
 };
 
-/** Sections that a run may add to, or change. */
+/** Keys by section that are added to the settings or replace them. */
 export type ExtraSettings = Readonly<Record<string, Readonly<Record<string, string | number>>>>;
 
-/** Settings of one box. */
+/** Returns the settings of one box. */
 export function soakSettings(
   name: string,
   domain: string,
--- a/packages/soak/src/scenarios/world.ts
+++ b/packages/soak/src/scenarios/world.ts
@@ -1,10 +1,10 @@
-/** A whole deployment in one process: real boxes over stand-ins, a virtual clock and faulty links. */
+/** A simulated deployment in one process: real boxes, test doubles, a virtual clock and a faulty network. */
 import { type Box, type BoxPorts, createBox } from "@linkfall/box";
 import { createVirtualClock, type Random, seededRandom, type VirtualClock } from "@linkfall/kernel";
 import { type EventName, recordingLogger } from "@linkfall/logger";
 import { type CallerRequest, type CallerResponse, streams } from "@linkfall/ports";
 import {
-  type BatchSpeeds,
+  type BatchOptions,
   type BoxListCore,
   createBoxListCore,
   createEngineCore,
@@ -18,48 +18,49 @@
 } from "@linkfall/stand-ins";
 import { stateStoreName } from "@linkfall/state-store";
 import type { Engine, Milliseconds } from "@linkfall/types";
-import { raceDeath } from "./bodies.js";
+import { resolveUnlessKilled } from "./interruptible-bodies.js";
 import { checkStart, checkUnload, countRun, createEpochCheck } from "./engine-checks.js";
-import { createGatedProcess, type GatedProcess } from "./gated-process.js";
+import { createPausableProcess, type PausableProcess } from "./pausable-process.js";
 import { createNetwork, type Network } from "./network.js";
 import { domains, hashOf, serviceAddresses, soakEngines } from "./resources.js";
-import { type ExtraSettings, operatorToken, soakSettings, soakSpeeds } from "./settings.js";
-import { bodyOver, createWorldPorts, type Trace } from "./world-ports.js";
+import { type ExtraSettings, operatorToken, soakSettings, soakBatchOptions } from "./settings.js";
+import { withInterruptibleBody, createWorldPorts, type Trace } from "./world-ports.js";
 
 const listLagMs: Milliseconds = 700;
 const reportLagMs: Milliseconds = 300;
-/** Boxes that a fault touched within this time before an append are left out of its times. */
-const undisturbedMs: Milliseconds = 5_000;
-const weightLoadsAtOnce = 8;
-const serviceWorkMs: Milliseconds = 30;
-/** From the start of a run to the end of its process, where it brings that about. */
-const crashAfterMs: Milliseconds = 20;
-/** How long such a process is away. */
-const awayMs: Milliseconds = 2_000;
+/** Boxes disturbed within this time before an append are excluded from in-force times. */
+const disturbanceGraceMs: Milliseconds = 5_000;
+const maxConcurrentLoads = 8;
+const serviceCallMs: Milliseconds = 30;
+/** Time from the start of a crashing request to the crash of its target. */
+const crashDelayMs: Milliseconds = 20;
+/** Time until a crashed target restarts. */
+const downtimeMs: Milliseconds = 2_000;
 
-/** A box with the process that it runs in. */
+/** A box and its simulated process. */
 export interface WorldBox {
   readonly name: string;
   readonly peerAddress: string;
   readonly box: Box;
-  readonly process: GatedProcess;
-  /** Whether a planned stop has begun. */
+  readonly process: PausableProcess;
+  /** Whether the box is draining. */
   draining: boolean;
-  /** Faults that touch this box or its links now. */
+  /** Number of active faults of this box or its links. */
   disturbances: number;
-  /** Last time at which such a fault began or ended. */
+  /** Last time at which such a fault started or ended. */
   disturbedAt: Milliseconds;
-  /** Since when it has reached neither the log nor any other box. */
+  /** Time since which the box is partitioned from the log, the box list and all other boxes. */
   isolatedSince?: Milliseconds;
 }
 
-/** An engine that can be out of reach. */
+/** An engine that can be taken down. */
 export interface WorldEngine {
   readonly core: EngineCore;
   down: boolean;
   leavingSince?: Milliseconds;
 }
 
+/** A simulated deployment. */
 export interface World {
   readonly clock: VirtualClock;
   readonly random: Random;
@@ -68,38 +69,38 @@
   readonly list: BoxListCore;
   readonly weights: WeightStoreCore;
   readonly engines: readonly WorldEngine[];
-  /** Last time at which an engine restarted, stopped or began to leave. */
+  /** Last time at which an engine restarted, stopped or started leaving. */
   engineLostAt: Milliseconds;
   readonly services: readonly ServiceCore[];
   readonly boxes: WorldBox[];
-  /** A prompt, or a body of a service's call, that ends the process which runs it; it is back after a while. */
-  crashesOn?: string;
-  /** Targets that have ended by it. */
+  /** Prompt, or body of a service call, that crashes the target that runs it. */
+  crashTrigger?: string;
+  /** Number of targets crashed by it. */
   crashes: number;
-  /** Starts of a prompt at engines, and of a body at services. */
+  /** Number of runs by prompt at engines, and by path and body at services. */
   readonly runs: Map<string, number>;
   readonly violations: string[];
   violation(text: string): void;
   readonly eventCounts: Map<EventName, number>;
-  /** For each accepted write and box in good order: the time from the log to its being in force there. */
+  /** Time from the append of a write until it is in force, for each accepted write and undisturbed box. */
   readonly inForceTimes: Milliseconds[];
   startBox(name: string): Promise<WorldBox>;
   removeBox(box: WorldBox): void;
-  /** Boxes whose process runs. */
+  /** Boxes whose process is running. */
   liveBoxes(): readonly WorldBox[];
-  /** Sends a caller's request to a box; undefined when the connection breaks. */
+  /** Sends a caller's request to a box; resolves to undefined if the connection breaks. */
   call(box: WorldBox, request: CallerRequest): Promise<CallerResponse | undefined>;
-  /** Checks that the weight store's limit was kept. */
+  /** Checks that concurrent loads stayed within the limit of the weight store. */
   checkWeights(): void;
 }
 
-/** The targets of a world. */
+/** The targets of a simulated deployment. */
 export interface WorldTargets {
   readonly engines: readonly Engine[];
   readonly serviceAddresses: readonly string[];
   readonly domains: readonly string[];
-  readonly speeds: Omit<BatchSpeeds, "concurrency">;
-  /** What the weight store gives each load, in megabytes a second. */
+  readonly batchOptions: Omit<BatchOptions, "concurrency">;
+  /** Transfer rate of the weight store for each load. */
   readonly weightMbPerSecond: number;
 }
 
@@ -108,7 +109,7 @@
   engines: soakEngines,
   serviceAddresses,
   domains,
-  speeds: soakSpeeds,
+  batchOptions: soakBatchOptions,
   weightMbPerSecond: 1_500,
 };
 
@@ -118,7 +119,7 @@
   readonly trace?: Trace;
 }
 
-/** Creates a world without boxes. */
+/** Creates a simulated deployment without boxes. */
 export function createWorld(seed: number, options: WorldOptions = {}): World {
   const clock = createVirtualClock();
   const random = seededRandom(seed);
@@ -139,8 +140,8 @@
   };
   const checkEpoch = createEpochCheck(violation);
 
-  const crashSoon = (crash: () => void) => {
-    clock.after(crashAfterMs, () => {
+  const scheduleCrash = (crash: () => void) => {
+    clock.after(crashDelayMs, () => {
       world.crashes += 1;
       crash();
     });
@@ -149,7 +150,7 @@
     engine.down = true;
     engine.core.restart();
     world.engineLostAt = clock.now();
-    clock.after(awayMs, () => (engine.down = false));
+    clock.after(downtimeMs, () => (engine.down = false));
   };
 
   const engines: WorldEngine[] = targets.engines.map((declared) => {
@@ -160,40 +161,40 @@
         clock,
         random,
         store: weights,
-        speeds: { ...targets.speeds, concurrency: declared.concurrency },
+        batchOptions: { ...targets.batchOptions, concurrency: declared.concurrency },
         reportLagMs,
-        violation,
-        ran(request) {
+        onViolation: violation,
+        onRequestStarted(request) {
           checkStart(world, engine, request);
-          if (request.prompt === world.crashesOn) crashSoon(() => crashEngine(engine));
+          if (request.prompt === world.crashTrigger) scheduleCrash(() => crashEngine(engine));
         },
-        takes: (order) => checkEpoch(declared, order),
-        unloads: (artifact) => checkUnload(world, declared.name, artifact),
+        onOrder: (order) => checkEpoch(declared, order),
+        onUnload: (artifact) => checkUnload(world, declared.name, artifact),
       }),
     };
     return engine;
   });
   const services = targets.serviceAddresses.map((address): ServiceCore => {
-    const service = createServiceCore(address, clock, serviceWorkMs, (path, body) => {
+    const service = createServiceCore(address, clock, serviceCallMs, (path, body) => {
       countRun(world, `${path} ${body}`);
-      if (body === world.crashesOn) crashSoon(() => service.crash(awayMs));
+      if (body === world.crashTrigger) scheduleCrash(() => service.crash(downtimeMs));
     });
     return service;
   });
 
-  const noteInForceTimes = (worldBox: WorldBox) => {
+  const recordInForceTimes = (worldBox: WorldBox) => {
     const store = worldBox.box.kernel.find(stateStoreName);
     store.onFold((event) => {
       if (event.type !== "write_accepted") return;
       const appendedAt = log.appendedAt(streams.state, event.revision);
-      const touched =
-        worldBox.disturbances > 0 || worldBox.disturbedAt > appendedAt - undisturbedMs;
-      if (!touched) inForceTimes.push(clock.now() - appendedAt);
+      const disturbed =
+        worldBox.disturbances > 0 || worldBox.disturbedAt > appendedAt - disturbanceGraceMs;
+      if (!disturbed) inForceTimes.push(clock.now() - appendedAt);
     });
   };
 
   const startBox = async (name: string): Promise<WorldBox> => {
-    const process = createGatedProcess(clock);
+    const process = createPausableProcess(clock);
     const domain = targets.domains[Number(name.slice(1)) % targets.domains.length];
     const settings = soakSettings(name, domain, hashOf(operatorToken), options.settings);
     const ports: BoxPorts = {
@@ -216,7 +217,7 @@
     };
     boxes.push(worldBox);
     list.set({ box: name, peerAddress, state: "live" });
-    noteInForceTimes(worldBox);
+    recordInForceTimes(worldBox);
     void worldBox.box.start();
     return worldBox;
   };
@@ -246,14 +247,14 @@
     liveBoxes: () => boxes.filter((box) => box.process.state() === "running"),
     async call(target, request) {
       if (target.process.state() === "dead") return undefined;
-      const answered = target.process.gate(target.box.callers.handle(request));
-      const response = await raceDeath(clock, target.process, answered);
-      if (!response && target.draining)
-        violation(`the planned stop of ${target.name} cut a request`);
-      return response && bodyOver(world, target, response);
+      const responsePromise = target.process.deliver(target.box.callers.handle(request));
+      const response = await resolveUnlessKilled(clock, target.process, responsePromise);
+      if (!response && target.draining) violation(`draining ${target.name} aborted a request`);
+      return response && withInterruptibleBody(world, target, response);
     },
     checkWeights() {
-      if (weights.peak() > weightLoadsAtOnce) violation(`${weights.peak()} loads ran at once`);
+      if (weights.peakConcurrentLoads() > maxConcurrentLoads)
+        violation(`${weights.peakConcurrentLoads()} loads ran concurrently`);
     },
   };
   return world;
--- a/packages/stand-ins/src/deployment-processes.ts
+++ b/packages/stand-ins/src/deployment-processes.ts
@@ -1,4 +1,4 @@
-/** A whole small deployment as processes on loopback: stand-ins, then boxes. */
+/** Runs a small deployment as processes on loopback: test doubles for the platform and targets, and boxes. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -7,10 +7,10 @@
 import { createHash } from "node:crypto";
 import type { Engine } from "@linkfall/types";
 import { stringify } from "ini";
-import { freeAddresses, loopback } from "./free-addresses.js";
+import { freeAddresses, loopbackHost } from "./free-addresses.js";
 
-/** Kinds of line that a stand-in prints. */
-export interface StandInLine {
+/** A line of JSON on a stand-in's standard output; each line sets the fields of one kind of event. */
+export interface StandInOutput {
   readonly address?: string;
   readonly violation?: string;
   readonly ran?: string;
@@ -18,12 +18,14 @@
   readonly prompt?: string;
 }
 
+/** A child process with its captured output. */
 export interface RunningProcess {
   readonly child: ChildProcess;
-  /** Lines that a stand-in has printed. */
-  readonly lines: StandInLine[];
-  /** Text on standard error. */
-  errors(): string;
+  /** Parsed lines of standard output; only stand-ins write any. */
+  readonly lines: StandInOutput[];
+  /** Everything written to standard error up to now. */
+  stderrText(): string;
+  /** Resolves with the exit code, or null after a signal. */
   exited: Promise<number | null>;
 }
 
@@ -38,52 +40,57 @@
   readonly settingsFile: string;
 }
 
-/** An engine as a deployment is asked for it; its address is known once it runs. */
-export type EngineShape = Omit<Engine, "address" | "kind">;
+/** Describes an engine to start; its address is assigned at startup. */
+export type EngineSpec = Omit<Engine, "address" | "kind">;
 
-const standInMain = fileURLToPath(new URL("./main.js", import.meta.url));
-const daemonMain = fileURLToPath(import.meta.resolve("@linkfall/daemon")).replace(
+const standInEntryPoint = fileURLToPath(new URL("./main.js", import.meta.url));
+const daemonEntryPoint = fileURLToPath(import.meta.resolve("@linkfall/daemon")).replace(
   /index\.js$/,
   "main.js",
 );
 
-/** Token of the operator that every box of such a deployment knows. */
+/** Operator token that every box of the deployment accepts. */
 export const operatorToken = "operator-of-the-demo";
 
+/** Returns the SHA-256 hash of a token in hexadecimal, as the settings store it. */
 export function hashToken(token: string): string {
   return createHash("sha256").update(token).digest("hex");
 }
 
-function watchProcess(child: ChildProcess): RunningProcess {
-  const lines: StandInLine[] = [];
-  let errors = "";
-  let rest = "";
+function captureOutput(child: ChildProcess): RunningProcess {
+  const lines: StandInOutput[] = [];
+  let stderrText = "";
+  let partialLine = "";
   child.stdout?.setEncoding("utf8").on("data", (chunk: string) => {
-    const parts = (rest + chunk).split("\n");
-    rest = parts.pop() ?? "";
-    for (const line of parts) lines.push(JSON.parse(line) as StandInLine);
+    const parts = (partialLine + chunk).split("\n");
+    partialLine = parts.pop() ?? "";
+    for (const line of parts) lines.push(JSON.parse(line) as StandInOutput);
   });
   child.stderr?.setEncoding("utf8").on("data", (chunk: string) => {
-    errors += chunk;
+    stderrText += chunk;
   });
   const exited = new Promise<number | null>((resolve) => child.once("exit", resolve));
-  return { child, lines, errors: () => errors, exited };
+  return { child, lines, stderrText: () => stderrText, exited };
 }
 
-/** Waits until `test` holds; fails after `limitMs` with what `describe` says. */
-export async function until(
-  test: () => boolean | Promise<boolean>,
+/**
+ * Polls until `condition` holds.
+ *
+ * @throws Error with the text of `describe` after `timeoutMs`
+ */
+export async function waitUntil(
+  condition: () => boolean | Promise<boolean>,
   describe: () => string,
-  limitMs = 30_000,
+  timeoutMs = 30_000,
 ): Promise<void> {
-  const end = performance.now() + limitMs;
-  while (!(await test())) {
-    if (performance.now() > end) throw new Error(`gave up waiting: ${describe()}`);
+  const deadline = performance.now() + timeoutMs;
+  while (!(await condition())) {
+    if (performance.now() > deadline) throw new Error(`timed out waiting: ${describe()}`);
     await new Promise((resolve) => setTimeout(resolve, 25));
   }
 }
 
-/** A deployment whose processes end together. */
+/** Starts the processes of a deployment and stops them together. */
 export class DeploymentProcesses {
   readonly boxes: RunningBox[] = [];
   readonly standIns: RunningStandIn[] = [];
@@ -91,19 +98,23 @@
   logAddress = "";
   listAddress = "";
   weightsAddress = "";
-  private readonly folder = mkdtempSync(join(tmpdir(), "linkfall-"));
-
-  async startStandIn(kind: string, json = "", address = `${loopback}:0`): Promise<RunningStandIn> {
-    const child = spawn(process.execPath, [standInMain, kind, address, json], {
+  private readonly directory = mkdtempSync(join(tmpdir(), "linkfall-"));
+
+  async startStandIn(
+    kind: string,
+    json = "",
+    address = `${loopbackHost}:0`,
+  ): Promise<RunningStandIn> {
+    const child = spawn(process.execPath, [standInEntryPoint, kind, address, json], {
       stdio: ["ignore", "pipe", "pipe"],
     });
-    const running = watchProcess(child);
-    const listening = () => running.lines.find((line) => line.address !== undefined);
-    await until(
-      () => listening() !== undefined,
-      () => `${kind}: ${running.errors()}`,
+    const running = captureOutput(child);
+    const addressLine = () => running.lines.find((line) => line.address !== undefined);
+    await waitUntil(
+      () => addressLine() !== undefined,
+      () => `${kind}: ${running.stderrText()}`,
     );
-    const standIn = { ...running, address: listening()?.address ?? "" };
+    const standIn = { ...running, address: addressLine()?.address ?? "" };
     this.standIns.push(standIn);
     return standIn;
   }
@@ -116,19 +127,19 @@
     this.weightsAddress = weights.address;
   }
 
-  async startEngine(shape: EngineShape, address?: string): Promise<Engine> {
-    const engine = { kind: "engine" as const, ...shape, address: "" };
+  async startEngine(spec: EngineSpec, address?: string): Promise<Engine> {
+    const engine = { kind: "engine" as const, ...spec, address: "" };
     const json = JSON.stringify({ engine, weightStore: this.weightsAddress });
     const running = await this.startStandIn("engine", json, address);
-    this.engines.set(shape.name, running);
+    this.engines.set(spec.name, running);
     return { ...engine, address: running.address };
   }
 
-  /** Starts a box; `extra` adds sections and keys to its settings. */
+  /** Starts a box; `extraSettings` adds sections to its settings, or replaces whole ones. */
   async startBox(
     name: string,
     domain: string,
-    extra: Record<string, Record<string, string | number>> = {},
+    extraSettings: Record<string, Record<string, string | number>> = {},
   ): Promise<RunningBox> {
     const [callerAddress, operatorAddress, peerAddress] = await freeAddresses(3);
     const settings = {
@@ -141,21 +152,21 @@
       },
       platform: { log_url: `http://${this.logAddress}`, list_url: `http://${this.listAddress}` },
       operators: { tokens: `operator:${hashToken(operatorToken)}` },
-      ...extra,
+      ...extraSettings,
     };
-    const settingsFile = join(this.folder, `${name}-${this.boxes.length}.ini`);
+    const settingsFile = join(this.directory, `${name}-${this.boxes.length}.ini`);
     writeFileSync(settingsFile, stringify(settings));
-    const child = spawn(process.execPath, [daemonMain, "--settings", settingsFile], {
+    const child = spawn(process.execPath, [daemonEntryPoint, "--settings", settingsFile], {
       stdio: ["ignore", "ignore", "pipe"],
     });
-    const box = { ...watchProcess(child), name, callerAddress, operatorAddress, settingsFile };
+    const box = { ...captureOutput(child), name, callerAddress, operatorAddress, settingsFile };
     this.boxes.push(box);
     await this.post(this.listAddress, "/boxes", { box: name, peerAddress, state: "live" });
     return box;
   }
 
-  /** Waits until a box answers that it is ready. */
-  async untilReady(box: RunningBox): Promise<void> {
+  /** Waits until a box reports that it is ready. */
+  async waitUntilReady(box: RunningBox): Promise<void> {
     const ready = async () => {
       try {
         return (await fetch(`http://${box.operatorAddress}/health/ready`)).ok;
@@ -163,21 +174,21 @@
         return false;
       }
     };
-    await until(ready, () => `${box.name}: ${box.errors().slice(-2_000)}`);
+    await waitUntil(ready, () => `${box.name}: ${box.stderrText().slice(-2_000)}`);
   }
 
   async post(address: string, path: string, body: unknown): Promise<void> {
     await fetch(`http://${address}${path}`, { method: "POST", body: JSON.stringify(body) });
   }
 
-  /** What the stand-ins have seen that must not happen. */
+  /** Invariant violations that the stand-ins have reported. */
   violations(): readonly string[] {
     return this.standIns.flatMap((standIn) =>
       standIn.lines.flatMap((line) => (line.violation === undefined ? [] : [line.violation])),
     );
   }
 
-  /** Ends every process of the deployment. */
+  /** Kills every process of the deployment, also suspended ones, and removes its files. */
   async stop(): Promise<void> {
     const all = [...this.boxes, ...this.standIns];
     for (const { child } of all) {
@@ -189,6 +200,6 @@
         child.exitCode === null && child.signalCode === null ? exited : 0,
       ),
     );
-    rmSync(this.folder, { recursive: true, force: true });
+    rmSync(this.directory, { recursive: true, force: true });
   }
 }
--- a/packages/stand-ins/src/service-core.ts
+++ b/packages/stand-ins/src/service-core.ts
@@ -1,71 +1,72 @@
-/** A stand-in for one target of a plain service. It echoes, and counts what it ran. */
+/** Test double for one target of a service without models. Echoes requests and counts them. */
 import { type Clock, sleep } from "@linkfall/kernel";
 import type { BodyPart, TargetRequest, TargetResponse } from "@linkfall/ports";
 import type { Milliseconds } from "@linkfall/types";
 import { Right } from "purify-ts";
 
+/** A simulated service target, independent of the transport. */
 export interface ServiceCore {
   readonly address: string;
   leaving: boolean;
-  /** Seconds for which it asks to be left alone with each call, none of which it runs then. */
+  /** If set, every call is rejected with this `retry-after` header, in seconds. */
   retryAfter?: string;
-  /** Calls that came, run or not. */
-  readonly arrivals: number;
-  /** Its process does not run. */
+  /** Number of calls received, including rejected ones. */
+  readonly receivedCalls: number;
+  /** Whether the simulated process is down. */
   readonly down: boolean;
-  /** Its process ends, and is back after `awayMs`. */
-  crash(awayMs: Milliseconds): void;
-  /** Runs a call; undefined where the process ended under it. */
+  /** Simulates a crash; the process restarts after `downtimeMs`. */
+  crash(downtimeMs: Milliseconds): void;
+  /** Runs a call; resolves to undefined if the process crashed meanwhile. */
   call(
     request: Pick<TargetRequest, "method" | "path" | "headers" | "body">,
   ): Promise<TargetResponse | undefined>;
 }
 
-/** Creates a target that takes `workMs` for each call. */
+/** Creates a target that takes `callMs` for each call; `onRun` is called for each call that is run. */
 export function createServiceCore(
   address: string,
   clock: Clock,
-  workMs: Milliseconds,
-  ran: (path: string, body: string) => void,
+  callMs: Milliseconds,
+  onRun: (path: string, body: string) => void,
 ): ServiceCore {
-  async function* bodyOf(text: string): AsyncGenerator<BodyPart> {
+  async function* responseBody(text: string): AsyncGenerator<BodyPart> {
     yield Right(Buffer.from(text));
   }
   let down = false;
-  let lives = 1;
-  let arrivals = 0;
-  const turnAway = (retryAfter: string): TargetResponse => {
+  let incarnation = 1;
+  let receivedCalls = 0;
+  const rejectWithRetryAfter = (retryAfter: string): TargetResponse => {
     const headers = { "x-not-started": "true", "retry-after": retryAfter, "content-length": "0" };
-    return { status: 503, headers, body: bodyOf("") };
+    return { status: 503, headers, body: responseBody("") };
   };
   const core: ServiceCore = {
     address,
     leaving: false,
-    get arrivals() {
-      return arrivals;
+    get receivedCalls() {
+      return receivedCalls;
     },
     get down() {
       return down;
     },
-    crash(awayMs) {
+    crash(downtimeMs) {
       down = true;
-      lives += 1;
-      clock.after(awayMs, () => (down = false));
+      incarnation += 1;
+      clock.after(downtimeMs, () => (down = false));
     },
     async call(request) {
       const text = Buffer.from(request.body).toString("utf8");
-      const life = lives;
-      arrivals += 1;
-      if (core.retryAfter !== undefined) return turnAway(core.retryAfter);
-      ran(request.path, text);
-      await sleep(clock, workMs);
-      if (life !== lives) return undefined;
+      const startedIn = incarnation;
+      receivedCalls += 1;
+      if (core.retryAfter !== undefined) return rejectWithRetryAfter(core.retryAfter);
+      onRun(request.path, text);
+      await sleep(clock, callMs);
+      if (startedIn !== incarnation) return undefined;
       const answer = JSON.stringify({ path: request.path, echo: text });
       const headers = {
         "content-type": "application/json",
         "content-length": String(Buffer.byteLength(answer)),
       };
-      return { status: 200, headers, body: bodyOf(answer) };
+      return { status: 200, headers, body: responseBody(answer) };
     },
   };
   return core;
--- a/packages/stand-ins/src/weight-store-http.ts
+++ b/packages/stand-ins/src/weight-store-http.ts
@@ -1,4 +1,4 @@
-/** The weight store behind an address: `POST /loads {sizeMb}` answers when the weights are there. */
+/** Weight store over HTTP: `POST /loads {sizeMb}` responds when the load completes. */
 import { createHttpClient, readText } from "@linkfall/http-client";
 import { createHttpFront, type HttpFront } from "@linkfall/http-front";
 import type { Clock } from "@linkfall/kernel";
@@ -6,9 +6,9 @@
 
 const limits = { maxBodyBytes: 10_000, maxHeaderBytes: 16_384, bodyTimeoutMs: 30_000 };
 
-const retryMs = 500;
+const retryDelayMs = 500;
 
-/** Serves a store. */
+/** Serves a weight store over HTTP. */
 export function serveWeightStore(clock: Clock, address: string, core: WeightStoreCore): HttpFront {
   return createHttpFront({
     clock,
@@ -17,7 +17,7 @@
     handle: (request) =>
       new Promise((resolve) => {
         if (request.path === "/faults") {
-          core.slow(JSON.parse(Buffer.from(request.body).toString("utf8")).factor);
+          core.setSlowdown(JSON.parse(Buffer.from(request.body).toString("utf8")).factor);
           return resolve({ status: 200, headers: {}, body: Buffer.from("{}") });
         }
         const { sizeMb } = JSON.parse(Buffer.from(request.body).toString("utf8"));
@@ -32,11 +32,14 @@
   });
 }
 
-/** A store in another process; a load that fails is asked for again. */
-export function remoteWeightStore(clock: Clock, address: string): Pick<WeightStoreCore, "load"> {
+/** Creates a client for a weight store in another process; failed loads are retried. */
+export function createRemoteWeightStore(
+  clock: Clock,
+  address: string,
+): Pick<WeightStoreCore, "load"> {
   const client = createHttpClient();
-  const load = async (sizeMb: number, done: () => void, giveUp: AbortController) => {
-    const sent = await client.send(
+  const load = async (sizeMb: number, onLoaded: () => void, cancellation: AbortController) => {
+    const response = await client.send(
       {
         address,
         method: "POST",
@@ -45,17 +48,18 @@
         body: Buffer.from(JSON.stringify({ sizeMb })),
         freshConnection: true,
       },
-      giveUp.signal,
+      cancellation.signal,
     );
-    const whole = sent.isRight() && (await readText(sent.unsafeCoerce().body)).isRight();
-    if (whole) return done();
-    if (!giveUp.signal.aborted) clock.after(retryMs, () => void load(sizeMb, done, giveUp));
+    const loaded = response.isRight() && (await readText(response.unsafeCoerce().body)).isRight();
+    if (loaded) return onLoaded();
+    if (!cancellation.signal.aborted)
+      clock.after(retryDelayMs, () => void load(sizeMb, onLoaded, cancellation));
   };
   return {
-    load(sizeMb, done) {
-      const giveUp = new AbortController();
-      void load(sizeMb, done, giveUp);
-      return () => giveUp.abort();
+    load(sizeMb, onLoaded) {
+      const cancellation = new AbortController();
+      void load(sizeMb, onLoaded, cancellation);
+      return () => cancellation.abort();
     },
   };
 }
