--- a/packages/bench/src/box-cost.ts
+++ b/packages/bench/src/box-cost.ts
@@ -15,7 +15,7 @@
 import type { Resource } from "@linkfall/types";
 
 const ticksPerSecond = 100;
-const restSeconds = 20;
+const idleSeconds = 20;
 const loadSeconds = 15;
 const token = "token";
 const boxCount = 8;
@@ -23,25 +23,26 @@
 const modelCount = 40;
 
 /** Processor seconds of a process so far. */
-function processorSeconds(pid: number): number {
+function cpuSeconds(pid: number): number {
   const fields = readFileSync(`/proc/${pid}/stat`, "utf8").split(") ")[1].split(" ");
   return (Number(fields[11]) + Number(fields[12])) / ticksPerSecond;
 }
 
-function residentMb(pid: number): number {
+function residentMemoryMb(pid: number): number {
   const line = /VmRSS:\s+(\d+) kB/.exec(readFileSync(`/proc/${pid}/status`, "utf8"));
   return Number(line?.[1] ?? 0) / 1_024;
 }
 
-const seconds = (count: number) => new Promise((resolve) => setTimeout(resolve, count * 1_000));
+const sleepSeconds = (count: number) =>
+  new Promise((resolve) => setTimeout(resolve, count * 1_000));
 const pidOf = (box: RunningBox) => box.child.pid ?? 0;
 const mean = (list: readonly number[]) => list.reduce((sum, each) => sum + each, 0) / list.length;
 
-function say(text: string): void {
+function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-function shape(index: number): EngineShape {
+function createEngineShape(index: number): EngineShape {
   return {
     name: `e${index}`,
     pool: "p",
@@ -55,7 +56,7 @@
   };
 }
 
-function resources(engines: readonly Resource[]): readonly Resource[] {
+function createResources(engines: readonly Resource[]): readonly Resource[] {
   const account: Resource = {
     kind: "account",
     name: "one",
@@ -82,7 +83,7 @@
   await deployment.startPlatform();
   const engines: Resource[] = [];
   for (let index = 0; index < engineCount; index++)
-    engines.push(await deployment.startEngine(shape(index)));
+    engines.push(await deployment.startEngine(createEngineShape(index)));
   for (let index = 0; index < boxCount; index++) {
     const extra = { callers: { max_in_flight: 5_000 }, log: { level: "warn" } };
     await deployment.startBox(`box-${index}`, `d${index % 4}`, extra);
@@ -90,24 +91,24 @@
   await Promise.all(deployment.boxes.map((box) => deployment.untilReady(box)));
   const url = `http://${deployment.boxes[0].operatorAddress}`;
   const operator = createOperatorClient({ url, token: operatorToken });
-  const changes = resources(engines).map(
+  const changes = createResources(engines).map(
     (resource) => ({ action: "put", resource, base: 0 }) as const,
   );
   await operator.write(changes);
-  const placed = async () => {
+  const allModelsReady = async () => {
     const status = await operator.status();
     return status.map(({ models }) => models.every((model) => model.ready > 0)).orDefault(false);
   };
-  await until(placed, () => "models were not placed", 120_000);
+  await until(allModelsReady, () => "models were not placed", 120_000);
 }
 
 /** Sends streams through one box until the time is up; answers with the tokens that came. */
-async function load(box: RunningBox, atOnce: number): Promise<number> {
+async function sendStreams(box: RunningBox, concurrency: number): Promise<number> {
   const end = performance.now() + loadSeconds * 1_000;
   let tokens = 0;
-  const caller = async (number: number) => {
+  const runCaller = async (number: number) => {
     for (let turn = 0; performance.now() < end; turn++) {
-      const answer = await fetch(`http://${box.callerAddress}/v1/completions`, {
+      const response = await fetch(`http://${box.callerAddress}/v1/completions`, {
         method: "POST",
         headers: { authorization: `Bearer ${token}` },
         body: JSON.stringify({
@@ -117,12 +118,12 @@
           stream: true,
         }),
       });
-      const text = await answer.text();
-      if (answer.status !== 200) throw new Error(text);
+      const text = await response.text();
+      if (response.status !== 200) throw new Error(text);
       tokens += text.split("\n\n").length - 2;
     }
   };
-  await Promise.all(Array.from({ length: atOnce }, (_, number) => caller(number)));
+  await Promise.all(Array.from({ length: concurrency }, (_, number) => runCaller(number)));
   return tokens;
 }
 
@@ -130,21 +131,21 @@
 try {
   await startDeployment(deployment);
   const pids = deployment.boxes.map(pidOf);
-  const before = pids.map(processorSeconds);
-  await seconds(restSeconds);
-  const rest = pids.map(
-    (pid, index) => ((processorSeconds(pid) - before[index]) * 100) / restSeconds,
+  const before = pids.map(cpuSeconds);
+  await sleepSeconds(idleSeconds);
+  const idleCpuPercents = pids.map(
+    (pid, index) => ((cpuSeconds(pid) - before[index]) * 100) / idleSeconds,
   );
-  say(
-    `at rest, ${boxCount} boxes, ${engineCount} engines, ${modelCount} models: ${mean(rest).toFixed(2)} % of a core (most ${Math.max(...rest).toFixed(2)}), ${mean(pids.map(residentMb)).toFixed(0)} MB resident`,
+  printLine(
+    `at rest, ${boxCount} boxes, ${engineCount} engines, ${modelCount} models: ${mean(idleCpuPercents).toFixed(2)} % of a core (most ${Math.max(...idleCpuPercents).toFixed(2)}), ${mean(pids.map(residentMemoryMb)).toFixed(0)} MB resident`,
   );
   const [box] = deployment.boxes;
   for (const atOnce of [20, 80]) {
-    const start = processorSeconds(pidOf(box));
-    const tokens = await load(box, atOnce);
-    const used = processorSeconds(pidOf(box)) - start;
-    say(
-      `${atOnce} streams at once: ${(tokens / loadSeconds).toFixed(0)} tokens/s, ${((used * 100) / loadSeconds).toFixed(1)} % of a core, ${((used * 1e6) / tokens).toFixed(1)} us a token, ${residentMb(pidOf(box)).toFixed(0)} MB resident`,
+    const start = cpuSeconds(pidOf(box));
+    const tokens = await sendStreams(box, atOnce);
+    const used = cpuSeconds(pidOf(box)) - start;
+    printLine(
+      `${atOnce} streams at once: ${(tokens / loadSeconds).toFixed(0)} tokens/s, ${((used * 100) / loadSeconds).toFixed(1)} % of a core, ${((used * 1e6) / tokens).toFixed(1)} us a token, ${residentMemoryMb(pidOf(box)).toFixed(0)} MB resident`,
     );
   }
 } finally {
--- a/packages/bench/src/capacity-peers.ts
+++ b/packages/bench/src/capacity-peers.ts
@@ -5,10 +5,16 @@
 import type { PeerHandler, RelayedReport } from "@linkfall/ports";
 import { jsonResponse } from "@linkfall/refusals";
 import { type MemberEntry, modelArtifact } from "@linkfall/types";
-import { openCountingLink } from "./counting-link.js";
-import { heapUsed, kb, processorTime, row, us } from "./measure.js";
+import { openCountingProxy } from "./counting-proxy.js";
+import {
+  heapUsedBytes,
+  formatKilobytes,
+  cpuMicrosecondsPerCall,
+  printRow,
+  formatMicroseconds,
+} from "./measure.js";
 
-const messages = 3_000;
+const messageCount = 3_000;
 const suspectMs = 15_000;
 const forgetMs = 60_000;
 
@@ -19,7 +25,7 @@
   handler: Partial<PeerHandler>,
   send: (client: PeerGrpcClient, address: string) => Promise<unknown>,
 ): Promise<void> {
-  const whole: PeerHandler = {
+  const completeHandler: PeerHandler = {
     heartbeat: (message) => ({ ...message, records: [] }),
     fetchState: () => ({ offset: 0, data: "" }),
     reportUsage: () => [],
@@ -27,25 +33,29 @@
     forward: async () => jsonResponse({}),
     ...handler,
   };
-  const server = createPeerServer(whole, (problem) => {
+  const server = createPeerServer(completeHandler, (problem) => {
     throw problem;
   });
   const port = (await server.listen("127.0.0.1:0")).unsafeCoerce();
-  const link = await openCountingLink(port);
+  const proxy = await openCountingProxy(port);
   const client = createPeerClient(systemClock(), 5_000);
   const direct = `127.0.0.1:${port}`;
   await send(client, direct);
-  await send(client, link.address);
-  const before = link.bytes();
-  const counted = 100;
-  for (let index = 0; index < counted; index++) await send(client, link.address);
-  const bytes = (link.bytes() - before) / counted;
-  const time = await processorTime(messages, () => send(client, direct));
+  await send(client, proxy.address);
+  const before = proxy.totalBytes();
+  const sampleCount = 100;
+  for (let index = 0; index < sampleCount; index++) await send(client, proxy.address);
+  const bytes = (proxy.totalBytes() - before) / sampleCount;
+  const time = await cpuMicrosecondsPerCall(messageCount, () => send(client, direct));
   client.close();
   server.close();
-  await link.close();
-  row(`${what}, sent and answered (both sides, one at a time)`, size, us(time));
-  row(`${what}, on the wire in both directions`, size, kb(bytes));
+  await proxy.close();
+  printRow(
+    `${what}, sent and answered (both sides, one at a time)`,
+    size,
+    formatMicroseconds(time),
+  );
+  printRow(`${what}, on the wire in both directions`, size, formatKilobytes(bytes));
 }
 
 function member(index: number, heartbeat: number): MemberEntry {
@@ -63,19 +73,19 @@
 /** A heartbeat in a fleet of `members` that passes `entries` of them on, merged on both sides. */
 export async function measureHeartbeats(members: number, entries: number): Promise<void> {
   const changes = { joined: () => undefined, gone: () => undefined };
-  const before = heapUsed();
+  const before = heapUsedBytes();
   const table = createMemberTable("box-x@1", { suspectMs, forgetMs }, changes);
   const all = Array.from({ length: members }, (_, index) => member(index, 0));
   table.merge(all, 0);
-  const held = heapUsed() - before;
+  const heldBytes = heapUsedBytes() - before;
   let beat = 1;
   const message = () => {
     beat += 1;
-    const some = Array.from({ length: entries }, (_, at) =>
+    const sentEntries = Array.from({ length: entries }, (_, at) =>
       member((beat * entries + at) % members, beat),
     );
     const summary = { offset: 1, ready: true, logSilentMs: 100 };
-    return { from: member(0, beat), members: some, summary };
+    return { from: member(0, beat), members: sentEntries, summary };
   };
   const handler: Partial<PeerHandler> = {
     heartbeat(received) {
@@ -88,7 +98,7 @@
     const reply = await client.heartbeat(address, message());
     table.merge(reply.unsafeCoerce().members, beat);
   });
-  row("memory of the member table", size, kb(held));
+  printRow("memory of the member table", size, formatKilobytes(heldBytes));
 }
 
 /** A report of the rates of some accounts, answered with their sums. */
@@ -103,7 +113,7 @@
   );
 }
 
-function relayed(index: number, residents: number): RelayedReport {
+function createRelayedReport(index: number, residents: number): RelayedReport {
   return {
     load: {
       engine: `engine-${index}`,
@@ -133,14 +143,16 @@
 
 /** An asking for the reports of some engines, with and without their placements. */
 export async function measureRelayedReports(engines: number, residents: number): Promise<void> {
-  const whole = Array.from({ length: engines }, (_, index) => relayed(index, residents));
-  const loads = whole.map((report) => ({ ...report, placement: undefined }));
-  const held = whole.map(({ load }) => ({ engine: load.engine, placementVersion: 3 }));
+  const fullReports = Array.from({ length: engines }, (_, index) =>
+    createRelayedReport(index, residents),
+  );
+  const loadReports = fullReports.map((report) => ({ ...report, placement: undefined }));
+  const held = fullReports.map(({ load }) => ({ engine: load.engine, placementVersion: 3 }));
   const from = "box-1@0123456789ab";
   const request = { from, pools: ["pool-1"], heldFrom: "box-2@0123456789ab", held };
   for (const [reports, what] of [
-    [loads, "placements held"],
-    [whole, `${residents} residents each`],
+    [loadReports, "placements held"],
+    [fullReports, `${residents} residents each`],
   ] as const) {
     const handler: Partial<PeerHandler> = { readReports: () => ({ from, reports }) };
     const size = `${engines} engines, ${what}`;
--- a/packages/bench/src/capacity-state.ts
+++ b/packages/bench/src/capacity-state.ts
@@ -8,44 +8,58 @@
   serialiseState,
 } from "@linkfall/state-fold";
 import type { Change } from "@linkfall/types";
-import { modelResource, resourcesAt } from "./fleet-resources.js";
-import { heapUsed, kb, processorTime, row, us } from "./measure.js";
+import { modelResource, resourcesAtScale } from "./fleet-resources.js";
+import {
+  heapUsedBytes,
+  formatKilobytes,
+  cpuMicrosecondsPerCall,
+  printRow,
+  formatMicroseconds,
+} from "./measure.js";
 
-function write(state: FoldedState, id: string, changes: readonly Change[]): void {
+function applyWrite(state: FoldedState, id: string, changes: readonly Change[]): void {
   const record = { type: "write", id, who: "operator", at: "", changes };
   applyEntry(state, { offset: state.offset + 1, data: JSON.stringify(record) });
 }
 
 /** Measures at a share of the two-year size. */
 export async function measureState(scale: number): Promise<void> {
-  const resources = resourcesAt(scale);
-  const before = heapUsed();
+  const resources = resourcesAtScale(scale);
+  const before = heapUsedBytes();
   const state = emptyState();
-  write(
+  applyWrite(
     state,
     "b@1#1",
     resources.map((resource) => ({ action: "put", resource, base: 0 })),
   );
   const desired = desiredStateOf(state);
-  const held = heapUsed() - before;
+  const heldBytes = heapUsedBytes() - before;
   const size = `${state.resources.size} resources`;
-  row("memory of the folded state", size, `${kb(held)}, ${kb(held / state.resources.size)} each`);
-  const one = modelResource(0);
-  const foldTime = await processorTime(20, (index) => {
+  printRow(
+    "memory of the folded state",
+    size,
+    `${formatKilobytes(heldBytes)}, ${formatKilobytes(heldBytes / state.resources.size)} each`,
+  );
+  const changedModel = modelResource(0);
+  const foldTime = await cpuMicrosecondsPerCall(20, (index) => {
     const base = state.resources.get("model/model-0")?.revision ?? 0;
-    write(state, `b@1#${index + 2}`, [{ action: "put", resource: one, base }]);
+    applyWrite(state, `b@1#${index + 2}`, [{ action: "put", resource: changedModel, base }]);
     return desiredStateOf(state);
   });
-  row("one change: fold and new view", size, us(foldTime));
-  const renew = { type: "renew", holder: "b@1", epochs: [1] };
-  const renewTime = await processorTime(2_000, (index) => {
-    const data = JSON.stringify({ ...renew, id: `b@1#${index + 100}` });
+  printRow("one change: fold and new view", size, formatMicroseconds(foldTime));
+  const renewal = { type: "renew", holder: "b@1", epochs: [1] };
+  const renewTime = await cpuMicrosecondsPerCall(2_000, (index) => {
+    const data = JSON.stringify({ ...renewal, id: `b@1#${index + 100}` });
     applyEntry(state, { offset: state.offset + 1, data });
   });
-  row("one renewal folded", size, us(renewTime));
+  printRow("one renewal folded", size, formatMicroseconds(renewTime));
   const text = serialiseState(state);
-  row("snapshot", size, `${kb(text.length)}, ${kb(text.length / state.resources.size)} each`);
-  const snapshotTime = await processorTime(3, () => parseState(serialiseState(state)));
-  row("snapshot written and read", size, us(snapshotTime));
+  printRow(
+    "snapshot",
+    size,
+    `${formatKilobytes(text.length)}, ${formatKilobytes(text.length / state.resources.size)} each`,
+  );
+  const snapshotTime = await cpuMicrosecondsPerCall(3, () => parseState(serialiseState(state)));
+  printRow("snapshot written and read", size, formatMicroseconds(snapshotTime));
   if (desired.models.size === 0) throw new Error("no models");
 }
--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -18,7 +18,14 @@
 import { measureHeartbeats, measureRelayedReports, measureUsage } from "./capacity-peers.js";
 import { measureState } from "./capacity-state.js";
 import { engineResource, modelResource } from "./fleet-resources.js";
-import { heapUsed, kb, processorTime, row, say, us } from "./measure.js";
+import {
+  heapUsedBytes,
+  formatKilobytes,
+  cpuMicrosecondsPerCall,
+  printRow,
+  printLine,
+  formatMicroseconds,
+} from "./measure.js";
 
 const microsecondsPerMillisecond = 1_000;
 
@@ -56,15 +63,15 @@
   const port = createEngineHttp(caller);
   const log = createLogHttp(caller, deployment.logAddress);
   await port.report(engine.address);
-  row(
+  printRow(
     "report polled over HTTP (asking side)",
     "no residents",
-    us(await processorTime(2_000, () => port.report(engine.address))),
+    formatMicroseconds(await cpuMicrosecondsPerCall(2_000, () => port.report(engine.address))),
   );
-  row(
+  printRow(
     "empty read of the log over HTTP (asking side)",
     "",
-    us(await processorTime(2_000, () => log.read(streams.state, 1, 500))),
+    formatMicroseconds(await cpuMicrosecondsPerCall(2_000, () => log.read(streams.state, 1, 500))),
   );
   client.close();
   await deployment.stop();
@@ -73,13 +80,17 @@
 async function measureReports(residents: number): Promise<void> {
   const report = reportWith(engineResource(0), residents);
   const text = JSON.stringify(report);
-  const time = await processorTime(5_000, () => JSON.parse(text));
-  row("report", `${residents} residents`, `${kb(text.length)}, parsed in ${us(time)}`);
+  const time = await cpuMicrosecondsPerCall(5_000, () => JSON.parse(text));
+  printRow(
+    "report",
+    `${residents} residents`,
+    `${formatKilobytes(text.length)}, parsed in ${formatMicroseconds(time)}`,
+  );
 }
 
 // --- Planning and choosing -------------------------------------------------------------------
 
-function planned(engines: number, accelerators: number, models: number): PoolView {
+function createPoolView(engines: number, accelerators: number, models: number): PoolView {
   const list = Array.from({ length: engines }, (_, index) => engineResource(index, accelerators));
   return {
     engines: list.map((engine, index) => {
@@ -109,13 +120,13 @@
 }
 
 async function measurePlan(engines: number, accelerators: number, models: number): Promise<void> {
-  const view = planned(engines, accelerators, models);
-  const time = await processorTime(10, () => planPool(view));
+  const view = createPoolView(engines, accelerators, models);
+  const microseconds = await cpuMicrosecondsPerCall(10, () => planPool(view));
   const size = `${engines} engines of ${accelerators}, ${models} models`;
-  row("one plan", size, `${(time / microsecondsPerMillisecond).toFixed(2)} ms`);
+  printRow("one plan", size, `${(microseconds / microsecondsPerMillisecond).toFixed(2)} ms`);
 }
 
-async function measureChoice(count: number): Promise<void> {
+async function measureTargetSelection(count: number): Promise<void> {
   const candidates = Array.from({ length: count }, (_, index) => ({
     target: `engine-${index}`,
     address: "",
@@ -128,37 +139,37 @@
     turn: 0,
     affinitySlack: 0.25,
   } as const;
-  const time = await processorTime(20_000, (index) =>
+  const time = await cpuMicrosecondsPerCall(20_000, (index) =>
     chooseTarget(candidates, { ...context, affinityKey: `account/model/${index}` }),
   );
-  row("one choice by affinity", `${count} replicas`, us(time));
+  printRow("one choice by affinity", `${count} replicas`, formatMicroseconds(time));
 }
 
-async function measureOnce(): Promise<void> {
+async function measureOnceMemory(): Promise<void> {
   const clock = createVirtualClock();
-  const office = createTicketIssuer(clock, "box-1@0123456789ab", "secret", 30_000);
-  const memory = createOnceMemory(clock, office, {
+  const ticketIssuer = createTicketIssuer(clock, "box-1@0123456789ab", "secret", 30_000);
+  const memory = createOnceMemory(clock, ticketIssuer, {
     retentionMs: 300_000,
     maxEntries: 100_000,
     maxAnswerBytes: 0,
   });
-  const { id: ticket } = office.issue("account");
+  const { id: ticket } = ticketIssuer.issue("account");
   const count = 20_000;
-  const before = heapUsed();
-  const time = await processorTime(count, (index) => {
+  const before = heapUsedBytes();
+  const time = await cpuMicrosecondsPerCall(count, (index) => {
     const id = parseOnceId(`${ticket}/${index}`);
     return id && memory.run(id, "account", async () => jsonResponse({}));
   });
-  row(
+  printRow(
     "one not repeatable request remembered",
     `${count} requests`,
-    `${kb((heapUsed() - before) / count)}, ${us(time)}`,
+    `${formatKilobytes((heapUsedBytes() - before) / count)}, ${formatMicroseconds(time)}`,
   );
 }
 
 /** Runs all measurements. */
 async function main(): Promise<void> {
-  say("| what | at | measured |\n| --- | --- | --- |");
+  printLine("| what | at | measured |\n| --- | --- | --- |");
   for (const scale of [0.05, 0.25, 1]) await measureState(scale);
   for (const [members, entries] of [
     [8, 8],
@@ -180,8 +191,8 @@
   ] as const) {
     await measurePlan(engines, accelerators, models);
   }
-  for (const count of [8, 30, 60]) await measureChoice(count);
-  await measureOnce();
+  for (const count of [8, 30, 60]) await measureTargetSelection(count);
+  await measureOnceMemory();
 }
 
 await main();
--- a/packages/bench/src/deployments.ts
+++ b/packages/bench/src/deployments.ts
@@ -15,7 +15,7 @@
 }
 
 /** Sizes of one deployment. */
-interface Shape {
+interface DeploymentShape {
   readonly name: Deployment["name"];
   readonly domains: readonly string[];
   readonly engines: number;
@@ -28,7 +28,7 @@
   readonly baseRate: number;
 }
 
-const shapes: readonly Shape[] = [
+const shapes: readonly DeploymentShape[] = [
   {
     name: "isar",
     domains: ["garching", "freising", "rosenheim", "murnau"],
@@ -57,7 +57,7 @@
 
 const pool = "bulletins";
 const acceleratorsMb = [40_000, 40_000];
-const smallestModelMb = 6_000;
+const minModelMb = 6_000;
 const modelStepMb = 2_000;
 const modelSizes = 6;
 const adapterMb = 200;
@@ -73,7 +73,7 @@
   prefixCharacters: 512,
 };
 
-function enginesOf(shape: Shape): readonly Engine[] {
+function enginesOf(shape: DeploymentShape): readonly Engine[] {
   return Array.from({ length: shape.engines }, (_, index) => ({
     kind: "engine",
     name: `e${index + 1}`,
@@ -89,20 +89,20 @@
   }));
 }
 
-function modelsOf(shape: Shape): readonly Model[] {
+function modelsOf(shape: DeploymentShape): readonly Model[] {
   return Array.from({ length: shape.models }, (_, index) => ({
     kind: "model",
     name: `m${index}`,
     pool,
     version: "1",
-    sizeMb: smallestModelMb + modelStepMb * ((index * 7) % modelSizes),
+    sizeMb: minModelMb + modelStepMb * ((index * 7) % modelSizes),
     accounts: [accountName],
     priority: 5,
     minReplicas: 1,
   }));
 }
 
-function adaptersOf(shape: Shape): readonly Adapter[] {
+function adaptersOf(shape: DeploymentShape): readonly Adapter[] {
   return Array.from({ length: shape.adapters }, (_, index) => ({
     kind: "adapter",
     name: `a${index}`,
@@ -113,7 +113,7 @@
   }));
 }
 
-function toDeployment(shape: Shape): Deployment {
+function createDeployment(shape: DeploymentShape): Deployment {
   const engines = enginesOf(shape);
   const models = modelsOf(shape);
   const adapters = adaptersOf(shape);
@@ -160,7 +160,7 @@
   };
 }
 
-export const deployments: readonly Deployment[] = shapes.map(toDeployment);
+export const deployments: readonly Deployment[] = shapes.map(createDeployment);
 
 /** Accelerators of a deployment. */
 export function acceleratorCount(deployment: Deployment): number {
--- a/packages/bench/src/experiments.ts
+++ b/packages/bench/src/experiments.ts
@@ -3,7 +3,7 @@
 import type { Variant } from "./policy-run.js";
 
 /** Times as in production, not as in the short runs of the soak. */
-const production = {
+const productionSettings = {
   membership: { heartbeat_ms: 500, suspect_ms: 2_500, forget_ms: 30_000, stale_serving_ms: 60_000 },
   lease: { lease_ms: 10_000, renew_ms: 3_000, margin_ms: 1_500 },
   targets: { report_poll_ms: 500, silent_lost_ms: 8_000, load_timeout_ms: 60_000, eject_ms: 5_000 },
@@ -12,15 +12,21 @@
 };
 
 function routing(name: string, keys: Readonly<Record<string, string | number>>): Variant {
-  return { name, settings: { ...production, routing: keys } };
+  return { name, settings: { ...productionSettings, routing: keys } };
 }
 
 function placement(name: string, keys: Readonly<Record<string, string | number>>): Variant {
-  return { name, settings: { ...production, placement: { ...production.placement, ...keys } } };
+  return {
+    name,
+    settings: { ...productionSettings, placement: { ...productionSettings.placement, ...keys } },
+  };
 }
 
 function targets(name: string, keys: Readonly<Record<string, string | number>>): Variant {
-  return { name, settings: { ...production, targets: { ...production.targets, ...keys } } };
+  return {
+    name,
+    settings: { ...productionSettings, targets: { ...productionSettings.targets, ...keys } },
+  };
 }
 
 /** Times of reports at the two-year size (docs/CAPACITY.md). */
--- a/packages/bench/src/fleet-resources.ts
+++ b/packages/bench/src/fleet-resources.ts
@@ -32,7 +32,7 @@
 }
 
 /** A deployment of about `scale` times the two-year size: pools, accounts, engines, models, adapters. */
-export function resourcesAt(scale: number): readonly Resource[] {
+export function resourcesAtScale(scale: number): readonly Resource[] {
   const list = <T>(count: number, make: (index: number) => T) =>
     Array.from({ length: Math.ceil(count * scale) }, (_, index) => make(index));
   return [
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -8,7 +8,7 @@
 import { acceleratorCount, type Deployment, deployments } from "./deployments.js";
 import { experiments } from "./experiments.js";
 import { runPolicy, type RunResult, type Variant } from "./policy-run.js";
-import { plotSvg, tableHead, tableRow, type VariantResults } from "./report.js";
+import { plotSvg, tableHeader, tableRow, type VariantResults } from "./report.js";
 
 const { values, positionals } = parseArgs({
   allowPositionals: true,
@@ -24,12 +24,12 @@
   },
 });
 
-function say(text: string): void {
+function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-const name = positionals[0] ?? "routing";
-const experiment = experiments[name];
+const experimentName = positionals[0] ?? "routing";
+const experiment = experiments[experimentName];
 if (!experiment) throw new Error(`one of ${Object.keys(experiments).join(", ")}`);
 const seeds = Array.from({ length: Number(values.seeds) }, (_, index) => index + 1);
 
@@ -50,22 +50,25 @@
 function titleOf(deployment: Deployment): string {
   const faults = values.faults ? ", with the loss of a failure domain" : "";
   const steady = values.steady ? ", at steady demand" : "";
-  return `${deployment.name}, ${name}${faults}${steady}`;
+  return `${deployment.name}, ${experimentName}${faults}${steady}`;
 }
 
 for (const deployment of deployments) {
   if (values.deployment !== undefined && values.deployment !== deployment.name) continue;
-  say(`\n${titleOf(deployment)}\n\n${tableHead}`);
+  printLine(`\n${titleOf(deployment)}\n\n${tableHeader}`);
   const all: VariantResults[] = [];
   for (const variant of experiment) {
     if (values.variant !== undefined && values.variant !== variant.name) continue;
     const results = await runVariant(deployment, variant);
     all.push(results);
-    say(tableRow(results, acceleratorCount(deployment)));
+    printLine(tableRow(results, acceleratorCount(deployment)));
     if (!values.misses) continue;
-    for (const result of results.results) say(JSON.stringify([...result.missed].sort()));
+    for (const result of results.results) printLine(JSON.stringify([...result.missed].sort()));
   }
   if (values.plot === undefined) continue;
-  const file = join(values.plot, `${deployment.name}-${name}${values.faults ? "-faults" : ""}.svg`);
+  const file = join(
+    values.plot,
+    `${deployment.name}-${experimentName}${values.faults ? "-faults" : ""}.svg`,
+  );
   writeFileSync(file, plotSvg(titleOf(deployment), all));
 }
--- a/packages/bench/src/measure.ts
+++ b/packages/bench/src/measure.ts
@@ -1,18 +1,18 @@
 /** Measures processor time and memory of this process, and prints rows of a table. */
 
 /** Prints a line. */
-export function say(text: string): void {
+export function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
 /** Bytes in use after a collection, where Node.js was started with --expose-gc. */
-export function heapUsed(): number {
+export function heapUsedBytes(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
 }
 
 /** Processor time of one call, in microseconds, over `count` calls. */
-export async function processorTime(
+export async function cpuMicrosecondsPerCall(
   count: number,
   act: (index: number) => unknown,
 ): Promise<number> {
@@ -23,9 +23,9 @@
 }
 
 /** Prints one row. */
-export function row(what: string, size: string, value: string): void {
-  say(`| ${what} | ${size} | ${value} |`);
+export function printRow(what: string, size: string, value: string): void {
+  printLine(`| ${what} | ${size} | ${value} |`);
 }
 
-export const us = (value: number) => `${value.toFixed(1)} us`;
-export const kb = (value: number) => `${(value / 1_024).toFixed(2)} KB`;
+export const formatMicroseconds = (value: number) => `${value.toFixed(1)} us`;
+export const formatKilobytes = (value: number) => `${(value / 1_024).toFixed(2)} KB`;
--- a/packages/bench/src/permit-load.ts
+++ b/packages/bench/src/permit-load.ts
@@ -23,21 +23,21 @@
   readonly box: number;
 }
 
-export const loadMs: Milliseconds = 40_000;
+export const loadDurationMs: Milliseconds = 40_000;
 /** From then on the target names its limit. */
-export const limitedFrom: Milliseconds = 2_000;
+export const limitAnnouncedAt: Milliseconds = 2_000;
 /** Callers ask for so many times what the target takes. */
-const demandOverLimit = 3;
+const demandToLimitRatio = 3;
 const millisecondsPerSecond = 1000;
 
-const sizes = [
+const fleetSizes = [
   { boxes: 8, perSecond: 1 },
   { boxes: 60, perSecond: 1 },
   { boxes: 86, perSecond: 4 },
   { boxes: 195, perSecond: 0.5 },
 ];
 
-export const permitLoads: readonly PermitLoad[] = sizes.flatMap((size) => [
+export const permitLoads: readonly PermitLoad[] = fleetSizes.flatMap((size) => [
   { name: "steady", ...size },
   { name: "all restarted", ...size, restart: { at: 15_000, boxes: size.boxes } },
   {
@@ -47,19 +47,19 @@
   },
 ]);
 
-export function isCutOff({ cut }: PermitLoad, box: number, at: Milliseconds): boolean {
+export function isIsolated({ cut }: PermitLoad, box: number, at: Milliseconds): boolean {
   return cut !== undefined && box < cut.boxes && at >= cut.from && at < cut.until;
 }
 
 /** Requests of a load, in the order of time. */
-export function arrivalsOf(
+export function generateArrivals(
   { boxes, perSecond }: PermitLoad,
   seed: number,
 ): readonly PermitArrival[] {
   const random = seededRandom(seed);
-  const gapMs = millisecondsPerSecond / (perSecond * demandOverLimit);
+  const gapMs = millisecondsPerSecond / (perSecond * demandToLimitRatio);
   const arrivals: PermitArrival[] = [];
-  for (let at = 0; at < loadMs;) {
+  for (let at = 0; at < loadDurationMs;) {
     at += -Math.log(1 - random.fraction()) * gapMs;
     arrivals.push({ at, box: random.below(boxes) });
   }
--- a/packages/bench/src/permit-run.ts
+++ b/packages/bench/src/permit-run.ts
@@ -1,32 +1,37 @@
 /** Plays one load against one way to keep a target's limit, and says what came of it. */
 import { createVirtualClock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
-import { arrivalsOf, limitedFrom, loadMs, type PermitLoad } from "./permit-load.js";
-import type { PermitWayMaker } from "./permit-ways.js";
+import {
+  generateArrivals,
+  limitAnnouncedAt,
+  loadDurationMs,
+  type PermitLoad,
+} from "./permit-load.js";
+import type { PermitStrategyFactory } from "./permit-strategies.js";
 
 export interface PermitResult {
   /** Most requests that the target got in some window, as a share of what its limit allows: over 1 breaks it. */
-  readonly fullestWindow: number;
+  readonly maxWindowUtilization: number;
   /** What the target got, as a share of its limit. */
-  readonly used: number;
+  readonly usedShare: number;
   readonly messagesPerSecond: number;
 }
 
 const windowMs: Milliseconds = 4_000;
 /** A window may hold so many times what the limit makes of it. */
-const tolerance = 1.5;
+const toleranceFactor = 1.5;
 /** Requests beside that. */
-const slack = 5;
+const slackRequests = 5;
 /** The limit counts so long after it was first named. */
-const contactMs: Milliseconds = 3_000;
+const enforcementDelayMs: Milliseconds = 3_000;
 /** From a send to the answer that names the limit. */
-const answerMs: Milliseconds = 100;
+const responseLatencyMs: Milliseconds = 100;
 /** Time for the last permits. */
-const settleMs: Milliseconds = 3_000;
+const drainMs: Milliseconds = 3_000;
 const millisecondsPerSecond = 1000;
 
-function fullestWindow(perSecond: number, sends: readonly Milliseconds[]): number {
-  const allowed = (tolerance * perSecond * windowMs) / millisecondsPerSecond + slack;
+function computeMaxWindowUtilization(perSecond: number, sends: readonly Milliseconds[]): number {
+  const allowed = (toleranceFactor * perSecond * windowMs) / millisecondsPerSecond + slackRequests;
   const counts = sends.map(
     (from) => sends.filter((at) => at >= from && at < from + windowMs).length,
   );
@@ -35,30 +40,30 @@
 
 export async function runPermits(
   load: PermitLoad,
-  make: PermitWayMaker,
+  createStrategy: PermitStrategyFactory,
   seed: number,
 ): Promise<PermitResult> {
   const clock = createVirtualClock();
-  const way = make(load, clock);
+  const strategy = createStrategy(load, clock);
   const sends: Milliseconds[] = [];
   const { restart, perSecond } = load;
-  if (restart) clock.after(restart.at, () => way.restart(restart.boxes));
+  if (restart) clock.after(restart.at, () => strategy.restart(restart.boxes));
   const send = (box: number) => {
     sends.push(clock.now());
-    clock.after(answerMs, () => {
-      if (clock.now() >= limitedFrom) way.hear(box);
+    clock.after(responseLatencyMs, () => {
+      if (clock.now() >= limitAnnouncedAt) strategy.observeLimit(box);
     });
   };
-  for (const { at, box } of arrivalsOf(load, seed)) {
-    clock.after(at, () => void way.takePermit(box).then((permit) => permit && send(box)));
+  for (const { at, box } of generateArrivals(load, seed)) {
+    clock.after(at, () => void strategy.takePermit(box).then((permit) => permit && send(box)));
   }
-  await clock.runUntil(loadMs + settleMs);
-  const from = limitedFrom + contactMs;
-  const counted = sends.filter((at) => at >= from && at < loadMs);
-  const owed = (perSecond * (loadMs - from)) / millisecondsPerSecond;
+  await clock.runUntil(loadDurationMs + drainMs);
+  const from = limitAnnouncedAt + enforcementDelayMs;
+  const counted = sends.filter((at) => at >= from && at < loadDurationMs);
+  const allowedRequests = (perSecond * (loadDurationMs - from)) / millisecondsPerSecond;
   return {
-    fullestWindow: fullestWindow(perSecond, counted),
-    used: counted.length / owed,
-    messagesPerSecond: way.messages() / (loadMs / millisecondsPerSecond),
+    maxWindowUtilization: computeMaxWindowUtilization(perSecond, counted),
+    usedShare: counted.length / allowedRequests,
+    messagesPerSecond: strategy.messagesSent() / (loadDurationMs / millisecondsPerSecond),
   };
 }
--- a/packages/bench/src/permits.steps.ts
+++ b/packages/bench/src/permits.steps.ts
@@ -3,7 +3,7 @@
 import { notes } from "@linkfall/test-support";
 import { permitLoads } from "./permit-load.js";
 import { runPermits, type PermitResult } from "./permit-run.js";
-import { permitWays } from "./permit-ways.js";
+import { permitStrategies } from "./permit-strategies.js";
 
 /** Virtual time; a busy machine may still take a while. */
 const stepTimeout = { timeout: 120_000 };
@@ -11,37 +11,40 @@
 When(
   /^every load of permits is played (\d+) times? with "([^"]*)"$/,
   stepTimeout,
-  async function (this: object, seeds: string, way: string) {
+  async function (this: object, seeds: string, strategy: string) {
     const results: PermitResult[] = [];
     for (const load of permitLoads) {
       for (let seed = 1; seed <= Number(seeds); seed++) {
-        results.push(await runPermits(load, permitWays[way], seed));
+        results.push(await runPermits(load, permitStrategies[strategy], seed));
       }
     }
     notes(this).set("permits", results);
   },
 );
 
-const fullestOf = (world: object) =>
+const maxUtilizationOf = (world: object) =>
   Math.max(
     ...notes(world)
       .get<PermitResult[]>("permits")
-      .map((result) => result.fullestWindow),
+      .map((result) => result.maxWindowUtilization),
   );
 
 Then("no window brings the target more than its limit allows", function (this: object) {
-  assert.ok(fullestOf(this) <= 1, String(fullestOf(this)));
+  assert.ok(maxUtilizationOf(this) <= 1, String(maxUtilizationOf(this)));
 });
 
 Then("some window brings the target more than its limit allows", function (this: object) {
-  assert.ok(fullestOf(this) > 1, String(fullestOf(this)));
+  assert.ok(maxUtilizationOf(this) > 1, String(maxUtilizationOf(this)));
 });
 
-Then("the target gets at least {int} in 100 of its limit", function (this: object, least: number) {
-  const used = Math.min(
-    ...notes(this)
-      .get<PermitResult[]>("permits")
-      .map((result) => result.used),
-  );
-  assert.ok(used * 100 >= least, String(used));
-});
+Then(
+  "the target gets at least {int} in 100 of its limit",
+  function (this: object, minPercent: number) {
+    const used = Math.min(
+      ...notes(this)
+        .get<PermitResult[]>("permits")
+        .map((result) => result.usedShare),
+    );
+    assert.ok(used * 100 >= minPercent, String(used));
+  },
+);
--- a/packages/bench/src/permits.ts
+++ b/packages/bench/src/permits.ts
@@ -1,28 +1,28 @@
 /** `npm run bench:permits`: ways to keep a target's limit over many boxes, compared under the same loads. */
 import { permitLoads } from "./permit-load.js";
 import { runPermits } from "./permit-run.js";
-import { permitWays } from "./permit-ways.js";
+import { permitStrategies } from "./permit-strategies.js";
 
 const seeds = [1, 2, 3];
-const say = (text: string) => void process.stdout.write(`${text}\n`);
+const printLine = (text: string) => void process.stdout.write(`${text}\n`);
 
-say("| boxes, limit a second | load | way | fullest window | used | messages a second |");
-say("| --- | --- | --- | --- | --- | --- |");
+printLine("| boxes, limit a second | load | way | fullest window | used | messages a second |");
+printLine("| --- | --- | --- | --- | --- | --- |");
 for (const load of permitLoads) {
-  for (const [name, make] of Object.entries(permitWays)) {
+  for (const [name, createStrategy] of Object.entries(permitStrategies)) {
     const results = [];
-    for (const seed of seeds) results.push(await runPermits(load, make, seed));
-    const fullest = Math.max(...results.map((result) => result.fullestWindow));
-    const used = results.reduce((sum, result) => sum + result.used, 0) / seeds.length;
+    for (const seed of seeds) results.push(await runPermits(load, createStrategy, seed));
+    const maxUtilization = Math.max(...results.map((result) => result.maxWindowUtilization));
+    const used = results.reduce((sum, result) => sum + result.usedShare, 0) / seeds.length;
     const messages = results.reduce((sum, result) => sum + result.messagesPerSecond, 0);
     const cells = [
       `${load.boxes}, ${load.perSecond}`,
       load.name,
       name,
-      fullest.toFixed(2),
+      maxUtilization.toFixed(2),
       used.toFixed(2),
       (messages / seeds.length).toFixed(1),
     ];
-    say(`| ${cells.join(" | ")} |`);
+    printLine(`| ${cells.join(" | ")} |`);
   }
 }
--- a/packages/bench/src/policy-run.ts
+++ b/packages/bench/src/policy-run.ts
@@ -42,13 +42,13 @@
 
 interface Tally {
   requests: number;
-  met: number;
+  metDeadline: number;
   notRun: number;
   readonly missed: Map<string, number>;
   readonly latencies: Milliseconds[];
 }
 
-async function readWhole(response: CallerResponse): Promise<boolean> {
+async function readToEnd(response: CallerResponse): Promise<boolean> {
   if (response.body instanceof Uint8Array) return response.status === 200;
   for await (const part of response.body as AsyncIterable<BodyPart>)
     if (part.isLeft()) return false;
@@ -57,7 +57,7 @@
 
 async function send(world: World, arrival: Arrival, tally: Tally): Promise<void> {
   const { clock, random } = world;
-  const measured = clock.now() >= phases.measureFrom;
+  const inMeasuredPhase = clock.now() >= phases.measureFrom;
   const startedAt = clock.now();
   const body = { model: arrival.model, prompt: arrival.prompt, max_tokens: arrival.maxTokens };
   const response = await world.call(pick(random, world.liveBoxes()), {
@@ -70,39 +70,39 @@
     body: Buffer.from(JSON.stringify(body)),
     gone: new AbortController().signal,
   });
-  const whole = response !== undefined && (await readWhole(response));
-  if (!measured) return;
-  noteMiss(tally, arrival, response, whole, startedAt, clock.now());
-  const took = clock.now() - startedAt;
+  const complete = response !== undefined && (await readToEnd(response));
+  if (!inMeasuredPhase) return;
+  recordMiss(tally, arrival, response, complete, startedAt, clock.now());
+  const latencyMs = clock.now() - startedAt;
   tally.requests += 1;
-  if (whole) tally.latencies.push(took);
-  if (whole && took <= arrival.deadlineMs) tally.met += 1;
+  if (complete) tally.latencies.push(latencyMs);
+  if (complete && latencyMs <= arrival.deadlineMs) tally.metDeadline += 1;
   if (response?.headers["linkfall-outcome"] === "not_run") tally.notRun += 1;
 }
 
-function partOfRun(at: Milliseconds): string {
+function phaseAt(at: Milliseconds): string {
   if (at >= phases.lossFrom) return "loss";
   if (at >= phases.shiftUntil) return "after";
   return at >= phases.shiftFrom ? "shift" : "steady";
 }
 
-function noteMiss(
+function recordMiss(
   tally: Tally,
   arrival: Arrival,
   response: CallerResponse | undefined,
-  whole: boolean,
+  complete: boolean,
   startedAt: Milliseconds,
   now: Milliseconds,
 ): void {
-  if (whole && now - startedAt <= arrival.deadlineMs) return;
+  if (complete && now - startedAt <= arrival.deadlineMs) return;
   const body =
     response?.body instanceof Uint8Array ? Buffer.from(response.body).toString("utf8") : "";
-  const code = /"code":"(\w+)"/.exec(body)?.[1] ?? (whole ? "late" : "cut");
-  const key = `${partOfRun(startedAt)} ${code}`;
+  const code = /"code":"(\w+)"/.exec(body)?.[1] ?? (complete ? "late" : "cut");
+  const key = `${phaseAt(startedAt)} ${code}`;
   tally.missed.set(key, (tally.missed.get(key) ?? 0) + 1);
 }
 
-async function declare(world: World, resources: Deployment["resources"]): Promise<void> {
+async function writeResources(world: World, resources: Deployment["resources"]): Promise<void> {
   const changes = resources.map((resource): Change => ({ action: "put", resource, base: 0 }));
   await world.boxes[0].box.operators.handle({
     method: "POST",
@@ -113,7 +113,7 @@
   });
 }
 
-function movesSoFar(world: World): number {
+function countMoves(world: World): number {
   const kinds = ["load", "unload", "role"];
   const causes = ["reachability", "min_replicas", "adapter", "make_room", "demand", "role"];
   return world.boxes.reduce((sum, { box }) => {
@@ -125,17 +125,17 @@
   }, 0);
 }
 
-function loseDomain(world: World, deployment: Deployment): void {
+function scheduleDomainLoss(world: World, deployment: Deployment): void {
   const [domain] = deployment.targets.domains;
-  const lost = world.engines.filter((engine) => engine.core.engine.domain === domain);
+  const lostEngines = world.engines.filter((engine) => engine.core.engine.domain === domain);
   world.clock.after(phases.lossFrom, () => {
-    for (const engine of lost) {
+    for (const engine of lostEngines) {
       engine.down = true;
       engine.core.restart();
     }
   });
   world.clock.after(phases.lossUntil, () => {
-    for (const engine of lost) engine.down = false;
+    for (const engine of lostEngines) engine.down = false;
   });
 }
 
@@ -149,27 +149,27 @@
   const world = createWorld(seed, { targets: deployment.targets, settings: variant.settings });
   // Its own random numbers, so that every variant gets the same requests.
   const workload = createWorkload(deployment, seededRandom(seed), conditions.steady);
-  const tally: Tally = { requests: 0, met: 0, notRun: 0, missed: new Map(), latencies: [] };
+  const tally: Tally = { requests: 0, metDeadline: 0, notRun: 0, missed: new Map(), latencies: [] };
   for (let index = 1; index <= deployment.boxes; index++) await world.startBox(`b${index}`);
-  if (conditions.faults) loseDomain(world, deployment);
+  if (conditions.faults) scheduleDomainLoss(world, deployment);
 
-  const end = phases.end + conditions.extraMinutes * msPerMinute;
-  const arrivals = async () => {
-    while (world.clock.now() < end) {
-      await sleep(world.clock, workload.nextGap(world.clock.now()));
+  const endMs = phases.end + conditions.extraMinutes * msPerMinute;
+  const sendArrivals = async () => {
+    while (world.clock.now() < endMs) {
+      await sleep(world.clock, workload.nextGapMs(world.clock.now()));
       void send(world, workload.next(world.clock.now()), tally);
     }
   };
   await world.clock.runUntil(1_000);
-  void declare(world, variant.resources?.(deployment) ?? deployment.resources);
-  world.clock.after(phases.requestsFrom, () => void arrivals());
+  void writeResources(world, variant.resources?.(deployment) ?? deployment.resources);
+  world.clock.after(phases.requestsFrom, () => void sendArrivals());
   await world.clock.runUntil(phases.measureFrom);
-  const movesBefore = movesSoFar(world);
-  await world.clock.runUntil(end + 20_000);
+  const movesBefore = countMoves(world);
+  await world.clock.runUntil(endMs + 20_000);
   return {
-    attainment: tally.met / tally.requests,
+    attainment: tally.metDeadline / tally.requests,
     notRun: tally.notRun / tally.requests,
-    moves: movesSoFar(world) - movesBefore,
+    moves: countMoves(world) - movesBefore,
     latencies: tally.latencies.sort((a, b) => a - b),
     requests: tally.requests,
     missed: tally.missed,
--- a/packages/bench/src/quota-run.ts
+++ b/packages/bench/src/quota-run.ts
@@ -1,32 +1,40 @@
 /** Plays one load against one way to keep a limit, and says what came of it. */
 import { createVirtualClock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
-import { arrivalsOf, loadMs, type QuotaArrival, type QuotaLoad } from "./quota-load.js";
-import type { WayMaker } from "./quota-ways.js";
+import {
+  generateArrivals,
+  loadDurationMs,
+  type QuotaArrival,
+  type QuotaLoad,
+} from "./quota-load.js";
+import type { QuotaStrategyFactory } from "./quota-strategies.js";
 
 export interface QuotaResult {
   /** Largest share of what a window may let through, tolerance included, that a window did: over 1 breaks the limit. */
-  readonly fullestWindow: number;
+  readonly maxWindowUtilization: number;
   /** Share of what one bucket for all boxes would have let through that was refused in its place. */
-  readonly refusedWithin: number;
+  readonly refusedShare: number;
   /** Messages between boxes a second. */
   readonly messagesPerSecond: number;
 }
 
 const windowMs: Milliseconds = 8_000;
-const overage = 0.1;
-const slack = 110_000;
+const allowedOverage = 0.1;
+const slackUnits = 110_000;
 const millisecondsPerSecond = 1000;
 /** Time for the last decisions. */
-const settleMs: Milliseconds = 2_000;
+const drainMs: Milliseconds = 2_000;
 
 /** Which requests one bucket for all boxes lets through: what the account is owed. */
-function owed(load: QuotaLoad, arrivals: readonly QuotaArrival[]): readonly boolean[] {
+function admittedBySharedBucket(
+  load: QuotaLoad,
+  arrivals: readonly QuotaArrival[],
+): readonly boolean[] {
   let level = load.perSecond;
   let filledAt = 0;
   return arrivals.map(({ at, units }) => {
-    const gained = ((at - filledAt) * load.perSecond) / millisecondsPerSecond;
-    level = Math.min(load.perSecond, level + gained);
+    const refill = ((at - filledAt) * load.perSecond) / millisecondsPerSecond;
+    level = Math.min(load.perSecond, level + refill);
     filledAt = at;
     if (level <= 0) return false;
     level -= units;
@@ -34,48 +42,48 @@
   });
 }
 
-function fullestWindow(load: QuotaLoad, letThrough: readonly QuotaArrival[]): number {
+function computeMaxWindowUtilization(load: QuotaLoad, admitted: readonly QuotaArrival[]): number {
   const limit = load.perSecond * (windowMs / millisecondsPerSecond) + load.perSecond;
-  const most = limit * (1 + overage) + slack;
+  const maxUnits = limit * (1 + allowedOverage) + slackUnits;
   let first = 0;
-  let sum = 0;
-  let fullest = 0;
-  for (const { at, units } of letThrough) {
-    sum += units;
-    for (; letThrough[first].at <= at - windowMs; first += 1) sum -= letThrough[first].units;
-    fullest = Math.max(fullest, sum);
+  let windowUnits = 0;
+  let maxSum = 0;
+  for (const { at, units } of admitted) {
+    windowUnits += units;
+    for (; admitted[first].at <= at - windowMs; first += 1) windowUnits -= admitted[first].units;
+    maxSum = Math.max(maxSum, windowUnits);
   }
-  return fullest / most;
+  return maxSum / maxUnits;
 }
 
-const unitsOf = (arrivals: readonly QuotaArrival[]) =>
+const totalUnits = (arrivals: readonly QuotaArrival[]) =>
   arrivals.reduce((sum, { units }) => sum + units, 0);
 
 export async function runQuota(
   load: QuotaLoad,
-  make: WayMaker,
+  createStrategy: QuotaStrategyFactory,
   seed: number,
 ): Promise<QuotaResult> {
   const clock = createVirtualClock();
-  const way = make(load, clock);
-  const arrivals = arrivalsOf(load, seed);
-  const through = new Set<QuotaArrival>();
+  const strategy = createStrategy(load, clock);
+  const arrivals = generateArrivals(load, seed);
+  const admitted = new Set<QuotaArrival>();
   const { restartAt } = load;
-  if (restartAt !== undefined) clock.after(restartAt, way.restart);
+  if (restartAt !== undefined) clock.after(restartAt, strategy.restart);
   for (const arrival of arrivals) {
     clock.after(arrival.at, () => {
-      void way.admit(arrival.box, arrival.units).then((yes) => yes && through.add(arrival));
+      void strategy.admit(arrival.box, arrival.units).then((yes) => yes && admitted.add(arrival));
     });
   }
-  await clock.runUntil(loadMs + settleMs);
-  const within = owed(load, arrivals);
-  const due = arrivals.filter((_, index) => within[index]);
+  await clock.runUntil(loadDurationMs + drainMs);
+  const expected = admittedBySharedBucket(load, arrivals);
+  const expectedArrivals = arrivals.filter((_, index) => expected[index]);
   return {
-    fullestWindow: fullestWindow(
+    maxWindowUtilization: computeMaxWindowUtilization(
       load,
-      arrivals.filter((arrival) => through.has(arrival)),
+      arrivals.filter((arrival) => admitted.has(arrival)),
     ),
-    refusedWithin: Math.max(0, 1 - unitsOf([...through]) / unitsOf(due)),
-    messagesPerSecond: way.messages() / (loadMs / millisecondsPerSecond),
+    refusedShare: Math.max(0, 1 - totalUnits([...admitted]) / totalUnits(expectedArrivals)),
+    messagesPerSecond: strategy.messagesSent() / (loadDurationMs / millisecondsPerSecond),
   };
 }
--- a/packages/bench/src/quota-ways.ts
+++ b/packages/bench/src/quota-strategies.ts
@@ -9,51 +9,55 @@
 import { createTokenBucket } from "@linkfall/token-bucket";
 import type { Milliseconds } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
-import { isCut, isSevered, isUnled, type QuotaLoad } from "./quota-load.js";
+import { isIsolated, isPartitioned, isLeaderless, type QuotaLoad } from "./quota-load.js";
 
-export interface QuotaWay {
+export interface QuotaStrategy {
   /** Decides on a request that came to a box. */
   admit(box: number, units: number): Promise<boolean>;
   /** All boxes lose what they know. */
   restart(): void;
   /** Messages between boxes so far. */
-  messages(): number;
+  messagesSent(): number;
 }
 
-export type WayMaker = (load: QuotaLoad, clock: VirtualClock) => QuotaWay;
+export type QuotaStrategyFactory = (load: QuotaLoad, clock: VirtualClock) => QuotaStrategy;
 
 const tolerance: QuotaTolerance = { windowSeconds: 8, overage: 0.1, slack: 110_000 };
 /** One way between boxes. */
-const wireMs: Milliseconds = 1.4;
+const oneWayLatencyMs: Milliseconds = 1.4;
 /** Time between two exchanges of a box with the one that hears all. */
-const roundMs: Milliseconds = 400;
+const exchangeIntervalMs: Milliseconds = 400;
 /** A box that is cut off knows it after this time. */
-const cutOffMs: Milliseconds = 1_000;
+const selfDetectionMs: Milliseconds = 1_000;
 /** A box that is cut off is known to be silent after this time. */
-const noticedMs: Milliseconds = 1_500;
-const useMs: Milliseconds = 1_000;
+const silenceDetectionMs: Milliseconds = 1_500;
+const usageDecayMs: Milliseconds = 1_000;
 const millisecondsPerSecond = 1000;
 
-const boxesOf = ({ boxes }: QuotaLoad) => Array.from({ length: boxes }, (_, box) => box);
-const wait = (clock: VirtualClock, ms: Milliseconds) =>
+const boxIndexes = ({ boxes }: QuotaLoad) => Array.from({ length: boxes }, (_, box) => box);
+const delay = (clock: VirtualClock, ms: Milliseconds) =>
   new Promise<void>((resolve) => void clock.after(ms, resolve));
 
 /** Calls `exchange` for each box each round, unless a cut lies between it and the box that hears all. */
-function everyRound(load: QuotaLoad, clock: VirtualClock, exchange: (box: number) => void): void {
-  for (const box of boxesOf(load)) {
-    const round = () => {
+function scheduleExchanges(
+  load: QuotaLoad,
+  clock: VirtualClock,
+  exchange: (box: number) => void,
+): void {
+  for (const box of boxIndexes(load)) {
+    const runExchange = () => {
       const hub = load.boxes - 1;
-      if (!isCut(load, box, clock.now()) && !isCut(load, hub, clock.now())) exchange(box);
-      clock.after(roundMs, round);
+      if (!isIsolated(load, box, clock.now()) && !isIsolated(load, hub, clock.now())) exchange(box);
+      clock.after(exchangeIntervalMs, runExchange);
     };
-    clock.after((roundMs * box) / load.boxes, round);
+    clock.after((exchangeIntervalMs * box) / load.boxes, runExchange);
   }
 }
 
 /** Each box has the part of the rate that its own traffic is of all, as heartbeats tell. */
-export const partsByTraffic: WayMaker = (load, clock) => {
+export const sharesByTraffic: QuotaStrategyFactory = (load, clock) => {
   const create = () =>
-    boxesOf(load).map(() => {
+    boxIndexes(load).map(() => {
       const rate = load.perSecond / load.boxes;
       return {
         used: 0,
@@ -65,95 +69,101 @@
   let boxes = create();
   let sent = 0;
   const rateOf = (box: number) =>
-    boxes[box].used * Math.exp(-(clock.now() - boxes[box].usedAt) / useMs);
-  everyRound(load, clock, (box) => {
+    boxes[box].used * Math.exp(-(clock.now() - boxes[box].usedAt) / usageDecayMs);
+  scheduleExchanges(load, clock, (box) => {
     sent += 2;
-    boxes[box].total = boxesOf(load).reduce((sum, other) => sum + rateOf(other), 0);
+    boxes[box].total = boxIndexes(load).reduce((sum, other) => sum + rateOf(other), 0);
   });
   return {
     async admit(box, units) {
       const own = boxes[box];
-      own.used = rateOf(box) + units * (millisecondsPerSecond / useMs);
+      own.used = rateOf(box) + units * (millisecondsPerSecond / usageDecayMs);
       own.usedAt = clock.now();
       const rate = localRate(load.perSecond, own.used, own.total, load.boxes);
       own.bucket.setLimits({ rate, burst: Math.max(rate, units) });
       return own.bucket.take(units);
     },
     restart: () => void (boxes = create()),
-    messages: () => sent,
+    messagesSent: () => sent,
   };
 };
 
 /** Each box counts for itself and hears by heartbeats what the others have let through. */
-export const toldByHeartbeats: WayMaker = (load, clock) => {
+export const countsFromHeartbeats: QuotaStrategyFactory = (load, clock) => {
   const create = () =>
-    boxesOf(load).map(() => ({
-      own: 0,
-      othersTaken: 0,
+    boxIndexes(load).map(() => ({
+      admitted: 0,
+      othersCounted: 0,
       level: load.perSecond,
       filledAt: clock.now(),
     }));
   let boxes = create();
   let sent = 0;
-  const fill = (box: number) => {
+  const refillBucket = (box: number) => {
     const state = boxes[box];
-    const gained = ((clock.now() - state.filledAt) * load.perSecond) / millisecondsPerSecond;
-    state.level = Math.min(load.perSecond, state.level + gained);
+    const refill = ((clock.now() - state.filledAt) * load.perSecond) / millisecondsPerSecond;
+    state.level = Math.min(load.perSecond, state.level + refill);
     state.filledAt = clock.now();
     return state;
   };
-  everyRound(load, clock, (box) => {
+  scheduleExchanges(load, clock, (box) => {
     sent += 2;
-    const state = fill(box);
-    const others = boxesOf(load).reduce((sum, other) => sum + boxes[other].own, 0) - state.own;
-    state.level -= others - state.othersTaken;
-    state.othersTaken = others;
+    const state = refillBucket(box);
+    const others =
+      boxIndexes(load).reduce((sum, other) => sum + boxes[other].admitted, 0) - state.admitted;
+    state.level -= others - state.othersCounted;
+    state.othersCounted = others;
   });
   return {
     async admit(box, units) {
-      const state = fill(box);
+      const state = refillBucket(box);
       if (state.level <= 0) return false;
       state.level -= units;
-      state.own += units;
+      state.admitted += units;
       return true;
     },
     restart: () => void (boxes = create()),
-    messages: () => sent,
+    messagesSent: () => sent,
   };
 };
 
 /** One box allocates for the account; the program's own code. */
-export const allocatedByOne: WayMaker = (load, clock) => {
+export const singleAllocator: QuotaStrategyFactory = (load, clock) => {
   let sent = 0;
-  const cutFor = (box: number, ms: Milliseconds) =>
-    isCut(load, box, clock.now()) && isCut(load, box, clock.now() - ms);
-  const isApart = (one: number, other: number) =>
-    isCut(load, one, clock.now()) !== isCut(load, other, clock.now()) ||
-    isSevered(load, one, other, clock.now());
+  const isIsolatedFor = (box: number, ms: Milliseconds) =>
+    isIsolated(load, box, clock.now()) && isIsolated(load, box, clock.now() - ms);
+  const isDisconnected = (one: number, other: number) =>
+    isIsolated(load, one, clock.now()) !== isIsolated(load, other, clock.now()) ||
+    isPartitioned(load, one, other, clock.now());
   const create = (): AccountQuota[] =>
-    boxesOf(load).map((box) =>
+    boxIndexes(load).map((box) =>
       createAccountQuota(
         clock,
         {
           self: String(box),
           allocators: () =>
-            boxesOf(load)
-              .filter((other) => !isApart(box, other) || !cutFor(Math.min(box, other), noticedMs))
+            boxIndexes(load)
+              .filter(
+                (other) =>
+                  !isDisconnected(box, other) ||
+                  !isIsolatedFor(Math.min(box, other), silenceDetectionMs),
+              )
               .map(String),
-          async sendRequest(address, ask) {
+          async sendRequest(address, request) {
             sent += 2;
             const other = Number(address);
-            await wait(clock, wireMs);
-            if (isApart(box, other)) {
+            await delay(clock, oneWayLatencyMs);
+            if (isDisconnected(box, other)) {
               return Left({ kind: "peer_unreachable", reason: "cut", mayHaveArrived: false });
             }
-            const grant = await boxes[other].allocate(ask);
-            await wait(clock, wireMs);
+            const grant = await boxes[other].allocate(request);
+            await delay(clock, oneWayLatencyMs);
             return Right(grant);
           },
-          connected: () => !cutFor(box, cutOffMs) && !isUnled(load, clock.now()),
+          connected: () => !isIsolatedFor(box, selfDetectionMs) && !isLeaderless(load, clock.now()),
           ownShare: () => 1 / load.boxes,
-          silentShare: () => (cutFor(0, noticedMs) ? (load.cut?.boxes ?? 0) / load.boxes : 0),
+          silentShare: () =>
+            isIsolatedFor(0, silenceDetectionMs) ? (load.cut?.boxes ?? 0) / load.boxes : 0,
         },
         tolerance,
       ),
@@ -171,12 +181,12 @@
       return (await boxes[box].admit({ account, units, version: 1 })).kind === "admitted";
     },
     restart: () => void (boxes = create()),
-    messages: () => sent,
+    messagesSent: () => sent,
   };
 };
 
-export const quotaWays: Readonly<Record<string, WayMaker>> = {
-  "parts by traffic": partsByTraffic,
-  "told by heartbeats": toldByHeartbeats,
-  "allocated by one box": allocatedByOne,
+export const quotaStrategies: Readonly<Record<string, QuotaStrategyFactory>> = {
+  "parts by traffic": sharesByTraffic,
+  "told by heartbeats": countsFromHeartbeats,
+  "allocated by one box": singleAllocator,
 };
--- a/packages/bench/src/workload.ts
+++ b/packages/bench/src/workload.ts
@@ -25,9 +25,9 @@
   end: 330_000,
 } as const;
 
-const skew = 0.9;
+const popularityExponent = 0.9;
 const stationsPerModel = 12;
-const shiftedModels = 4;
+const shiftedModelCount = 4;
 const shiftFactor = 6;
 const burstEveryMs: Milliseconds = 20_000;
 const burstMs: Milliseconds = 8_000;
@@ -35,13 +35,13 @@
 const adapterShare = 0.3;
 const shortDeadlineMs: Milliseconds = 6_000;
 const longDeadlineMs: Milliseconds = 20_000;
-const shortShare = 0.6;
-const mostTokens = 8;
+const shortDeadlineShare = 0.6;
+const maxOutputTokens = 8;
 const stationLogCharacters = 700;
 
 export interface Workload {
   /** Time until the next request. */
-  nextGap(now: Milliseconds): Milliseconds;
+  nextGapMs(now: Milliseconds): Milliseconds;
   next(now: Milliseconds): Arrival;
 }
 
@@ -54,9 +54,9 @@
 /** Creates the requests of one run; steady ones know neither bursts nor shifts. */
 export function createWorkload(deployment: Deployment, random: Random, steady = false): Workload {
   const { models, adapters } = deployment;
-  const base = models.map((_, index) => 1 / (index + 1) ** skew);
+  const base = models.map((_, index) => 1 / (index + 1) ** popularityExponent);
   const total = base.reduce((sum, weight) => sum + weight, 0);
-  const shifted = Array.from({ length: shiftedModels }, () => random.below(models.length));
+  const shifted = Array.from({ length: shiftedModelCount }, () => random.below(models.length));
   let burst = { model: 0, until: -Infinity, next: burstEveryMs };
   let sent = 0;
 
@@ -68,19 +68,19 @@
   const weights = (now: Milliseconds) =>
     base.map((weight, index) => {
       const inShift = !steady && now >= phases.shiftFrom && now < phases.shiftUntil;
-      const byShift = inShift && shifted.includes(index) ? shiftFactor : 1;
-      const byBurst = now < burst.until && burst.model === index ? burstFactor : 1;
-      return weight * Math.max(byShift, byBurst);
+      const shiftWeight = inShift && shifted.includes(index) ? shiftFactor : 1;
+      const burstWeight = now < burst.until && burst.model === index ? burstFactor : 1;
+      return weight * Math.max(shiftWeight, burstWeight);
     });
 
   const pickIndex = (list: readonly number[], sum: number) => {
-    let left = random.fraction() * sum;
-    const index = list.findIndex((weight) => (left -= weight) < 0);
+    let remaining = random.fraction() * sum;
+    const index = list.findIndex((weight) => (remaining -= weight) < 0);
     return index < 0 ? list.length - 1 : index;
   };
 
   return {
-    nextGap(now) {
+    nextGapMs(now) {
       updateBurst(now);
       const sum = weights(now).reduce((all, weight) => all + weight, 0);
       const rate = (deployment.baseRate * sum) / total;
@@ -93,14 +93,14 @@
         list.reduce((all, weight) => all + weight, 0),
       );
       const model = models[index].name;
-      const own = adapters.filter((adapter) => adapter.model === model);
-      const useAdapter = own.length > 0 && random.fraction() < adapterShare;
+      const modelAdapters = adapters.filter((adapter) => adapter.model === model);
+      const useAdapter = modelAdapters.length > 0 && random.fraction() < adapterShare;
       const station = Math.floor(stationsPerModel * random.fraction() ** 2);
       return {
-        model: useAdapter ? own[random.below(own.length)].name : model,
+        model: useAdapter ? modelAdapters[random.below(modelAdapters.length)].name : model,
         prompt: `${stationLog(model, station)} question ${++sent}`,
-        maxTokens: 2 + random.below(mostTokens - 1),
-        deadlineMs: random.fraction() < shortShare ? shortDeadlineMs : longDeadlineMs,
+        maxTokens: 2 + random.below(maxOutputTokens - 1),
+        deadlineMs: random.fraction() < shortDeadlineShare ? shortDeadlineMs : longDeadlineMs,
       };
     },
   };
