--- a/packages/bench/src/box-cost.ts
+++ b/packages/bench/src/box-cost.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:box`: what whole boxes cost as processes: at rest, and for each token that they pass
- * on. Processor time and memory are read from the system's own accounts of the process.
+ * `npm run bench:box`: processor time and memory of box processes, idle and per relayed token, read
+ * from /proc.
  */
 import { readFileSync } from "node:fs";
 import { createOperatorClient } from "@linkfall/operator-client";
@@ -14,6 +14,7 @@
 } from "@linkfall/stand-ins";
 import type { Resource } from "@linkfall/types";
 
+/** Linux clock ticks, the unit of processor times in /proc. */
 const ticksPerSecond = 100;
 const idleSeconds = 20;
 const loadSeconds = 15;
@@ -22,7 +23,7 @@
 const engineCount = 13;
 const modelCount = 40;
 
-/** Processor seconds of a process so far. */
+/** User and system time of a process in seconds. */
 function cpuSeconds(pid: number): number {
   const fields = readFileSync(`/proc/${pid}/stat`, "utf8").split(") ")[1].split(" ");
   return (Number(fields[11]) + Number(fields[12])) / ticksPerSecond;
@@ -99,10 +100,10 @@
     const status = await operator.status();
     return status.map(({ models }) => models.every((model) => model.ready > 0)).orDefault(false);
   };
-  await until(allModelsReady, () => "models were not placed", 120_000);
+  await until(allModelsReady, () => "timed out waiting for all models to become ready", 120_000);
 }
 
-/** Sends streams through one box until the time is up; answers with the tokens that came. */
+/** Sends streaming requests through a box for `loadSeconds` and returns the number of tokens received. */
 async function sendStreams(box: RunningBox, concurrency: number): Promise<number> {
   const end = performance.now() + loadSeconds * 1_000;
   let tokens = 0;
@@ -137,7 +138,7 @@
     (pid, index) => ((cpuSeconds(pid) - before[index]) * 100) / idleSeconds,
   );
   printLine(
-    `at rest, ${boxCount} boxes, ${engineCount} engines, ${modelCount} models: ${mean(idleCpuPercents).toFixed(2)} % of a core (most ${Math.max(...idleCpuPercents).toFixed(2)}), ${mean(pids.map(residentMemoryMb)).toFixed(0)} MB resident`,
+    `idle, ${boxCount} boxes, ${engineCount} engines, ${modelCount} models: ${mean(idleCpuPercents).toFixed(2)} % of a core (max ${Math.max(...idleCpuPercents).toFixed(2)}), ${mean(pids.map(residentMemoryMb)).toFixed(0)} MB resident`,
   );
   const [box] = deployment.boxes;
   for (const atOnce of [20, 80]) {
@@ -145,7 +146,7 @@
     const tokens = await sendStreams(box, atOnce);
     const used = cpuSeconds(pidOf(box)) - start;
     printLine(
-      `${atOnce} streams at once: ${(tokens / loadSeconds).toFixed(0)} tokens/s, ${((used * 100) / loadSeconds).toFixed(1)} % of a core, ${((used * 1e6) / tokens).toFixed(1)} us a token, ${residentMemoryMb(pidOf(box)).toFixed(0)} MB resident`,
+      `${atOnce} concurrent streams: ${(tokens / loadSeconds).toFixed(0)} tokens/s, ${((used * 100) / loadSeconds).toFixed(1)} % of a core, ${((used * 1e6) / tokens).toFixed(1)} us per token, ${residentMemoryMb(pidOf(box)).toFixed(0)} MB resident`,
     );
   }
 } finally {
--- a/packages/bench/src/capacity-peers.ts
+++ b/packages/bench/src/capacity-peers.ts
@@ -1,4 +1,4 @@
-/** What messages between boxes cost: processor time of both sides, and bytes on the wire. */
+/** Measures messages between boxes: processor time of both sides and bytes on the wire. */
 import { systemClock } from "@linkfall/kernel";
 import { createMemberTable } from "@linkfall/membership";
 import { createPeerClient, createPeerServer, type PeerGrpcClient } from "@linkfall/peer-grpc";
@@ -18,7 +18,7 @@
 const suspectMs = 15_000;
 const forgetMs = 60_000;
 
-/** What one message to a box that answers by `handler` costs. */
+/** Measures one kind of message, sent by `send` and answered by `handler`. */
 async function measureMessage(
   what: string,
   size: string,
@@ -50,12 +50,8 @@
   client.close();
   server.close();
   await proxy.close();
-  printRow(
-    `${what}, sent and answered (both sides, one at a time)`,
-    size,
-    formatMicroseconds(time),
-  );
-  printRow(`${what}, on the wire in both directions`, size, formatKilobytes(bytes));
+  printRow(`${what}, round trip (both sides, sequential)`, size, formatMicroseconds(time));
+  printRow(`${what}, bytes on the wire (both directions)`, size, formatKilobytes(bytes));
 }
 
 function member(index: number, heartbeat: number): MemberEntry {
@@ -70,7 +66,7 @@
   };
 }
 
-/** A heartbeat in a fleet of `members` that passes `entries` of them on, merged on both sides. */
+/** Measures a heartbeat that carries `entries` of the fleet's `members` and is merged on both sides. */
 export async function measureHeartbeats(members: number, entries: number): Promise<void> {
   const changes = { joined: () => undefined, gone: () => undefined };
   const before = heapUsedBytes();
@@ -101,7 +97,7 @@
   printRow("memory of the member table", size, formatKilobytes(heldBytes));
 }
 
-/** A report of the rates of some accounts, answered with their sums. */
+/** Measures a usage report with the rates of `accounts` accounts. */
 export async function measureUsage(accounts: number): Promise<void> {
   const rates = Array.from({ length: accounts }, (_, index) => ({
     account: `account-${index}`,
@@ -141,7 +137,7 @@
   };
 }
 
-/** An asking for the reports of some engines, with and without their placements. */
+/** Measures a read of engine reports, with and without their placements. */
 export async function measureRelayedReports(engines: number, residents: number): Promise<void> {
   const fullReports = Array.from({ length: engines }, (_, index) =>
     createRelayedReport(index, residents),
@@ -151,12 +147,12 @@
   const from = "box-1@0123456789ab";
   const request = { from, pools: ["pool-1"], heldFrom: "box-2@0123456789ab", held };
   for (const [reports, what] of [
-    [loadReports, "placements held"],
-    [fullReports, `${residents} residents each`],
+    [loadReports, "placements unchanged"],
+    [fullReports, `${residents} residents per engine`],
   ] as const) {
     const handler: Partial<PeerHandler> = { readReports: () => ({ from, reports }) };
     const size = `${engines} engines, ${what}`;
-    await measureMessage("asking for reports", size, handler, (client, address) =>
+    await measureMessage("read of engine reports", size, handler, (client, address) =>
       client.readReports(address, request),
     );
   }
--- a/packages/bench/src/capacity-state.ts
+++ b/packages/bench/src/capacity-state.ts
@@ -1,4 +1,4 @@
-/** Slopes of the folded state: memory, changes, renewals and snapshots. */
+/** Measures the folded state: memory, writes, lease renewals and snapshots. */
 import {
   applyEntry,
   desiredStateOf,
@@ -22,7 +22,7 @@
   applyEntry(state, { offset: state.offset + 1, data: JSON.stringify(record) });
 }
 
-/** Measures at a share of the two-year size. */
+/** Measures a state of `scale` times the fleet size expected in two years. */
 export async function measureState(scale: number): Promise<void> {
   const resources = resourcesAtScale(scale);
   const before = heapUsedBytes();
@@ -46,13 +46,13 @@
     applyWrite(state, `b@1#${index + 2}`, [{ action: "put", resource: changedModel, base }]);
     return desiredStateOf(state);
   });
-  printRow("one change: fold and new view", size, formatMicroseconds(foldTime));
+  printRow("one write: fold and rebuild the desired state", size, formatMicroseconds(foldTime));
   const renewal = { type: "renew", holder: "b@1", epochs: [1] };
   const renewTime = await cpuMicrosecondsPerCall(2_000, (index) => {
     const data = JSON.stringify({ ...renewal, id: `b@1#${index + 100}` });
     applyEntry(state, { offset: state.offset + 1, data });
   });
-  printRow("one renewal folded", size, formatMicroseconds(renewTime));
+  printRow("one lease renewal folded", size, formatMicroseconds(renewTime));
   const text = serialiseState(state);
   printRow(
     "snapshot",
@@ -60,6 +60,6 @@
     `${formatKilobytes(text.length)}, ${formatKilobytes(text.length / state.resources.size)} each`,
   );
   const snapshotTime = await cpuMicrosecondsPerCall(3, () => parseState(serialiseState(state)));
-  printRow("snapshot written and read", size, formatMicroseconds(snapshotTime));
-  if (desired.models.size === 0) throw new Error("no models");
+  printRow("snapshot serialised and parsed", size, formatMicroseconds(snapshotTime));
+  if (desired.models.size === 0) throw new Error("the desired state has no models");
 }
--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:capacity`: the slopes from which docs/CAPACITY.md is worked out. Times are processor
- * time of this process, not of the clock on the wall.
+ * `npm run bench:capacity`: the unit costs behind docs/CAPACITY.md. Times are processor time of this
+ * process, not wall-clock time.
  */
 import { createEngineHttp } from "@linkfall/engine-http";
 import { createHttpClient } from "@linkfall/http-client";
@@ -64,12 +64,12 @@
   const log = createLogHttp(caller, deployment.logAddress);
   await port.report(engine.address);
   printRow(
-    "report polled over HTTP (asking side)",
+    "report polled over HTTP (client side)",
     "no residents",
     formatMicroseconds(await cpuMicrosecondsPerCall(2_000, () => port.report(engine.address))),
   );
   printRow(
-    "empty read of the log over HTTP (asking side)",
+    "empty log read over HTTP (client side)",
     "",
     formatMicroseconds(await cpuMicrosecondsPerCall(2_000, () => log.read(streams.state, 1, 500))),
   );
@@ -88,7 +88,7 @@
   );
 }
 
-// --- Planning and choosing -------------------------------------------------------------------
+// --- Planning and target selection -----------------------------------------------------------
 
 function createPoolView(engines: number, accelerators: number, models: number): PoolView {
   const list = Array.from({ length: engines }, (_, index) => engineResource(index, accelerators));
@@ -112,7 +112,7 @@
     }),
     models: Array.from({ length: models }, (_, index) => {
       const model = modelResource(index);
-      if (model.kind !== "model") throw new Error("not a model");
+      if (model.kind !== "model") throw new Error("expected a model resource");
       return { model, adapters: [], demandShare: 1 / models, coolingDown: false };
     }),
     limits: { attainmentWeight: 1, movesWeight: 1, mayUnload: true, demandMoveBudget: 1 },
@@ -123,7 +123,11 @@
   const view = createPoolView(engines, accelerators, models);
   const microseconds = await cpuMicrosecondsPerCall(10, () => planPool(view));
   const size = `${engines} engines of ${accelerators}, ${models} models`;
-  printRow("one plan", size, `${(microseconds / microsecondsPerMillisecond).toFixed(2)} ms`);
+  printRow(
+    "one placement plan",
+    size,
+    `${(microseconds / microsecondsPerMillisecond).toFixed(2)} ms`,
+  );
 }
 
 async function measureTargetSelection(count: number): Promise<void> {
@@ -142,7 +146,7 @@
   const time = await cpuMicrosecondsPerCall(20_000, (index) =>
     chooseTarget(candidates, { ...context, affinityKey: `account/model/${index}` }),
   );
-  printRow("one choice by affinity", `${count} replicas`, formatMicroseconds(time));
+  printRow("one target selection by affinity", `${count} replicas`, formatMicroseconds(time));
 }
 
 async function measureOnceMemory(): Promise<void> {
@@ -161,15 +165,14 @@
     return id && memory.run(id, "account", async () => jsonResponse({}));
   });
   printRow(
-    "one not repeatable request remembered",
+    "one non-repeatable request recorded",
     `${count} requests`,
     `${formatKilobytes((heapUsedBytes() - before) / count)}, ${formatMicroseconds(time)}`,
   );
 }
 
-/** Runs all measurements. */
 async function main(): Promise<void> {
-  printLine("| what | at | measured |\n| --- | --- | --- |");
+  printLine("| operation | size | cost |\n| --- | --- | --- |");
   for (const scale of [0.05, 0.25, 1]) await measureState(scale);
   for (const [members, entries] of [
     [8, 8],
--- a/packages/bench/src/counting-proxy.ts
+++ b/packages/bench/src/counting-proxy.ts
@@ -1,14 +1,14 @@
-/** A link on loopback that counts what passes through it, in both directions. */
+/** A TCP proxy on loopback that counts the bytes it forwards. */
 import { type AddressInfo, connect, createServer, type Socket } from "node:net";
 
 export interface CountingProxy {
   readonly address: string;
-  /** Bytes that have passed so far. */
+  /** Bytes forwarded so far, both directions together. */
   totalBytes(): number;
   close(): Promise<void>;
 }
 
-/** Opens a link to a port on loopback. */
+/** Starts a proxy to a port on loopback. */
 export async function openCountingProxy(port: number): Promise<CountingProxy> {
   let count = 0;
   const sockets = new Set<Socket>();
--- a/packages/bench/src/deployments.ts
+++ b/packages/bench/src/deployments.ts
@@ -1,8 +1,9 @@
-/** The two deployments of the brief, at today's sizes. */
+/** Two sample deployments that the benchmarks simulate. */
 import { createHash } from "node:crypto";
 import type { WorldTargets } from "@linkfall/soak";
 import type { Adapter, Engine, Model, Resource } from "@linkfall/types";
 
+/** Targets and resources of a deployment. */
 export interface Deployment {
   readonly name: "isar" | "voltcell";
   readonly targets: WorldTargets;
@@ -10,11 +11,11 @@
   readonly models: readonly Model[];
   readonly adapters: readonly Adapter[];
   readonly resources: readonly Resource[];
-  /** Requests a second at the start. */
+  /** Requests per second without bursts or shifts. */
   readonly baseRate: number;
 }
 
-/** Sizes of one deployment. */
+/** Parameters from which a deployment is generated. */
 interface DeploymentShape {
   readonly name: Deployment["name"];
   readonly domains: readonly string[];
@@ -64,7 +65,7 @@
 export const accountName = "dispatch";
 export const accountToken = "token-of-dispatch";
 
-/** One step of the engines stands for eight tokens, so that a run stays short. */
+/** Simulated engine speeds; one step stands for eight tokens to shorten runs. */
 export const benchSpeeds = {
   stepMs: 160,
   stepPerRequestMs: 12,
@@ -162,7 +163,7 @@
 
 export const deployments: readonly Deployment[] = shapes.map(createDeployment);
 
-/** Accelerators of a deployment. */
+/** Total number of accelerators of a deployment's engines. */
 export function acceleratorCount(deployment: Deployment): number {
   return deployment.targets.engines.reduce((sum, each) => sum + each.acceleratorsMb.length, 0);
 }
--- a/packages/bench/src/fleet-resources.ts
+++ b/packages/bench/src/fleet-resources.ts
@@ -1,4 +1,4 @@
-/** Resources of the two-year size. */
+/** Resources of a fleet of the size expected in two years. */
 import { createHash } from "node:crypto";
 import type { Engine, Resource } from "@linkfall/types";
 
@@ -31,7 +31,7 @@
   };
 }
 
-/** A deployment of about `scale` times the two-year size: pools, accounts, engines, models, adapters. */
+/** Creates all resources of the fleet, with engines, models and adapters multiplied by `scale`. */
 export function resourcesAtScale(scale: number): readonly Resource[] {
   const list = <T>(count: number, make: (index: number) => T) =>
     Array.from({ length: Math.ceil(count * scale) }, (_, index) => make(index));
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,6 +1,7 @@
 /**
  * `npm run bench -- routing|placement [--seeds N] [--deployment D] [--variant V] [--faults] [--steady]
- * [--extra-minutes N] [--plot FOLDER]`: a table for each deployment and, on request, a plot.
+ * [--extra-minutes N] [--plot FOLDER]`:
+ * compares the variants of an experiment; prints a table per deployment and optionally writes a plot.
  */
 import { writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -30,7 +31,8 @@
 
 const experimentName = positionals[0] ?? "routing";
 const experiment = experiments[experimentName];
-if (!experiment) throw new Error(`one of ${Object.keys(experiments).join(", ")}`);
+if (!experiment)
+  throw new Error(`unknown experiment; expected one of ${Object.keys(experiments).join(", ")}`);
 const seeds = Array.from({ length: Number(values.seeds) }, (_, index) => index + 1);
 
 const conditions = {
--- a/packages/bench/src/measure.ts
+++ b/packages/bench/src/measure.ts
@@ -1,17 +1,16 @@
-/** Measures processor time and memory of this process, and prints rows of a table. */
+/** Measures processor time and memory of this process, and prints table rows. */
 
-/** Prints a line. */
 export function printLine(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-/** Bytes in use after a collection, where Node.js was started with --expose-gc. */
+/** Heap size in bytes; collects garbage first if Node.js runs with --expose-gc. */
 export function heapUsedBytes(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
 }
 
-/** Processor time of one call, in microseconds, over `count` calls. */
+/** Mean processor time of a call in microseconds, over `count` sequential calls. */
 export async function cpuMicrosecondsPerCall(
   count: number,
   act: (index: number) => unknown,
@@ -22,7 +21,7 @@
   return (used.user + used.system) / count;
 }
 
-/** Prints one row. */
+/** Prints a Markdown table row. */
 export function printRow(what: string, size: string, value: string): void {
   printLine(`| ${what} | ${size} | ${value} |`);
 }
--- a/packages/bench/src/permit-load.ts
+++ b/packages/bench/src/permit-load.ts
@@ -1,32 +1,33 @@
-/** Loads under which ways to keep a target's limit over many boxes are compared. */
+/** Traffic patterns and faults for comparing strategies that enforce a target's limit across boxes. */
 import { seededRandom } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 
+/** Requests for one target with a rate limit, with the faults during them. */
 export interface PermitLoad {
   readonly name: string;
   readonly boxes: number;
-  /** Requests a second that the target takes from all boxes together. */
+  /** Rate limit of the target in requests per second, over all boxes. */
   readonly perSecond: number;
-  /** Boxes that lose what they know, all at once. */
+  /** Restarts the first `boxes` boxes with empty state. */
   readonly restart?: { readonly at: Milliseconds; readonly boxes: number };
-  /** The first boxes are cut off from the rest in this span, not from each other and not from the target. */
-  readonly cut?: {
+  /** Isolates the first `boxes` boxes from the others, but not from each other or from the target. */
+  readonly isolated?: {
     readonly from: Milliseconds;
     readonly until: Milliseconds;
     readonly boxes: number;
   };
 }
 
-/** One request that only the limited target can serve. */
+/** One request that only the rate-limited target can serve. */
 export interface PermitArrival {
   readonly at: Milliseconds;
   readonly box: number;
 }
 
 export const loadDurationMs: Milliseconds = 40_000;
-/** From then on the target names its limit. */
+/** Time from which the target's responses state its limit. */
 export const limitAnnouncedAt: Milliseconds = 2_000;
-/** Callers ask for so many times what the target takes. */
+/** Ratio of the request rate to the limit. */
 const demandToLimitRatio = 3;
 const millisecondsPerSecond = 1000;
 
@@ -41,17 +42,19 @@
   { name: "steady", ...size },
   { name: "all restarted", ...size, restart: { at: 15_000, boxes: size.boxes } },
   {
-    name: "a quarter cut off",
+    name: "a quarter isolated",
     ...size,
-    cut: { from: 12_000, until: 24_000, boxes: Math.floor(size.boxes / 4) },
+    isolated: { from: 12_000, until: 24_000, boxes: Math.floor(size.boxes / 4) },
   },
 ]);
 
-export function isIsolated({ cut }: PermitLoad, box: number, at: Milliseconds): boolean {
-  return cut !== undefined && box < cut.boxes && at >= cut.from && at < cut.until;
+export function isIsolated({ isolated }: PermitLoad, box: number, at: Milliseconds): boolean {
+  return (
+    isolated !== undefined && box < isolated.boxes && at >= isolated.from && at < isolated.until
+  );
 }
 
-/** Requests of a load, in the order of time. */
+/** Generates the requests of a load in order of arrival. */
 export function generateArrivals(
   { boxes, perSecond }: PermitLoad,
   seed: number,
--- a/packages/bench/src/permit-run.ts
+++ b/packages/bench/src/permit-run.ts
@@ -1,4 +1,4 @@
-/** Plays one load against one way to keep a target's limit, and says what came of it. */
+/** Runs one permit load against one strategy. */
 import { createVirtualClock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 import {
@@ -9,24 +9,26 @@
 } from "./permit-load.js";
 import type { PermitStrategyFactory } from "./permit-strategies.js";
 
+/** Accuracy and message cost of a strategy under one load. */
 export interface PermitResult {
-  /** Most requests that the target got in some window, as a share of what its limit allows: over 1 breaks it. */
+  /** Largest ratio of sent to allowed requests over all windows: above 1 the limit is exceeded. */
   readonly maxWindowUtilization: number;
-  /** What the target got, as a share of its limit. */
+  /** Requests sent to the target as a fraction of its limit. */
   readonly usedShare: number;
+  /** Messages between boxes per second. */
   readonly messagesPerSecond: number;
 }
 
 const windowMs: Milliseconds = 4_000;
-/** A window may hold so many times what the limit makes of it. */
+/** A window may exceed the limit by this factor. */
 const toleranceFactor = 1.5;
-/** Requests beside that. */
+/** Requests allowed in addition per window. */
 const slackRequests = 5;
-/** The limit counts so long after it was first named. */
+/** Time from the first statement of the limit until it is enforced. */
 const enforcementDelayMs: Milliseconds = 3_000;
-/** From a send to the answer that names the limit. */
+/** Time from sending a request to its response. */
 const responseLatencyMs: Milliseconds = 100;
-/** Time for the last permits. */
+/** Time after the last arrival for pending permits. */
 const drainMs: Milliseconds = 3_000;
 const millisecondsPerSecond = 1000;
 
@@ -38,6 +40,7 @@
   return Math.max(0, ...counts) / Math.floor(allowed);
 }
 
+/** Runs a load once and returns the metrics of the strategy. */
 export async function runPermits(
   load: PermitLoad,
   createStrategy: PermitStrategyFactory,
--- a/packages/bench/src/permit-strategies.ts
+++ b/packages/bench/src/permit-strategies.ts
@@ -1,4 +1,4 @@
-/** Ways to keep a target's limit over many boxes, behind one interface. */
+/** Strategies for enforcing a target's limit across boxes. */
 import type { VirtualClock } from "@linkfall/kernel";
 import { createTargetLimits, type TargetLimits } from "@linkfall/target-limits";
 import { createTokenBucket, type TokenBucket } from "@linkfall/token-bucket";
@@ -6,36 +6,36 @@
 import { Left, Right } from "purify-ts";
 import { isIsolated, type PermitLoad } from "./permit-load.js";
 
+/** A simulated fleet that enforces the limit of one target. */
 export interface PermitStrategy {
-  /** Resolves when a box may send; false where it may not. */
+  /** Waits for a permit to send from a box; resolves to false if none is granted in time. */
   takePermit(box: number): Promise<boolean>;
-  /** A box has read an answer that names the limit. */
+  /** Handles a response, received by a box, that states the limit. */
   observeLimit(box: number): void;
-  /** The first boxes lose what they know. */
+  /** Restarts the first `boxes` boxes with empty state. */
   restart(boxes: number): void;
-  /** Messages between boxes so far. */
+  /** Number of messages between boxes so far. */
   messagesSent(): number;
 }
 
 export type PermitStrategyFactory = (load: PermitLoad, clock: VirtualClock) => PermitStrategy;
 
 export const target = "t1";
-/** One way between boxes. */
+/** One-way network latency between boxes. */
 const oneWayLatencyMs: Milliseconds = 1.4;
-/** Time between two exchanges of a box with the one that hears all. */
+/** Interval between a box's exchanges with the hub. */
 const exchangeIntervalMs: Milliseconds = 400;
-/** A box that is cut off knows it after this time. */
+/** Time until an isolated box detects that it is disconnected. */
 const selfDetectionMs: Milliseconds = 1_000;
-/** A box that is cut off is known to be silent after this time. */
+/** Time until other boxes detect that an isolated box is silent. */
 const silenceDetectionMs: Milliseconds = 1_500;
-/** Longest time that a request waits for its permit. */
 const maxPermitWaitMs: Milliseconds = 1_000;
 
 const boxIndexes = ({ boxes }: PermitLoad) => Array.from({ length: boxes }, (_, box) => box);
 const delay = (clock: VirtualClock, ms: Milliseconds) =>
   new Promise<void>((resolve) => void clock.after(ms, resolve));
 
-/** A bucket of its own at each box that has heard the limit. */
+/** Creates an independent bucket on each box once the box has observed the limit. */
 function createLocalBuckets(
   load: PermitLoad,
   clock: VirtualClock,
@@ -55,15 +55,15 @@
   };
 }
 
-/** Each box keeps the limit as if it were its own. */
+/** Each box enforces the full limit on its own requests. */
 export const fullLimitPerBox: PermitStrategyFactory = (load, clock) =>
   createLocalBuckets(load, clock, load.perSecond, Math.max(1, load.perSecond));
 
-/** Each box has an equal part of the limit. */
+/** Each box enforces an equal share of the limit. */
 export const equalShares: PermitStrategyFactory = (load, clock) =>
   createLocalBuckets(load, clock, load.perSecond / load.boxes, 1);
 
-/** One box hands out the permits; the program's own code. */
+/** One box grants permits to the others, by the production implementation. */
 export const singleAllocator: PermitStrategyFactory = (load, clock) => {
   let sent = 0;
   const isIsolatedFor = (box: number, ms: Milliseconds) =>
@@ -97,7 +97,7 @@
         connected: () => !isIsolatedFor(box, selfDetectionMs),
         ownShare: () => 1 / load.boxes,
         silentShare: () =>
-          isIsolatedFor(0, silenceDetectionMs) ? (load.cut?.boxes ?? 0) / load.boxes : 0,
+          isIsolatedFor(0, silenceDetectionMs) ? (load.isolated?.boxes ?? 0) / load.boxes : 0,
         boxCount: () => load.boxes,
       },
       () => undefined,
@@ -105,7 +105,7 @@
   const boxes = boxIndexes(load).map(createBox);
   const members = boxIndexes(load).map((box) => ({ incarnation: 1, box }));
   const memberName = (box: number) => `b${box}@${members[box].incarnation}`;
-  /** What box `from` knows and `to` does not. */
+  /** Sends the changes that `to` has not yet applied. */
   const sendChanges = (from: number, to: number) => {
     if (isDisconnected(from, to)) return;
     boxes[to].applyChanges(
@@ -139,7 +139,7 @@
 };
 
 export const permitStrategies: Readonly<Record<string, PermitStrategyFactory>> = {
-  "each box for itself": fullLimitPerBox,
-  "equal parts": equalShares,
-  "handed out by one box": singleAllocator,
+  "full limit per box": fullLimitPerBox,
+  "equal shares": equalShares,
+  "single allocator": singleAllocator,
 };
--- a/packages/bench/src/permits.steps.ts
+++ b/packages/bench/src/permits.steps.ts
@@ -5,11 +5,11 @@
 import { runPermits, type PermitResult } from "./permit-run.js";
 import { permitStrategies } from "./permit-strategies.js";
 
-/** Virtual time; a busy machine may still take a while. */
+/** The simulation runs in virtual time, but is processor-bound. */
 const stepTimeout = { timeout: 120_000 };
 
 When(
-  /^every load of permits is played (\d+) times? with "([^"]*)"$/,
+  /^every permit load runs (\d+) times? with the "([^"]*)" strategy$/,
   stepTimeout,
   async function (this: object, seeds: string, strategy: string) {
     const results: PermitResult[] = [];
@@ -29,16 +29,16 @@
       .map((result) => result.maxWindowUtilization),
   );
 
-Then("no window brings the target more than its limit allows", function (this: object) {
+Then("no window sends the target more requests than its limit allows", function (this: object) {
   assert.ok(maxUtilizationOf(this) <= 1, String(maxUtilizationOf(this)));
 });
 
-Then("some window brings the target more than its limit allows", function (this: object) {
+Then("some window sends the target more requests than its limit allows", function (this: object) {
   assert.ok(maxUtilizationOf(this) > 1, String(maxUtilizationOf(this)));
 });
 
 Then(
-  "the target gets at least {int} in 100 of its limit",
+  "the target receives at least {int} percent of its limit",
   function (this: object, minPercent: number) {
     const used = Math.min(
       ...notes(this)
--- a/packages/bench/src/permits.ts
+++ b/packages/bench/src/permits.ts
@@ -1,4 +1,4 @@
-/** `npm run bench:permits`: ways to keep a target's limit over many boxes, compared under the same loads. */
+/** `npm run bench:permits`: compares strategies for enforcing a target's limit across boxes. */
 import { permitLoads } from "./permit-load.js";
 import { runPermits } from "./permit-run.js";
 import { permitStrategies } from "./permit-strategies.js";
@@ -6,7 +6,7 @@
 const seeds = [1, 2, 3];
 const printLine = (text: string) => void process.stdout.write(`${text}\n`);
 
-printLine("| boxes, limit a second | load | way | fullest window | used | messages a second |");
+printLine("| boxes, requests/s | load | strategy | max window utilisation | used | messages/s |");
 printLine("| --- | --- | --- | --- | --- | --- |");
 for (const load of permitLoads) {
   for (const [name, createStrategy] of Object.entries(permitStrategies)) {
--- a/packages/bench/src/policy-run.ts
+++ b/packages/bench/src/policy-run.ts
@@ -1,4 +1,4 @@
-/** One run of a deployment under a policy, with whole boxes, and what came of it. */
+/** Simulates a deployment of complete boxes under one policy and summarises the outcome. */
 import { pick, seededRandom, sleep } from "@linkfall/kernel";
 import { metricsName } from "@linkfall/metrics";
 import type { BodyPart, CallerResponse } from "@linkfall/ports";
@@ -9,34 +9,36 @@
 
 const msPerMinute: Milliseconds = 60_000;
 
-/** A way of deciding that is compared with others. */
+/** A policy configuration to compare with others. */
 export interface Variant {
   readonly name: string;
   readonly settings: ExtraSettings;
-  /** Changes the resources that are declared. */
+  /** Overrides the resources that are written at the start. */
   readonly resources?: (deployment: Deployment) => Deployment["resources"];
 }
 
-/** What happens during a run. */
+/** Conditions of a run, independent of the variant. */
 export interface RunConditions {
-  /** A failure domain is lost for a while. */
+  /** Takes a failure domain down from `phases.lossFrom` to `phases.lossUntil`. */
   readonly faults: boolean;
-  /** Demand neither bursts nor shifts. */
+  /** Disables bursts and the demand shift. */
   readonly steady: boolean;
-  /** Minutes that are added to the run. */
+  /** Minutes added to the end of the run. */
   readonly extraMinutes: number;
 }
 
+/** Metrics of the requests sent after `phases.measureFrom`. */
 export interface RunResult {
-  /** Share of requests answered whole before their deadline. */
+  /** Fraction of requests answered completely within their deadline. */
   readonly attainment: number;
-  /** Share of requests that were refused as not run. */
+  /** Fraction of requests with the outcome `not_run`. */
   readonly notRun: number;
+  /** Loads, unloads and role changes. */
   readonly moves: number;
-  /** Times to the last byte of answers, sorted. */
+  /** Times to the last byte of complete responses, sorted. */
   readonly latencies: readonly Milliseconds[];
   readonly requests: number;
-  /** Requests that missed, by refusal code and part of the run. */
+  /** Number of requests that missed their deadline, by phase and refusal code (`late` or `cut` without one). */
   readonly missed: ReadonlyMap<string, number>;
 }
 
@@ -139,7 +141,7 @@
   });
 }
 
-/** Runs a deployment once. */
+/** Runs a deployment once under the variant's settings. */
 export async function runPolicy(
   deployment: Deployment,
   variant: Variant,
@@ -147,7 +149,7 @@
   conditions: RunConditions,
 ): Promise<RunResult> {
   const world = createWorld(seed, { targets: deployment.targets, settings: variant.settings });
-  // Its own random numbers, so that every variant gets the same requests.
+  // A separate generator gives every variant the same requests.
   const workload = createWorkload(deployment, seededRandom(seed), conditions.steady);
   const tally: Tally = { requests: 0, metDeadline: 0, notRun: 0, missed: new Map(), latencies: [] };
   for (let index = 1; index <= deployment.boxes; index++) await world.startBox(`b${index}`);
--- a/packages/bench/src/quota-run.ts
+++ b/packages/bench/src/quota-run.ts
@@ -1,4 +1,4 @@
-/** Plays one load against one way to keep a limit, and says what came of it. */
+/** Runs one quota load against one strategy. */
 import { createVirtualClock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 import {
@@ -9,12 +9,13 @@
 } from "./quota-load.js";
 import type { QuotaStrategyFactory } from "./quota-strategies.js";
 
+/** Accuracy and message cost of a strategy under one load. */
 export interface QuotaResult {
-  /** Largest share of what a window may let through, tolerance included, that a window did: over 1 breaks the limit. */
+  /** Largest ratio of admitted to allowed units, tolerance included, over all windows: above 1 the limit is exceeded. */
   readonly maxWindowUtilization: number;
-  /** Share of what one bucket for all boxes would have let through that was refused in its place. */
+  /** Fraction of the units admitted by a single shared bucket that the strategy refused. */
   readonly refusedShare: number;
-  /** Messages between boxes a second. */
+  /** Messages between boxes per second. */
   readonly messagesPerSecond: number;
 }
 
@@ -22,10 +23,10 @@
 const allowedOverage = 0.1;
 const slackUnits = 110_000;
 const millisecondsPerSecond = 1000;
-/** Time for the last decisions. */
+/** Time after the last arrival for pending decisions. */
 const drainMs: Milliseconds = 2_000;
 
-/** Which requests one bucket for all boxes lets through: what the account is owed. */
+/** Reports for each request whether a single bucket shared by all boxes would admit it. */
 function admittedBySharedBucket(
   load: QuotaLoad,
   arrivals: readonly QuotaArrival[],
@@ -59,6 +60,7 @@
 const totalUnits = (arrivals: readonly QuotaArrival[]) =>
   arrivals.reduce((sum, { units }) => sum + units, 0);
 
+/** Runs a load once and returns the metrics of the strategy. */
 export async function runQuota(
   load: QuotaLoad,
   createStrategy: QuotaStrategyFactory,
--- a/packages/bench/src/quota-strategies.ts
+++ b/packages/bench/src/quota-strategies.ts
@@ -1,4 +1,4 @@
-/** Ways to keep one account's limit over many boxes, behind one interface. */
+/** Strategies for enforcing an account's limit across boxes. */
 import {
   type AccountQuota,
   createAccountQuota,
@@ -11,26 +11,28 @@
 import { Left, Right } from "purify-ts";
 import { isIsolated, isPartitioned, isLeaderless, type QuotaLoad } from "./quota-load.js";
 
+/** A simulated fleet that enforces the limit of one account. */
 export interface QuotaStrategy {
-  /** Decides on a request that came to a box. */
+  /** Decides whether a box admits a request of `units` tokens. */
   admit(box: number, units: number): Promise<boolean>;
-  /** All boxes lose what they know. */
+  /** Restarts all boxes with empty state. */
   restart(): void;
-  /** Messages between boxes so far. */
+  /** Number of messages between boxes so far. */
   messagesSent(): number;
 }
 
 export type QuotaStrategyFactory = (load: QuotaLoad, clock: VirtualClock) => QuotaStrategy;
 
 const tolerance: QuotaTolerance = { windowSeconds: 8, overage: 0.1, slack: 110_000 };
-/** One way between boxes. */
+/** One-way network latency between boxes. */
 const oneWayLatencyMs: Milliseconds = 1.4;
-/** Time between two exchanges of a box with the one that hears all. */
+/** Interval between a box's exchanges with the hub. */
 const exchangeIntervalMs: Milliseconds = 400;
-/** A box that is cut off knows it after this time. */
+/** Time until an isolated box detects that it is disconnected. */
 const selfDetectionMs: Milliseconds = 1_000;
-/** A box that is cut off is known to be silent after this time. */
+/** Time until other boxes detect that an isolated box is silent. */
 const silenceDetectionMs: Milliseconds = 1_500;
+/** Time constant of the exponential decay of measured usage. */
 const usageDecayMs: Milliseconds = 1_000;
 const millisecondsPerSecond = 1000;
 
@@ -38,7 +40,7 @@
 const delay = (clock: VirtualClock, ms: Milliseconds) =>
   new Promise<void>((resolve) => void clock.after(ms, resolve));
 
-/** Calls `exchange` for each box each round, unless a cut lies between it and the box that hears all. */
+/** Calls `exchange` for each box at every interval unless the box or the hub, the last box, is isolated. */
 function scheduleExchanges(
   load: QuotaLoad,
   clock: VirtualClock,
@@ -54,7 +56,7 @@
   }
 }
 
-/** Each box has the part of the rate that its own traffic is of all, as heartbeats tell. */
+/** Gives each box a share of the rate in proportion to its traffic, as reported in heartbeats. */
 export const sharesByTraffic: QuotaStrategyFactory = (load, clock) => {
   const create = () =>
     boxIndexes(load).map(() => {
@@ -88,7 +90,7 @@
   };
 };
 
-/** Each box counts for itself and hears by heartbeats what the others have let through. */
+/** Each box keeps its own bucket and deducts what the others admitted, as reported in heartbeats. */
 export const countsFromHeartbeats: QuotaStrategyFactory = (load, clock) => {
   const create = () =>
     boxIndexes(load).map(() => ({
@@ -127,7 +129,7 @@
   };
 };
 
-/** One box allocates for the account; the program's own code. */
+/** One box allocates tokens to the others, by the production implementation. */
 export const singleAllocator: QuotaStrategyFactory = (load, clock) => {
   let sent = 0;
   const isIsolatedFor = (box: number, ms: Milliseconds) =>
@@ -163,7 +165,7 @@
           connected: () => !isIsolatedFor(box, selfDetectionMs) && !isLeaderless(load, clock.now()),
           ownShare: () => 1 / load.boxes,
           silentShare: () =>
-            isIsolatedFor(0, silenceDetectionMs) ? (load.cut?.boxes ?? 0) / load.boxes : 0,
+            isIsolatedFor(0, silenceDetectionMs) ? (load.isolated?.boxes ?? 0) / load.boxes : 0,
         },
         tolerance,
       ),
@@ -186,7 +188,7 @@
 };
 
 export const quotaStrategies: Readonly<Record<string, QuotaStrategyFactory>> = {
-  "parts by traffic": sharesByTraffic,
-  "told by heartbeats": countsFromHeartbeats,
-  "allocated by one box": singleAllocator,
+  "shares by traffic": sharesByTraffic,
+  "counts from heartbeats": countsFromHeartbeats,
+  "single allocator": singleAllocator,
 };
--- a/packages/bench/src/quota.feature
+++ b/packages/bench/src/quota.feature
@@ -1,15 +1,15 @@
-Feature: One limit over many boxes, under the loads that ways to keep it were compared by
+Feature: Strategies for enforcing an account's limit across boxes
 
-  Scenario: Allocation by one box breaks no limit and refuses next to nothing within it
-    When every load is played 3 times with "allocated by one box"
-    Then no window lets through more than the limit and its tolerance
-    And at most 2 in 100 of what the limit lets through are refused while no box is cut off
-    And at most 20 in 100 of it are refused in any play
+  Scenario: A single allocator never exceeds the limit and refuses few requests within it
+    When every quota load runs 3 times with the "single allocator" strategy
+    Then no window admits more than the limit plus tolerance
+    And at most 2 percent of the tokens within the limit are refused while no box is isolated
+    And at most 20 percent of the tokens within the limit are refused in any run
 
-  Scenario: Counting by heartbeats exceeds the limit of a large account after a restart
-    When every load is played once with "told by heartbeats"
-    Then some window lets through more than the limit and its tolerance
+  Scenario: Counts from heartbeats exceed the limit of a large account after a restart
+    When every quota load runs once with the "counts from heartbeats" strategy
+    Then some window admits more than the limit plus tolerance
 
-  Scenario: Parts by traffic refuse most of what a small account may send
-    When every load is played once with "parts by traffic"
-    Then more than 30 in 100 of what the limit lets through are refused under some load
+  Scenario: Shares by traffic refuse much of the traffic that a small account's limit allows
+    When every quota load runs once with the "shares by traffic" strategy
+    Then more than 30 percent of the tokens within the limit are refused under some load
--- a/packages/bench/src/quota.steps.ts
+++ b/packages/bench/src/quota.steps.ts
@@ -6,60 +6,64 @@
 import { quotaStrategies } from "./quota-strategies.js";
 
 interface LoadRun extends QuotaResult {
-  /** Boxes are cut off in it. */
+  /** Whether boxes are isolated during the load. */
   readonly hasIsolation: boolean;
 }
 
-/** Virtual time; a busy machine may still take a while. */
+/** The simulation runs in virtual time, but is processor-bound. */
 const stepTimeout = { timeout: 120_000 };
 
-async function runLoads(world: object, seeds: number, way: string): Promise<void> {
+async function runLoads(world: object, seeds: number, strategy: string): Promise<void> {
   const results: LoadRun[] = [];
   for (const load of quotaLoads) {
     for (let seed = 1; seed <= seeds; seed++) {
-      const result = await runQuota(load, quotaStrategies[way], seed);
-      results.push({ ...result, hasIsolation: load.cut !== undefined });
+      const result = await runQuota(load, quotaStrategies[strategy], seed);
+      results.push({ ...result, hasIsolation: load.isolated !== undefined });
     }
   }
   notes(world).set("results", results);
 }
 
 When(
-  "every load is played {int} times with {string}",
+  "every quota load runs {int} times with the {string} strategy",
   stepTimeout,
-  function (this: object, seeds: number, way: string) {
-    return runLoads(this, seeds, way);
+  function (this: object, seeds: number, strategy: string) {
+    return runLoads(this, seeds, strategy);
   },
 );
 
-When("every load is played once with {string}", stepTimeout, function (this: object, way: string) {
-  return runLoads(this, 1, way);
-});
+When(
+  "every quota load runs once with the {string} strategy",
+  stepTimeout,
+  function (this: object, strategy: string) {
+    return runLoads(this, 1, strategy);
+  },
+);
 
 const resultsOf = (world: object) => notes(world).get<LoadRun[]>("results");
 const maxUtilizationOf = (world: object) =>
-  Math.max(...resultsOf(world).map(({ maxWindowUtilization: fullestWindow }) => fullestWindow));
+  Math.max(...resultsOf(world).map(({ maxWindowUtilization }) => maxWindowUtilization));
 const maxRefusedPercent = (results: readonly LoadRun[]) =>
-  Math.max(...results.map(({ refusedShare: refusedWithin }) => refusedWithin)) * 100;
+  Math.max(...results.map(({ refusedShare }) => refusedShare)) * 100;
 
-Then("no window lets through more than the limit and its tolerance", function (this: object) {
+Then("no window admits more than the limit plus tolerance", function (this: object) {
   assert.ok(maxUtilizationOf(this) <= 1, String(maxUtilizationOf(this)));
 });
 
-Then("some window lets through more than the limit and its tolerance", function (this: object) {
+Then("some window admits more than the limit plus tolerance", function (this: object) {
   assert.ok(maxUtilizationOf(this) > 1, String(maxUtilizationOf(this)));
 });
 
 Then(
-  "at most {int} in 100 of what the limit lets through are refused while no box is cut off",
+  "at most {int} percent of the tokens within the limit are refused while no box is isolated",
   function (this: object, maxPercent: number) {
-    const refused = maxRefusedPercent(resultsOf(this).filter(({ hasIsolation: cut }) => !cut));
+    const refused = maxRefusedPercent(resultsOf(this).filter(({ hasIsolation }) => !hasIsolation));
     assert.ok(refused <= maxPercent, String(refused));
   },
 );
 
 Then(
-  "at most {int} in 100 of it are refused in any play",
+  "at most {int} percent of the tokens within the limit are refused in any run",
   function (this: object, maxPercent: number) {
     const refused = maxRefusedPercent(resultsOf(this));
     assert.ok(refused <= maxPercent, String(refused));
@@ -67,7 +71,7 @@
 );
 
 Then(
-  "more than {int} in 100 of what the limit lets through are refused under some load",
+  "more than {int} percent of the tokens within the limit are refused under some load",
   function (this: object, minPercent: number) {
     const refused = maxRefusedPercent(resultsOf(this));
     assert.ok(refused > minPercent, String(refused));
--- a/packages/bench/src/quota.ts
+++ b/packages/bench/src/quota.ts
@@ -1,4 +1,4 @@
-/** `npm run bench:quota`: ways to keep an account's limit over many boxes, compared under the same loads. */
+/** `npm run bench:quota`: compares strategies for enforcing an account's limit across boxes. */
 import { quotaLoads } from "./quota-load.js";
 import { runQuota } from "./quota-run.js";
 import { quotaStrategies } from "./quota-strategies.js";
@@ -7,7 +7,7 @@
 const printLine = (text: string) => void process.stdout.write(`${text}\n`);
 
 printLine(
-  "| tokens a second | load | way | fullest window | refused within the limit | messages a second |",
+  "| tokens/s | load | strategy | max window utilisation | refused within the limit | messages/s |",
 );
 printLine("| --- | --- | --- | --- | --- | --- |");
 for (const load of quotaLoads) {
@@ -15,10 +15,7 @@
     const results = [];
     for (const seed of seeds) results.push(await runQuota(load, createStrategy, seed));
     const maxUtilization = Math.max(...results.map((result) => result.maxWindowUtilization));
-    const refused = results.reduce(
-      (sum, { refusedShare: refusedWithin }) => sum + refusedWithin,
-      0,
-    );
+    const refused = results.reduce((sum, { refusedShare }) => sum + refusedShare, 0);
     const messages = results.reduce((sum, { messagesPerSecond }) => sum + messagesPerSecond, 0);
     const cells = [
       load.perSecond,
--- a/packages/bench/src/report.ts
+++ b/packages/bench/src/report.ts
@@ -1,13 +1,13 @@
-/** Tables and plots of what runs showed. */
+/** Renders run results as Markdown tables and SVG plots. */
 import type { RunResult } from "./policy-run.js";
 
-/** All runs of one variant. */
+/** Results of one variant, one per seed. */
 export interface VariantResults {
   readonly variant: string;
   readonly results: readonly RunResult[];
 }
 
-/** Heads of the table, with the row that Markdown wants below them. */
+/** Header of the Markdown table with its delimiter row. */
 export const tableHeader = [
   "| variant | attainment % | % per accelerator | moves | p50 ms | p95 ms | p99 ms | not run % |",
   `|${" --- |".repeat(8)}`,
@@ -19,7 +19,7 @@
   return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? 0;
 }
 
-/** Mean and spread over seeds, as `mean (least to most)`. */
+/** Formats mean and range as `mean (min to max)`. */
 function formatSpread(list: readonly number[], digits: number): string {
   const format = (value: number) => value.toFixed(digits);
   return `${format(mean(list))} (${format(Math.min(...list))} to ${format(Math.max(...list))})`;
@@ -28,7 +28,7 @@
 const toPercents = (results: readonly RunResult[], pick: (result: RunResult) => number) =>
   results.map((result) => 100 * pick(result));
 
-/** One row of the table. */
+/** Renders one row of the table. */
 export function tableRow({ variant, results }: VariantResults, accelerators: number): string {
   const latencies = results.flatMap((result) => [...result.latencies]).sort((a, b) => a - b);
   const attainment = toPercents(results, (result) => result.attainment);
@@ -51,7 +51,7 @@
 
 const plotLayout = { left: 220, width: 460, rowHeight: 26, top: 40, minPercent: 80 } as const;
 
-/** A bar for each variant's mean attainment, with a line from its least to its most. */
+/** Renders a bar chart of each variant's mean attainment, with the range over seeds. */
 export function plotSvg(title: string, all: readonly VariantResults[]): string {
   const height = plotLayout.top + all.length * plotLayout.rowHeight + 30;
   const x = (percent: number) =>
@@ -78,7 +78,7 @@
   return [
     `<svg xmlns="http://www.w3.org/2000/svg" width="760" height="${height}" font-family="sans-serif" font-size="12">`,
     `<rect width="760" height="${height}" fill="white"/>`,
-    `<text x="${plotLayout.left}" y="20" font-size="14">${title}: attainment, mean and spread over seeds</text>`,
+    `<text x="${plotLayout.left}" y="20" font-size="14">${title}: attainment, mean and range over seeds</text>`,
     ...axisLabels,
     ...bars,
     "</svg>\n",
--- a/packages/bench/src/workload.ts
+++ b/packages/bench/src/workload.ts
@@ -1,4 +1,4 @@
-/** Requests as they come: skewed over models and stations, bursty, shifting without warning. */
+/** Generates requests with skewed model popularity, bursts and a demand shift. */
 import type { Random } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 import type { Deployment } from "./deployments.js";
@@ -11,15 +11,15 @@
   readonly deadlineMs: Milliseconds;
 }
 
-/** Times of a run, in milliseconds from its start. */
+/** Phases of a run, in milliseconds from its start. */
 export const phases = {
-  /** Placing 40 models twice and 95 adapters takes 90 s at two loads a second. */
+  /** Leaves time to load all models and adapters at the pool's load rate. */
   requestsFrom: 115_000,
   measureFrom: 130_000,
-  /** A tremor, or the evening shift: a few models are asked for far more. */
+  /** Demand for a few models rises by `shiftFactor`. */
   shiftFrom: 170_000,
   shiftUntil: 240_000,
-  /** A failure domain is lost here, in runs with faults. */
+  /** In runs with faults, one failure domain is down. */
   lossFrom: 260_000,
   lossUntil: 300_000,
   end: 330_000,
@@ -39,19 +39,20 @@
 const maxOutputTokens = 8;
 const stationLogCharacters = 700;
 
+/** A Poisson process of requests whose rate varies over time. */
 export interface Workload {
-  /** Time until the next request. */
+  /** Time until the next request, in milliseconds. */
   nextGapMs(now: Milliseconds): Milliseconds;
   next(now: Milliseconds): Arrival;
 }
 
-/** The log of a station: the same for all requests about it. */
+/** Common prompt prefix of all requests for a model's station. */
 function stationLog(model: string, station: number): string {
   const line = `${model} station ${station} `;
   return line.repeat(Math.ceil(stationLogCharacters / line.length)).slice(0, stationLogCharacters);
 }
 
-/** Creates the requests of one run; steady ones know neither bursts nor shifts. */
+/** Creates the workload of one run; `steady` disables bursts and the demand shift. */
 export function createWorkload(deployment: Deployment, random: Random, steady = false): Workload {
   const { models, adapters } = deployment;
   const base = models.map((_, index) => 1 / (index + 1) ** popularityExponent);
