--- a/packages/bench/src/permit-strategies.ts
+++ b/packages/bench/src/permit-strategies.ts
@@ -139,7 +139,7 @@
 };
 
 export const permitStrategies: Readonly<Record<string, PermitStrategyFactory>> = {
-  "full limit per box": fullLimitPerBox,
-  "equal shares": equalShares,
-  "single allocator": singleAllocator,
+  "each box for itself": fullLimitPerBox,
+  "equal parts": equalShares,
+  "handed out by one box": singleAllocator,
 };
--- a/packages/bench/src/permits.steps.ts
+++ b/packages/bench/src/permits.steps.ts
@@ -9,7 +9,7 @@
 const stepTimeout = { timeout: 120_000 };
 
 When(
-  /^every permit load runs (\d+) times? with the "([^"]*)" strategy$/,
+  /^every load of permits is played (\d+) times? with "([^"]*)"$/,
   stepTimeout,
   async function (this: object, seeds: string, strategy: string) {
     const results: PermitResult[] = [];
--- a/packages/bench/src/quota-strategies.ts
+++ b/packages/bench/src/quota-strategies.ts
@@ -188,7 +188,7 @@
 };
 
 export const quotaStrategies: Readonly<Record<string, QuotaStrategyFactory>> = {
-  "shares by traffic": sharesByTraffic,
-  "counts from heartbeats": countsFromHeartbeats,
-  "single allocator": singleAllocator,
+  "parts by traffic": sharesByTraffic,
+  "told by heartbeats": countsFromHeartbeats,
+  "allocated by one box": singleAllocator,
 };
