--- a/packages/demo/src/desired-state.ts
+++ b/packages/demo/src/desired-state.ts
@@ -33,7 +33,7 @@
   leaving: false,
 }));
 
-function account(name: keyof typeof accountTokens): Resource {
+function createAccount(name: keyof typeof accountTokens): Resource {
   return {
     kind: "account",
     name,
@@ -59,8 +59,8 @@
       weightStoreLoadsPerSecond: 2,
       weightStoreLoadsAtOnce: 8,
     },
-    account("dispatch"),
-    account("tunnels"),
+    createAccount("dispatch"),
+    createAccount("tunnels"),
     { kind: "pool", name: pool, loadsPerSecond: 2, loadsAtOnce: 8 },
     ...models.map(([name, sizeMb]): Resource => ({
       kind: "model",
