--- a/packages/bench/src/permits.steps.ts
+++ b/packages/bench/src/permits.steps.ts
@@ -38,7 +38,7 @@
 });
 
 Then(
-  "the target receives at least {int} percent of its limit",
+  "the target receives at least {int} in 100 requests within its limit",
   function (this: object, minPercent: number) {
     const used = Math.min(
       ...notes(this)
--- a/packages/bench/src/quota.steps.ts
+++ b/packages/bench/src/quota.steps.ts
@@ -55,7 +55,7 @@
 });
 
 Then(
-  "at most {int} percent of the tokens within the limit are refused while no box is isolated",
+  "at most {int} in 100 tokens within the limit are refused while no box is isolated",
   function (this: object, maxPercent: number) {
     const refused = maxRefusedPercent(resultsOf(this).filter(({ hasIsolation }) => !hasIsolation));
     assert.ok(refused <= maxPercent, String(refused));
@@ -63,7 +63,7 @@
 );
 
 Then(
-  "at most {int} percent of the tokens within the limit are refused in any run",
+  "at most {int} in 100 tokens within the limit are refused in any run",
   function (this: object, maxPercent: number) {
     const refused = maxRefusedPercent(resultsOf(this));
     assert.ok(refused <= maxPercent, String(refused));
@@ -71,7 +71,7 @@
 );
 
 Then(
-  "more than {int} percent of the tokens within the limit are refused under some load",
+  "more than {int} in 100 tokens within the limit are refused under some load",
   function (this: object, minPercent: number) {
     const refused = maxRefusedPercent(resultsOf(this));
     assert.ok(refused > minPercent, String(refused));
