--- a/packages/demo/src/callers.ts
+++ b/packages/demo/src/callers.ts
@@ -1,18 +1,19 @@
-/** The requests of the demo, sent over HTTP as callers send them. */
+/** HTTP client with which the demo sends requests as a caller. */
 
-/** A ticket and the addresses to use. */
+/** Response of `/v1/entries`: caller addresses of the boxes, and a ticket for non-repeatable requests. */
 export interface EntriesResponse {
   readonly entries: readonly { readonly address: string; readonly box: string }[];
   readonly ticket: { readonly id: string };
 }
 
-/** What came of one request. */
+/** Status, `linkfall-outcome` header (empty if absent) and body of a response. */
 export interface RequestResult {
   readonly status: number;
   readonly outcome: string;
   readonly text: string;
 }
 
+/** Fetches the caller addresses and a ticket from a box. */
 export async function fetchEntries(address: string, token: string): Promise<EntriesResponse> {
   const response = await fetch(`http://${address}/v1/entries`, {
     headers: { authorization: `Bearer ${token}` },
@@ -20,7 +21,7 @@
   return (await response.json()) as EntriesResponse;
 }
 
-/** Sends a request and reads its answer whole. */
+/** Sends a request, a POST if it has a body, and reads the complete response. */
 export async function sendRequest(
   address: string,
   token: string,
--- a/packages/demo/src/desired-state.ts
+++ b/packages/demo/src/desired-state.ts
@@ -1,4 +1,4 @@
-/** The desired state of the demo: seven models on four engines, an adapter, a plain service. */
+/** Desired state of the demo: seven models on four engines, an adapter and an HTTP service. */
 import type { EngineShape } from "@linkfall/stand-ins";
 import { hashToken } from "@linkfall/stand-ins";
 import type { Engine, Resource } from "@linkfall/types";
@@ -11,6 +11,7 @@
 
 const pool = "bulletins";
 const domains = ["north", "south", "east"];
+/** Names and sizes in MB. */
 const models: readonly (readonly [string, number])[] = [
   ["bulletin-long", 16_000],
   ["bulletin-short", 9_000],
@@ -20,7 +21,7 @@
   ["summary", 6_000],
 ];
 
-/** Engines of the demo; the last one does not check who gives it an order. */
+/** Engines of the demo; the last one does not check fencing tokens. */
 export const demoEngines: readonly EngineShape[] = [0, 1, 2, 3].map((index) => ({
   name: `engine-${index + 1}`,
   pool,
@@ -44,7 +45,7 @@
   };
 }
 
-/** All resources of the demo. */
+/** Creates all resources of the demo. */
 export function demoResources(
   engines: readonly Engine[],
   serviceAddresses: readonly string[],
--- a/packages/demo/src/main.ts
+++ b/packages/demo/src/main.ts
@@ -1,4 +1,4 @@
-/** `npm run demo`: starts a small deployment on loopback, sends requests, prints what came of them. */
+/** `npm run demo`: starts a small deployment on loopback, sends requests and prints the responses. */
 import { createOperatorClient } from "@linkfall/operator-client";
 import { DeploymentProcesses, operatorToken, until } from "@linkfall/stand-ins";
 import { type RequestResult, fetchEntries, sendRequest } from "./callers.js";
@@ -44,7 +44,7 @@
   return createOperatorClient({ url, token: operatorToken });
 }
 
-/** Waits until every model has a ready copy in the eyes of every box. */
+/** Waits until every box reports a ready replica of every model, with all its adapters. */
 async function waitUntilReady(): Promise<void> {
   const allModelsReady = async () => {
     const statuses = await Promise.all(
@@ -60,20 +60,20 @@
         .orDefault(false),
     );
   };
-  await until(allModelsReady, () => "not every model became ready", 60_000);
+  await until(allModelsReady, () => "timed out waiting for all models to become ready", 60_000);
 }
 
 async function sendRequests(): Promise<void> {
   const first = deployment.boxes[0].callerAddress;
   const { entries, ticket } = await fetchEntries(first, dispatch);
   printLine(
-    `\naddresses to use: ${entries.map((entry) => `${entry.box} ${entry.address}`).join(", ")}`,
+    `\ncaller addresses: ${entries.map((entry) => `${entry.box} ${entry.address}`).join(", ")}`,
   );
   const [firstEntry, secondEntry] = [entries[0].address, entries[1].address];
   const prompt = "Station log, Garching, 09:40 UTC: 3.1 at 4 km. Write the bulletin.";
 
   recordResult(
-    "a bulletin, whole",
+    "completion, not streamed",
     await sendRequest(firstEntry, dispatch, "/v1/completions", {
       model: "bulletin-short",
       prompt,
@@ -81,7 +81,7 @@
     }),
   );
   recordResult(
-    "a bulletin, streamed",
+    "completion, streamed",
     await sendRequest(secondEntry, dispatch, "/v1/completions", {
       model: "bulletin-long",
       prompt,
@@ -90,7 +90,7 @@
     }),
   );
   recordResult(
-    "an adapter",
+    "completion with an adapter",
     await sendRequest(firstEntry, dispatch, "/v1/completions", {
       model: "notice-german",
       prompt,
@@ -104,21 +104,21 @@
   };
   const notice = { model: "notice", prompt: "Notice for Murnau", max_tokens: 8 };
   recordResult(
-    "a notice that may run once",
+    "non-repeatable request",
     await sendRequest(firstEntry, dispatch, "/v1/completions", notice, nonRepeatable),
   );
   recordResult(
-    "the same again, through another box",
+    "same request ID, through another box",
     await sendRequest(secondEntry, dispatch, "/v1/completions", notice, nonRepeatable),
   );
   recordResult(
-    "a notice without a ticket",
+    "non-repeatable request without a ticket",
     await sendRequest(secondEntry, dispatch, "/v1/completions", notice, {
       "linkfall-repeatable": "false",
     }),
   );
   recordResult(
-    "another account's model",
+    "model of another account",
     await sendRequest(firstEntry, tunnels, "/v1/completions", {
       model: "notice",
       prompt,
@@ -126,7 +126,7 @@
     }),
   );
   recordResult(
-    "a plain service",
+    "HTTP service",
     await sendRequest(secondEntry, tunnels, "/services/feed/snippets/17"),
   );
 }
@@ -136,18 +136,18 @@
   for (const { outcome } of results) counts.set(outcome, (counts.get(outcome) ?? 0) + 1);
   const text = [...counts].map(([outcome, count]) => `${count} ${outcome}`).join(", ");
   printLine(
-    `\nsummary: ${results.length} requests: ${text}; violations seen by the stand-ins: ${deployment.violations().length}`,
+    `\nsummary: ${results.length} requests: ${text}; violations reported by the simulated targets: ${deployment.violations().length}`,
   );
 }
 
 function printAddresses(): void {
-  printLine("\nstaying up; end with Ctrl-C");
+  printLine("\nthe deployment keeps running; press Ctrl-C to stop it");
   for (const box of deployment.boxes) {
     printLine(
       `  ${box.name}: callers http://${box.callerAddress}, operators http://${box.operatorAddress}`,
     );
   }
-  printLine(`  caller's token: ${dispatch}`);
+  printLine(`  caller token: ${dispatch}`);
   printLine(
     `  export LINKFALL_BOX=http://${deployment.boxes[0].operatorAddress} LINKFALL_TOKEN=${operatorToken}`,
   );
