--- a/scripts/bundle-platform.mjs
+++ b/scripts/bundle-platform.mjs
@@ -1,4 +1,4 @@
-/** Bundles linkfalld for the users' platform into target/, from the sources, with V8's compiled code. */
+/** Bundles linkfalld for the users' platform into target/, with a V8 code cache. */
 import { copyFileSync, rmSync, writeFileSync } from "node:fs";
 import { createRequire } from "node:module";
 import { resolve } from "node:path";
@@ -12,16 +12,16 @@
   target: "node20",
   format: "cjs",
   conditions: ["source"],
-  // Less to read at each start; names stay, so that stacks in logs can be read.
+  // Shortens parsing at startup; identifiers stay readable in stack traces.
   minifyWhitespace: true,
   minifySyntax: true,
-  // Leaves out what libraries have for development only.
+  // Drops development-only code of libraries.
   define: { "process.env.NODE_ENV": '"production"' },
   logLevel: "warning",
 });
 copyFileSync("platform/loader.cjs", "target/linkfalld.cjs");
 rmSync("target/linkfalld-body.compiled", { force: true });
 
-// What has run once is compiled, also functions that V8 would compile only at their first call.
+// Creates the cache after the script has run, so that it includes lazily compiled functions.
 const { load, compiledFile } = createRequire(import.meta.url)(resolve("target/linkfalld.cjs"));
 writeFileSync(compiledFile, load().script.createCachedData());
--- a/scripts/sync-packages.mjs
+++ b/scripts/sync-packages.mjs
@@ -1,13 +1,13 @@
 /**
- * Keeps each package's package.json and tsconfig.json in step with what its sources import.
+ * Generates each package's package.json and tsconfig.json from the imports in its sources.
  * Run `npm run sync` after an import of another package is added or removed.
  */
 import { existsSync, readdirSync, readFileSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 
 const packagesFolder = "packages";
-const ownScope = "@linkfall/";
-const ownVersion = "0.1.0";
+const workspaceScope = "@linkfall/";
+const workspaceVersion = "0.1.0";
 const rootManifest = JSON.parse(readFileSync("package.json", "utf8"));
 const libraryVersions = { ...rootManifest.devDependencies, ...rootManifest.dependencies };
 
@@ -23,9 +23,9 @@
   const names = new Set();
   for (const file of sourceFiles(join(folder, "src")).filter((file) => isTest(file) === tests)) {
     const text = readFileSync(file, "utf8");
-    for (const found of text.matchAll(/from\s+["']([^."'][^"']*)["']/g)) {
-      const parts = found[1].split("/");
-      names.add(found[1].startsWith("@") ? parts.slice(0, 2).join("/") : parts[0]);
+    for (const match of text.matchAll(/from\s+["']([^."'][^"']*)["']/g)) {
+      const parts = match[1].split("/");
+      names.add(match[1].startsWith("@") ? parts.slice(0, 2).join("/") : parts[0]);
     }
   }
   return [...names].filter((name) => !name.startsWith("node:")).sort();
@@ -38,7 +38,7 @@
 function versionsOf(names) {
   const versions = names.map((name) => [
     name,
-    name.startsWith(ownScope) ? ownVersion : libraryVersions[name],
+    name.startsWith(workspaceScope) ? workspaceVersion : libraryVersions[name],
   ]);
   return Object.fromEntries(versions);
 }
@@ -47,18 +47,22 @@
   const folder = join(packagesFolder, name);
   if (!existsSync(join(folder, "src"))) continue;
   const path = join(folder, "package.json");
-  const known = existsSync(path) ? JSON.parse(readFileSync(path, "utf8")) : {};
-  const code = importedNames(folder, false);
-  const tests = importedNames(folder, true).filter((imported) => !code.includes(imported));
-  const others = [...code, ...tests].filter((imported) => imported !== `@linkfall/${name}`);
-  const references = others
-    .filter((imported) => imported.startsWith(ownScope))
-    .map((imported) => ({ path: `../${imported.slice(ownScope.length)}` }));
+  const manifest = existsSync(path) ? JSON.parse(readFileSync(path, "utf8")) : {};
+  const sourceImports = importedNames(folder, false);
+  const testImports = importedNames(folder, true).filter(
+    (imported) => !sourceImports.includes(imported),
+  );
+  const imports = [...sourceImports, ...testImports].filter(
+    (imported) => imported !== `@linkfall/${name}`,
+  );
+  const references = imports
+    .filter((imported) => imported.startsWith(workspaceScope))
+    .map((imported) => ({ path: `../${imported.slice(workspaceScope.length)}` }));
   writeJson(path, {
     name: `@linkfall/${name}`,
     version: "0.1.0",
-    ...(known.private ? { private: true } : {}),
-    description: known.description ?? "",
+    ...(manifest.private ? { private: true } : {}),
+    description: manifest.description ?? "",
     license: "MIT",
     type: "module",
     exports: {
@@ -68,10 +72,10 @@
         default: "./dist/index.js",
       },
     },
-    ...(known.bin ? { bin: known.bin } : {}),
-    files: known.bin ? ["bin", "dist", "src"] : ["dist", "src"],
-    dependencies: versionsOf(code),
-    ...(tests.length > 0 ? { devDependencies: versionsOf(tests) } : {}),
+    ...(manifest.bin ? { bin: manifest.bin } : {}),
+    files: manifest.bin ? ["bin", "dist", "src"] : ["dist", "src"],
+    dependencies: versionsOf(sourceImports),
+    ...(testImports.length > 0 ? { devDependencies: versionsOf(testImports) } : {}),
   });
   writeJson(join(folder, "tsconfig.json"), {
     extends: "../../tsconfig.base.json",
@@ -81,18 +85,22 @@
   });
 }
 
-/** Adapters to the users' platform; not a package, and the rest builds without it. */
+/** Adapters to the users' platform: not a package, and optional for the build. */
 const platformFolder = "platform";
 if (existsSync(join(platformFolder, "src"))) {
   const imported = [
     ...importedNames(platformFolder, false),
     ...importedNames(platformFolder, true),
   ];
-  const own = [...new Set(imported)].filter((name) => name.startsWith(ownScope)).sort();
+  const workspaceImports = [...new Set(imported)]
+    .filter((name) => name.startsWith(workspaceScope))
+    .sort();
   writeJson(join(platformFolder, "tsconfig.json"), {
     extends: "../tsconfig.base.json",
     compilerOptions: { rootDir: "src", outDir: "dist" },
     include: ["src"],
-    references: own.map((name) => ({ path: `../packages/${name.slice(ownScope.length)}` })),
+    references: workspaceImports.map((name) => ({
+      path: `../packages/${name.slice(workspaceScope.length)}`,
+    })),
   });
 }
--- a/scripts/write-docs.mjs
+++ b/scripts/write-docs.mjs
@@ -1,4 +1,4 @@
-/** Writes the reference pages that come from the code: docs/SETTINGS.md and docs/EVENTS.md. */
+/** Generates the reference pages from the code: docs/SETTINGS.md and docs/EVENTS.md. */
 import { writeFileSync } from "node:fs";
 import { describeSettings } from "@linkfall/config";
 import { describeEvents } from "@linkfall/logger";
