--- a/packages/bench/src/box-cost.ts
+++ b/packages/bench/src/box-cost.ts
@@ -141,12 +141,12 @@
     `idle, ${boxCount} boxes, ${engineCount} engines, ${modelCount} models: ${mean(idleCpuPercents).toFixed(2)} % of a core (max ${Math.max(...idleCpuPercents).toFixed(2)}), ${mean(pids.map(residentMemoryMb)).toFixed(0)} MB resident`,
   );
   const [box] = deployment.boxes;
-  for (const atOnce of [20, 80]) {
+  for (const concurrentStreams of [20, 80]) {
     const start = cpuSeconds(pidOf(box));
-    const tokens = await sendStreams(box, atOnce);
+    const tokens = await sendStreams(box, concurrentStreams);
     const used = cpuSeconds(pidOf(box)) - start;
     printLine(
-      `${atOnce} concurrent streams: ${(tokens / loadSeconds).toFixed(0)} tokens/s, ${((used * 100) / loadSeconds).toFixed(1)} % of a core, ${((used * 1e6) / tokens).toFixed(1)} us per token, ${residentMemoryMb(pidOf(box)).toFixed(0)} MB resident`,
+      `${concurrentStreams} concurrent streams: ${(tokens / loadSeconds).toFixed(0)} tokens/s, ${((used * 100) / loadSeconds).toFixed(1)} % of a core, ${((used * 1e6) / tokens).toFixed(1)} us per token, ${residentMemoryMb(pidOf(box)).toFixed(0)} MB resident`,
     );
   }
 } finally {
--- a/packages/bench/src/capacity-state.ts
+++ b/packages/bench/src/capacity-state.ts
@@ -8,7 +8,7 @@
   serialiseState,
 } from "@linkfall/state-fold";
 import type { Change } from "@linkfall/types";
-import { modelResource, resourcesAtScale } from "./fleet-resources.js";
+import { createModelResource, createResourcesAtScale } from "./fleet-resources.js";
 import {
   heapUsedBytes,
   formatKilobytes,
@@ -24,7 +24,7 @@
 
 /** Measures a state of `scale` times the fleet size expected in two years. */
 export async function measureState(scale: number): Promise<void> {
-  const resources = resourcesAtScale(scale);
+  const resources = createResourcesAtScale(scale);
   const before = heapUsedBytes();
   const state = emptyState();
   applyWrite(
@@ -40,7 +40,7 @@
     size,
     `${formatKilobytes(heldBytes)}, ${formatKilobytes(heldBytes / state.resources.size)} each`,
   );
-  const changedModel = modelResource(0);
+  const changedModel = createModelResource(0);
   const foldTime = await cpuMicrosecondsPerCall(20, (index) => {
     const base = state.resources.get("model/model-0")?.revision ?? 0;
     applyWrite(state, `b@1#${index + 2}`, [{ action: "put", resource: changedModel, base }]);
--- a/packages/bench/src/capacity.ts
+++ b/packages/bench/src/capacity.ts
@@ -17,7 +17,7 @@
 import { type Engine, type EngineReport, modelArtifact } from "@linkfall/types";
 import { measureHeartbeats, measureRelayedReports, measureUsage } from "./capacity-peers.js";
 import { measureState } from "./capacity-state.js";
-import { engineResource, modelResource } from "./fleet-resources.js";
+import { createEngineResource, createModelResource } from "./fleet-resources.js";
 import {
   heapUsedBytes,
   formatKilobytes,
@@ -56,7 +56,7 @@
 async function measureHttp(): Promise<void> {
   const deployment = new DeploymentProcesses();
   await deployment.startPlatform();
-  const engine = await deployment.startEngine({ ...engineResource(0), name: "engine-0" });
+  const engine = await deployment.startEngine({ ...createEngineResource(0), name: "engine-0" });
   const clock = systemClock();
   const client = createHttpClient();
   const caller = createJsonCaller(clock, client, 5_000);
@@ -78,7 +78,7 @@
 }
 
 async function measureReports(residents: number): Promise<void> {
-  const report = reportWith(engineResource(0), residents);
+  const report = reportWith(createEngineResource(0), residents);
   const text = JSON.stringify(report);
   const time = await cpuMicrosecondsPerCall(5_000, () => JSON.parse(text));
   printRow(
@@ -91,7 +91,9 @@
 // --- Planning and target selection -----------------------------------------------------------
 
 function createPoolView(engines: number, accelerators: number, models: number): PoolView {
-  const list = Array.from({ length: engines }, (_, index) => engineResource(index, accelerators));
+  const list = Array.from({ length: engines }, (_, index) =>
+    createEngineResource(index, accelerators),
+  );
   return {
     engines: list.map((engine, index) => {
       const residents = Array.from({ length: 3 * accelerators }, (_, at) => ({
@@ -111,7 +113,7 @@
       };
     }),
     models: Array.from({ length: models }, (_, index) => {
-      const model = modelResource(index);
+      const model = createModelResource(index);
       if (model.kind !== "model") throw new Error("expected a model resource");
       return { model, adapters: [], demandShare: 1 / models, coolingDown: false };
     }),
--- a/packages/bench/src/fleet-resources.ts
+++ b/packages/bench/src/fleet-resources.ts
@@ -2,7 +2,7 @@
 import { createHash } from "node:crypto";
 import type { Engine, Resource } from "@linkfall/types";
 
-export function engineResource(index: number, accelerators = 8): Engine {
+export function createEngineResource(index: number, accelerators = 8): Engine {
   return {
     kind: "engine",
     name: `engine-${index}`,
@@ -18,7 +18,7 @@
   };
 }
 
-export function modelResource(index: number): Resource {
+export function createModelResource(index: number): Resource {
   return {
     kind: "model",
     name: `model-${index}`,
@@ -32,7 +32,7 @@
 }
 
 /** Creates all resources of the fleet, with engines, models and adapters multiplied by `scale`. */
-export function resourcesAtScale(scale: number): readonly Resource[] {
+export function createResourcesAtScale(scale: number): readonly Resource[] {
   const list = <T>(count: number, make: (index: number) => T) =>
     Array.from({ length: Math.ceil(count * scale) }, (_, index) => make(index));
   return [
@@ -50,8 +50,8 @@
       requestsPerSecond: 100,
       maxPriority: 5,
     })),
-    ...list(3_800, (index) => engineResource(index)),
-    ...list(440, modelResource),
+    ...list(3_800, (index) => createEngineResource(index)),
+    ...list(440, createModelResource),
     ...list(1_000, (index): Resource => ({
       kind: "adapter",
       name: `adapter-${index}`,
--- a/packages/bench/src/permit-run.ts
+++ b/packages/bench/src/permit-run.ts
@@ -12,7 +12,7 @@
 /** Accuracy and message cost of a strategy under one load. */
 export interface PermitResult {
   /** Largest ratio of sent to allowed requests over all windows: above 1 the limit is exceeded. */
-  readonly maxWindowUtilization: number;
+  readonly maxWindowUtilisation: number;
   /** Requests sent to the target as a fraction of its limit. */
   readonly usedShare: number;
   /** Messages between boxes per second. */
@@ -32,7 +32,7 @@
 const drainMs: Milliseconds = 3_000;
 const millisecondsPerSecond = 1000;
 
-function computeMaxWindowUtilization(perSecond: number, sends: readonly Milliseconds[]): number {
+function computeMaxWindowUtilisation(perSecond: number, sends: readonly Milliseconds[]): number {
   const allowed = (toleranceFactor * perSecond * windowMs) / millisecondsPerSecond + slackRequests;
   const counts = sends.map(
     (from) => sends.filter((at) => at >= from && at < from + windowMs).length,
@@ -65,7 +65,7 @@
   const counted = sends.filter((at) => at >= from && at < loadDurationMs);
   const allowedRequests = (perSecond * (loadDurationMs - from)) / millisecondsPerSecond;
   return {
-    maxWindowUtilization: computeMaxWindowUtilization(perSecond, counted),
+    maxWindowUtilisation: computeMaxWindowUtilisation(perSecond, counted),
     usedShare: counted.length / allowedRequests,
     messagesPerSecond: strategy.messagesSent() / (loadDurationMs / millisecondsPerSecond),
   };
--- a/packages/bench/src/permit-ways.ts
+++ b/packages/bench/src/permit-ways.ts
@@ -20,7 +20,7 @@
 
 export type PermitStrategyFactory = (load: PermitLoad, clock: VirtualClock) => PermitStrategy;
 
-export const target = "t1";
+export const targetName = "t1";
 /** One-way network latency between boxes. */
 const oneWayLatencyMs: Milliseconds = 1.4;
 /** Interval between a box's exchanges with the hub. */
@@ -123,10 +123,10 @@
     clock.after((exchangeIntervalMs * box) / load.boxes, runExchange);
   }
   return {
-    takePermit: (box) => boxes[box].acquirePermit(target, maxPermitWaitMs),
+    takePermit: (box) => boxes[box].acquirePermit(targetName, maxPermitWaitMs),
     observeLimit(box) {
       const notice = { kind: "limited", perSecond: load.perSecond } as const;
-      boxes[box].recordAnswer({ target, notice, sentMsAgo: 0, served: true });
+      boxes[box].recordAnswer({ target: targetName, notice, sentMsAgo: 0, served: true });
     },
     restart(count) {
       for (const box of boxIndexes(load).slice(0, count)) {
--- a/packages/bench/src/permits.steps.ts
+++ b/packages/bench/src/permits.steps.ts
@@ -22,19 +22,19 @@
   },
 );
 
-const maxUtilizationOf = (world: object) =>
+const maxUtilisationOf = (world: object) =>
   Math.max(
     ...notes(world)
       .get<PermitResult[]>("permits")
-      .map((result) => result.maxWindowUtilization),
+      .map((result) => result.maxWindowUtilisation),
   );
 
 Then("no window sends the target more requests than its limit allows", function (this: object) {
-  assert.ok(maxUtilizationOf(this) <= 1, String(maxUtilizationOf(this)));
+  assert.ok(maxUtilisationOf(this) <= 1, String(maxUtilisationOf(this)));
 });
 
 Then("some window sends the target more requests than its limit allows", function (this: object) {
-  assert.ok(maxUtilizationOf(this) > 1, String(maxUtilizationOf(this)));
+  assert.ok(maxUtilisationOf(this) > 1, String(maxUtilisationOf(this)));
 });
 
 Then(
--- a/packages/bench/src/permits.ts
+++ b/packages/bench/src/permits.ts
@@ -12,14 +12,14 @@
   for (const [name, createStrategy] of Object.entries(permitStrategies)) {
     const results = [];
     for (const seed of seeds) results.push(await runPermits(load, createStrategy, seed));
-    const maxUtilization = Math.max(...results.map((result) => result.maxWindowUtilization));
+    const maxUtilisation = Math.max(...results.map((result) => result.maxWindowUtilisation));
     const used = results.reduce((sum, result) => sum + result.usedShare, 0) / seeds.length;
     const messages = results.reduce((sum, result) => sum + result.messagesPerSecond, 0);
     const cells = [
       `${load.boxes}, ${load.perSecond}`,
       load.name,
       name,
-      maxUtilization.toFixed(2),
+      maxUtilisation.toFixed(2),
       used.toFixed(2),
       (messages / seeds.length).toFixed(1),
     ];
--- a/packages/bench/src/quota-load.ts
+++ b/packages/bench/src/quota-load.ts
@@ -87,8 +87,8 @@
   { name: "hot, all restarted", boxes: 8, perSecond, hot, restartAt: 12_000 },
 ]);
 
-const isWithin = (at: Milliseconds, span: TimeRange | undefined): boolean =>
-  span !== undefined && at >= span.from && at < span.until;
+const isWithin = (at: Milliseconds, range: TimeRange | undefined): boolean =>
+  range !== undefined && at >= range.from && at < range.until;
 
 /** Duration of a leader election: failure detection plus lease expiry. */
 const leaderlessMs: Milliseconds = 2_000;
--- a/packages/bench/src/quota-run.ts
+++ b/packages/bench/src/quota-run.ts
@@ -12,7 +12,7 @@
 /** Accuracy and message cost of a strategy under one load. */
 export interface QuotaResult {
   /** Largest ratio of admitted to allowed units, tolerance included, over all windows: above 1 the limit is exceeded. */
-  readonly maxWindowUtilization: number;
+  readonly maxWindowUtilisation: number;
   /** Fraction of the units admitted by a single shared bucket that the strategy refused. */
   readonly refusedShare: number;
   /** Messages between boxes per second. */
@@ -43,18 +43,18 @@
   });
 }
 
-function computeMaxWindowUtilization(load: QuotaLoad, admitted: readonly QuotaArrival[]): number {
+function computeMaxWindowUtilisation(load: QuotaLoad, admitted: readonly QuotaArrival[]): number {
   const limit = load.perSecond * (windowMs / millisecondsPerSecond) + load.perSecond;
-  const maxUnits = limit * (1 + allowedOverage) + slackUnits;
+  const allowedUnits = limit * (1 + allowedOverage) + slackUnits;
   let first = 0;
   let windowUnits = 0;
-  let maxSum = 0;
+  let maxWindowUnits = 0;
   for (const { at, units } of admitted) {
     windowUnits += units;
     for (; admitted[first].at <= at - windowMs; first += 1) windowUnits -= admitted[first].units;
-    maxSum = Math.max(maxSum, windowUnits);
+    maxWindowUnits = Math.max(maxWindowUnits, windowUnits);
   }
-  return maxSum / maxUnits;
+  return maxWindowUnits / allowedUnits;
 }
 
 const totalUnits = (arrivals: readonly QuotaArrival[]) =>
@@ -81,7 +81,7 @@
   const expected = admittedBySharedBucket(load, arrivals);
   const expectedArrivals = arrivals.filter((_, index) => expected[index]);
   return {
-    maxWindowUtilization: computeMaxWindowUtilization(
+    maxWindowUtilisation: computeMaxWindowUtilisation(
       load,
       arrivals.filter((arrival) => admitted.has(arrival)),
     ),
--- a/packages/bench/src/quota.steps.ts
+++ b/packages/bench/src/quota.steps.ts
@@ -41,17 +41,21 @@
 );
 
 const resultsOf = (world: object) => notes(world).get<LoadRun[]>("results");
-const maxUtilizationOf = (world: object) =>
-  Math.max(...resultsOf(world).map(({ maxWindowUtilization }) => maxWindowUtilization));
+const maxUtilisationOf = (world: object) =>
+  Math.max(
+    ...resultsOf(world).map(
+      ({ maxWindowUtilisation: maxWindowUtilization }) => maxWindowUtilization,
+    ),
+  );
 const maxRefusedPercent = (results: readonly LoadRun[]) =>
   Math.max(...results.map(({ refusedShare }) => refusedShare)) * 100;
 
 Then("no window admits more than the limit plus tolerance", function (this: object) {
-  assert.ok(maxUtilizationOf(this) <= 1, String(maxUtilizationOf(this)));
+  assert.ok(maxUtilisationOf(this) <= 1, String(maxUtilisationOf(this)));
 });
 
 Then("some window admits more than the limit plus tolerance", function (this: object) {
-  assert.ok(maxUtilizationOf(this) > 1, String(maxUtilizationOf(this)));
+  assert.ok(maxUtilisationOf(this) > 1, String(maxUtilisationOf(this)));
 });
 
 Then(
--- a/packages/bench/src/quota.ts
+++ b/packages/bench/src/quota.ts
@@ -14,14 +14,14 @@
   for (const [name, createStrategy] of Object.entries(quotaStrategies)) {
     const results = [];
     for (const seed of seeds) results.push(await runQuota(load, createStrategy, seed));
-    const maxUtilization = Math.max(...results.map((result) => result.maxWindowUtilization));
+    const maxUtilisation = Math.max(...results.map((result) => result.maxWindowUtilisation));
     const refused = results.reduce((sum, { refusedShare }) => sum + refusedShare, 0);
     const messages = results.reduce((sum, { messagesPerSecond }) => sum + messagesPerSecond, 0);
     const cells = [
       load.perSecond,
       load.name,
       name,
-      maxUtilization.toFixed(2),
+      maxUtilisation.toFixed(2),
       `${((100 * refused) / seeds.length).toFixed(1)} %`,
       (messages / seeds.length).toFixed(0),
     ];
--- a/packages/bench/src/report.ts
+++ b/packages/bench/src/report.ts
@@ -52,13 +52,13 @@
 const plotLayout = { left: 220, width: 460, rowHeight: 26, top: 40, minPercent: 80 } as const;
 
 /** Renders a bar chart of each variant's mean attainment, with the range over seeds. */
-export function plotSvg(title: string, all: readonly VariantResults[]): string {
-  const height = plotLayout.top + all.length * plotLayout.rowHeight + 30;
+export function plotSvg(title: string, variants: readonly VariantResults[]): string {
+  const height = plotLayout.top + variants.length * plotLayout.rowHeight + 30;
   const x = (percent: number) =>
     plotLayout.left +
     (Math.max(0, percent - plotLayout.minPercent) / (100 - plotLayout.minPercent)) *
       plotLayout.width;
-  const bars = all.map(({ variant, results }, index) => {
+  const bars = variants.map(({ variant, results }, index) => {
     const values = toPercents(results, (result) => result.attainment);
     const y = plotLayout.top + index * plotLayout.rowHeight;
     const middle = y + plotLayout.rowHeight / 2 - 3;
--- a/packages/bench/src/workload.ts
+++ b/packages/bench/src/workload.ts
@@ -55,8 +55,8 @@
 /** Creates the workload of one run; `steady` disables bursts and the demand shift. */
 export function createWorkload(deployment: Deployment, random: Random, steady = false): Workload {
   const { models, adapters } = deployment;
-  const base = models.map((_, index) => 1 / (index + 1) ** popularityExponent);
-  const total = base.reduce((sum, weight) => sum + weight, 0);
+  const baseWeights = models.map((_, index) => 1 / (index + 1) ** popularityExponent);
+  const totalBaseWeight = baseWeights.reduce((sum, weight) => sum + weight, 0);
   const shifted = Array.from({ length: shiftedModelCount }, () => random.below(models.length));
   let burst = { model: 0, until: -Infinity, next: burstEveryMs };
   let sent = 0;
@@ -67,7 +67,7 @@
   };
 
   const weights = (now: Milliseconds) =>
-    base.map((weight, index) => {
+    baseWeights.map((weight, index) => {
       const inShift = !steady && now >= phases.shiftFrom && now < phases.shiftUntil;
       const shiftWeight = inShift && shifted.includes(index) ? shiftFactor : 1;
       const burstWeight = now < burst.until && burst.model === index ? burstFactor : 1;
@@ -84,7 +84,7 @@
     nextGapMs(now) {
       updateBurst(now);
       const sum = weights(now).reduce((all, weight) => all + weight, 0);
-      const rate = (deployment.baseRate * sum) / total;
+      const rate = (deployment.baseRate * sum) / totalBaseWeight;
       return (-Math.log(1 - random.fraction()) * 1_000) / rate;
     },
     next(now) {
