--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run bench -- routing|placement [--seeds N] [--deployment D] [--variant V] [--faults] [--steady]
- * [--extra-minutes N] [--plot FOLDER]`:
- * compares the variants of an experiment; prints a table per deployment and optionally writes a plot.
+ * `npm run bench -- EXPERIMENT [--seeds N] [--deployment D] [--variant V] [--faults] [--steady]
+ * [--extra-minutes N] [--misses] [--plot FOLDER]`: compares the variants of an experiment. Prints a
+ * table per deployment and writes a plot on request. `--misses` adds the missed requests of each run.
  */
 import { writeFileSync } from "node:fs";
 import { join } from "node:path";
--- a/packages/bench/src/permit-ways.ts
+++ b/packages/bench/src/permit-ways.ts
@@ -23,7 +23,7 @@
 export const targetName = "t1";
 /** One-way network latency between boxes. */
 const oneWayLatencyMs: Milliseconds = 1.4;
-/** Interval between a box's exchanges with the hub. */
+/** Interval between a box's exchanges with the hub, the last box. */
 const exchangeIntervalMs: Milliseconds = 400;
 /** Time until an isolated box detects that it is disconnected. */
 const selfDetectionMs: Milliseconds = 1_000;
--- a/packages/bench/src/quota.steps.ts
+++ b/packages/bench/src/quota.steps.ts
@@ -42,11 +42,7 @@
 
 const resultsOf = (world: object) => notes(world).get<LoadRun[]>("results");
 const maxUtilisationOf = (world: object) =>
-  Math.max(
-    ...resultsOf(world).map(
-      ({ maxWindowUtilisation: maxWindowUtilization }) => maxWindowUtilization,
-    ),
-  );
+  Math.max(...resultsOf(world).map(({ maxWindowUtilisation }) => maxWindowUtilisation));
 const maxRefusedPercent = (results: readonly LoadRun[]) =>
   Math.max(...results.map(({ refusedShare }) => refusedShare)) * 100;
 
