--- a/packages/account-keys/src/account-keys.steps.ts
+++ b/packages/account-keys/src/account-keys.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import fc from "fast-check";
 import { createKeyTable, keyFingerprint, type KeyTable } from "./index.js";
 
@@ -17,12 +17,12 @@
       { name: firstName, keys: firstKeys.split(" ") },
       { name: secondName, keys: secondKeys.split(" ") },
     ];
-    notes(this).set("table", createKeyTable(accounts));
+    scenarioState(this).set("table", createKeyTable(accounts));
   },
 );
 
 Then("the key {string} belongs to {string}", function (this: object, key: string, name: string) {
-  const found = notes(this).get<KeyTable>("table").find(key);
+  const found = scenarioState(this).get<KeyTable>("table").find(key);
   assert.equal(found?.name ?? "nobody", name);
 });
 
--- a/packages/account-quota/src/account-quota.steps.ts
+++ b/packages/account-quota/src/account-quota.steps.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
-import type { AccountLimit, ClientAccount, RequestTerms } from "@linkfall/types";
+import { scenarioState } from "@linkfall/test-support";
+import type { AccountLimit, ClientAccount, RequestMetadata } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
 import {
   type GrantSummary,
@@ -24,12 +24,17 @@
   grants: readonly QuotaGrant[];
 }
 
-const contextOf = (world: object) => notes(world).get<AllocatorContext>("allocator");
+const contextOf = (world: object) => scenarioState(world).get<AllocatorContext>("allocator");
 
 function createAllocatorContext(world: object, rate: QuotaRate, initialLevel: number): void {
   const clock = createVirtualClock();
   const allocator = createQuotaAllocator(clock, () => initialLevel);
-  notes(world).set("allocator", { clock, allocator, rate, grants: [] } satisfies AllocatorContext);
+  scenarioState(world).set("allocator", {
+    clock,
+    allocator,
+    rate,
+    grants: [],
+  } satisfies AllocatorContext);
 }
 
 function sendRequests(world: object, count: number, needed: number, version = 1): void {
@@ -137,7 +142,7 @@
   readonly durationsMs: number[];
 }
 
-const boxContextOf = (world: object) => notes(world).get<BoxContext>("box");
+const boxContextOf = (world: object) => scenarioState(world).get<BoxContext>("box");
 const connectedPeers = { connected: () => true, ownShare: () => 1, silentShare: () => 0 };
 const tolerance = { windowSeconds: 8, overage: 0.1, slack: 0 };
 
@@ -149,7 +154,7 @@
   const summaries: GrantSummary[] = [];
   const onExhausted = (summary: GrantSummary) => void summaries.push(summary);
   const quota = createAccountQuota(clock, { self: "self", onExhausted, ...peers }, tolerance);
-  notes(world).set("box", {
+  scenarioState(world).set("box", {
     clock,
     quota,
     decisions: [],
@@ -159,7 +164,7 @@
 }
 
 function accountOf(perSecond: number): ClientAccount {
-  const limit: AccountLimit = { unit: "tokens", perSecond, burst: perSecond, plainTokens: 200 };
+  const limit: AccountLimit = { unit: "tokens", perSecond, burst: perSecond, defaultTokens: 200 };
   return { name: "a", keys: [], limit };
 }
 
@@ -312,14 +317,14 @@
   (tokens: string, units: number, unit: AccountLimit["unit"]) => {
     const [prompt, output] = tokens.split(" and ").map(Number);
     const hasTokens = Number.isFinite(prompt);
-    const terms: RequestTerms = {
+    const terms: RequestMetadata = {
       id: "r",
-      tokensTold: hasTokens,
+      tokensDeclared: hasTokens,
       promptTokens: hasTokens ? prompt : 0,
       maxOutputTokens: hasTokens ? output : 0,
       parts: [],
     };
-    const limit = { unit, perSecond: 1, burst: 1, plainTokens: 200 };
+    const limit = { unit, perSecond: 1, burst: 1, defaultTokens: 200 };
     assert.equal(unitsOf(limit, terms), units);
   },
 );
--- a/packages/ask-stream/src/index.ts
+++ b/packages/ask-stream/src/index.ts
@@ -10,19 +10,19 @@
 import { type Either, Left, Right } from "purify-ts";
 
 /** A message or its answer, as it stands on the stream. */
-export interface Numbered<Body> {
+export interface NumberedMessage<Body> {
   readonly number: number;
   readonly body: Body | undefined;
 }
 
-export interface AskStream<Ask, Answer> {
-  ask(body: Ask): Promise<Either<PeerUnreachable, Answer>>;
+export interface RequestStream<Ask, Answer> {
+  request(body: Ask): Promise<Either<PeerUnreachable, Answer>>;
   close(): void;
 }
 
 /** A stream on a connection that nothing else uses. */
 export interface DialledStream<Ask, Answer> {
-  readonly stream: ClientDuplexStream<Numbered<Ask>, Numbered<Answer>>;
+  readonly stream: ClientDuplexStream<NumberedMessage<Ask>, NumberedMessage<Answer>>;
   /** Closes the connection beneath. */
   close(): void;
 }
@@ -34,19 +34,19 @@
 /**
  * Creates the stream to one box; it is opened by the first message.
  *
- * @param limit longest wait for one answer
+ * @param timeoutMs longest wait for one answer
  * @param dial opens a stream on a connection of its own
  */
-export function createAskStream<Ask, Answer>(
+export function createRequestStream<Ask, Answer>(
   clock: Clock,
-  limit: Milliseconds,
+  timeoutMs: Milliseconds,
   dial: () => DialledStream<Ask, Answer>,
-): AskStream<Ask, Answer> {
+): RequestStream<Ask, Answer> {
   let open: Connection<Ask, Answer> | undefined;
-  let asked = 0;
+  let lastNumber = 0;
 
   /** Ends a connection; what is under way on it gets no answer. */
-  const giveUp = (connection: Connection<Ask, Answer>, reason: string) => {
+  const failConnection = (connection: Connection<Ask, Answer>, reason: string) => {
     if (open === connection) open = undefined;
     const failure = { kind: "peer_unreachable", reason, mayHaveArrived: true } as const;
     for (const answer of connection.pending.values()) answer(Left(failure));
@@ -57,21 +57,25 @@
 
   const connect = (): Connection<Ask, Answer> => {
     const connection: Connection<Ask, Answer> = { ...dial(), pending: new Map() };
-    connection.stream.on("data", ({ number, body }: Numbered<Answer>) => {
+    connection.stream.on("data", ({ number, body }: NumberedMessage<Answer>) => {
       if (body !== undefined) connection.pending.get(number)?.(Right(body));
       connection.pending.delete(number);
     });
-    connection.stream.on("error", (problem) => giveUp(connection, problem.message));
-    connection.stream.on("end", () => giveUp(connection, "the other box has ended the stream"));
+    connection.stream.on("error", (problem) => failConnection(connection, problem.message));
+    connection.stream.on("end", () =>
+      failConnection(connection, "the other box has ended the stream"),
+    );
     return connection;
   };
 
   return {
-    ask: (body) =>
+    request: (body) =>
       new Promise((resolve) => {
         const connection = (open ??= connect());
-        const number = ++asked;
-        const cancel = clock.after(limit, () => giveUp(connection, "no answer in time"));
+        const number = ++lastNumber;
+        const cancel = clock.after(timeoutMs, () =>
+          failConnection(connection, "no answer in time"),
+        );
         connection.pending.set(number, (result) => {
           cancel();
           resolve(result);
@@ -79,7 +83,7 @@
         connection.stream.write({ number, body });
       }),
     close() {
-      if (open) giveUp(open, "closed");
+      if (open) failConnection(open, "closed");
     },
   };
 }
--- a/packages/bench/src/box-cost.ts
+++ b/packages/bench/src/box-cost.ts
@@ -6,11 +6,11 @@
 import { createOperatorClient } from "@linkfall/operator-client";
 import {
   DeploymentProcesses,
-  type EngineShape,
+  type EngineSpec,
   hashToken,
   operatorToken,
   type RunningBox,
-  until,
+  waitUntil,
 } from "@linkfall/stand-ins";
 import type { Resource } from "@linkfall/types";
 
@@ -43,7 +43,7 @@
   process.stdout.write(`${text}\n`);
 }
 
-function createEngineShape(index: number): EngineShape {
+function createEngineShape(index: number): EngineSpec {
   return {
     name: `e${index}`,
     pool: "p",
@@ -89,7 +89,7 @@
     const extra = { callers: { max_in_flight: 5_000 }, log: { level: "warn" } };
     await deployment.startBox(`box-${index}`, `d${index % 4}`, extra);
   }
-  await Promise.all(deployment.boxes.map((box) => deployment.untilReady(box)));
+  await Promise.all(deployment.boxes.map((box) => deployment.waitUntilReady(box)));
   const url = `http://${deployment.boxes[0].operatorAddress}`;
   const operator = createOperatorClient({ url, token: operatorToken });
   const changes = createResources(engines).map(
@@ -100,7 +100,11 @@
     const status = await operator.status();
     return status.map(({ models }) => models.every((model) => model.ready > 0)).orDefault(false);
   };
-  await until(allModelsReady, () => "timed out waiting for all models to become ready", 120_000);
+  await waitUntil(
+    allModelsReady,
+    () => "timed out waiting for all models to become ready",
+    120_000,
+  );
 }
 
 /** Sends streaming requests through a box for `loadSeconds` and returns the number of tokens received. */
--- a/packages/bench/src/capacity-peers.ts
+++ b/packages/bench/src/capacity-peers.ts
@@ -70,7 +70,11 @@
 export async function measureHeartbeats(members: number, entries: number): Promise<void> {
   const changes = { joined: () => undefined, gone: () => undefined };
   const before = heapUsedBytes();
-  const table = createMemberTable("box-x@1", { suspectMs, forgetMs }, changes);
+  const table = createMemberTable(
+    "box-x@1",
+    { suspectAfterMs: suspectMs, removeAfterMs: forgetMs },
+    changes,
+  );
   const all = Array.from({ length: members }, (_, index) => member(index, 0));
   table.merge(all, 0);
   const heldBytes = heapUsedBytes() - before;
--- a/packages/bench/src/deployments.ts
+++ b/packages/bench/src/deployments.ts
@@ -70,7 +70,7 @@
   stepMs: 160,
   stepPerRequestMs: 12,
   prefillMsPerCharacter: 0.12,
-  cachedPrefixes: 24,
+  maxCachedPrefixes: 24,
   prefixCharacters: 512,
 };
 
@@ -155,7 +155,7 @@
       engines,
       serviceAddresses,
       domains: shape.domains,
-      speeds: benchSpeeds,
+      batchOptions: benchSpeeds,
       weightMbPerSecond: 4_000,
     },
   };
--- a/packages/bench/src/permit-load.ts
+++ b/packages/bench/src/permit-load.ts
@@ -63,8 +63,8 @@
   const gapMs = millisecondsPerSecond / (perSecond * demandToLimitRatio);
   const arrivals: PermitArrival[] = [];
   for (let at = 0; at < loadDurationMs;) {
-    at += -Math.log(1 - random.fraction()) * gapMs;
-    arrivals.push({ at, box: random.below(boxes) });
+    at += -Math.log(1 - random.nextFloat()) * gapMs;
+    arrivals.push({ at, box: random.nextInt(boxes) });
   }
   return arrivals;
 }
--- a/packages/bench/src/permits.steps.ts
+++ b/packages/bench/src/permits.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Then, When } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { permitLoads } from "./permit-load.js";
 import { runPermits, type PermitResult } from "./permit-run.js";
 import { permitStrategies } from "./permit-ways.js";
@@ -18,13 +18,13 @@
         results.push(await runPermits(load, permitStrategies[strategy], seed));
       }
     }
-    notes(this).set("permits", results);
+    scenarioState(this).set("permits", results);
   },
 );
 
 const maxUtilisationOf = (world: object) =>
   Math.max(
-    ...notes(world)
+    ...scenarioState(world)
       .get<PermitResult[]>("permits")
       .map((result) => result.maxWindowUtilisation),
   );
@@ -41,7 +41,7 @@
   "the target receives at least {int} in 100 requests within its limit",
   function (this: object, minPercent: number) {
     const used = Math.min(
-      ...notes(this)
+      ...scenarioState(this)
         .get<PermitResult[]>("permits")
         .map((result) => result.usedShare),
     );
--- a/packages/bench/src/policy-run.ts
+++ b/packages/bench/src/policy-run.ts
@@ -70,7 +70,7 @@
       "linkfall-deadline-ms": String(arrival.deadlineMs),
     },
     body: Buffer.from(JSON.stringify(body)),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
   const complete = response !== undefined && (await readToEnd(response));
   if (!inMeasuredPhase) return;
@@ -111,7 +111,7 @@
     path: "/v1/writes",
     headers: { authorization: `Bearer ${operatorToken}` },
     body: Buffer.from(JSON.stringify({ changes })),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
 }
 
--- a/packages/bench/src/quota-load.ts
+++ b/packages/bench/src/quota-load.ts
@@ -113,7 +113,7 @@
 }
 
 function exponential(random: Random, mean: number): number {
-  return -Math.log(1 - random.fraction()) * mean;
+  return -Math.log(1 - random.nextFloat()) * mean;
 }
 
 /** Generates the requests of a load in order of arrival. */
@@ -125,7 +125,7 @@
     at += exponential(random, meanGapMs / (isWithin(at, load.hot) ? (load.hot?.times ?? 1) : 1));
     const boxes = isWithin(at, load.concentrated) ? (load.concentrated?.boxes ?? 1) : load.boxes;
     const units = Math.ceil(Math.min(maxUnits, exponential(random, meanUnits)));
-    arrivals.push({ at, box: random.below(boxes), units });
+    arrivals.push({ at, box: random.nextInt(boxes), units });
   }
   return arrivals;
 }
--- a/packages/bench/src/quota-ways.ts
+++ b/packages/bench/src/quota-ways.ts
@@ -175,7 +175,7 @@
     unit: "tokens",
     perSecond: load.perSecond,
     burst: load.perSecond,
-    plainTokens: 200,
+    defaultTokens: 200,
   } as const;
   const account = { name: "a", keys: [], limit };
   return {
--- a/packages/bench/src/quota.steps.ts
+++ b/packages/bench/src/quota.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Then, When } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { quotaLoads } from "./quota-load.js";
 import { type QuotaResult, runQuota } from "./quota-run.js";
 import { quotaStrategies } from "./quota-ways.js";
@@ -21,7 +21,7 @@
       results.push({ ...result, hasIsolation: load.isolated !== undefined });
     }
   }
-  notes(world).set("results", results);
+  scenarioState(world).set("results", results);
 }
 
 When(
@@ -40,7 +40,7 @@
   },
 );
 
-const resultsOf = (world: object) => notes(world).get<LoadRun[]>("results");
+const resultsOf = (world: object) => scenarioState(world).get<LoadRun[]>("results");
 const maxUtilisationOf = (world: object) =>
   Math.max(...resultsOf(world).map(({ maxWindowUtilisation }) => maxWindowUtilisation));
 const maxRefusedPercent = (results: readonly LoadRun[]) =>
--- a/packages/bench/src/workload.ts
+++ b/packages/bench/src/workload.ts
@@ -57,13 +57,17 @@
   const { models, adapters } = deployment;
   const baseWeights = models.map((_, index) => 1 / (index + 1) ** popularityExponent);
   const totalBaseWeight = baseWeights.reduce((sum, weight) => sum + weight, 0);
-  const shifted = Array.from({ length: shiftedModelCount }, () => random.below(models.length));
+  const shifted = Array.from({ length: shiftedModelCount }, () => random.nextInt(models.length));
   let burst = { model: 0, until: -Infinity, next: burstEveryMs };
   let sent = 0;
 
   const updateBurst = (now: Milliseconds) => {
     if (steady || now < burst.next) return;
-    burst = { model: random.below(models.length), until: now + burstMs, next: now + burstEveryMs };
+    burst = {
+      model: random.nextInt(models.length),
+      until: now + burstMs,
+      next: now + burstEveryMs,
+    };
   };
 
   const weights = (now: Milliseconds) =>
@@ -75,7 +79,7 @@
     });
 
   const pickIndex = (list: readonly number[], sum: number) => {
-    let remaining = random.fraction() * sum;
+    let remaining = random.nextFloat() * sum;
     const index = list.findIndex((weight) => (remaining -= weight) < 0);
     return index < 0 ? list.length - 1 : index;
   };
@@ -85,7 +89,7 @@
       updateBurst(now);
       const sum = weights(now).reduce((all, weight) => all + weight, 0);
       const rate = (deployment.baseRate * sum) / totalBaseWeight;
-      return (-Math.log(1 - random.fraction()) * 1_000) / rate;
+      return (-Math.log(1 - random.nextFloat()) * 1_000) / rate;
     },
     next(now) {
       const list = weights(now);
@@ -95,13 +99,13 @@
       );
       const model = models[index].name;
       const modelAdapters = adapters.filter((adapter) => adapter.model === model);
-      const useAdapter = modelAdapters.length > 0 && random.fraction() < adapterShare;
-      const station = Math.floor(stationsPerModel * random.fraction() ** 2);
+      const useAdapter = modelAdapters.length > 0 && random.nextFloat() < adapterShare;
+      const station = Math.floor(stationsPerModel * random.nextFloat() ** 2);
       return {
-        model: useAdapter ? modelAdapters[random.below(modelAdapters.length)].name : model,
+        model: useAdapter ? modelAdapters[random.nextInt(modelAdapters.length)].name : model,
         prompt: `${stationLog(model, station)} question ${++sent}`,
-        maxTokens: 2 + random.below(maxOutputTokens - 1),
-        deadlineMs: random.fraction() < shortDeadlineShare ? shortDeadlineMs : longDeadlineMs,
+        maxTokens: 2 + random.nextInt(maxOutputTokens - 1),
+        deadlineMs: random.nextFloat() < shortDeadlineShare ? shortDeadlineMs : longDeadlineMs,
       };
     },
   };
--- a/packages/box-peers/src/box-peers.steps.ts
+++ b/packages/box-peers/src/box-peers.steps.ts
@@ -18,8 +18,8 @@
   type PeerClient,
   type Peers,
 } from "./index.js";
-import { createMember, type Member, takeStatus } from "./member.js";
-import { partnersOfRound, roundMs } from "./partners.js";
+import { createMember, type Member, applyStatus } from "./member.js";
+import { selectPartners, computeRoundIntervalMs } from "./partners.js";
 
 interface SceneBox {
   readonly address: string;
@@ -76,11 +76,11 @@
   const followed = { holder: nameOf(index), engines: 0, members: 0 };
   return {
     holder: () => scene.holder,
-    resting: () => index > 9,
-    message(_reader, sightings): Heartbeat {
+    isIdle: () => index > 9,
+    createHeartbeat(_reader, sightings): Heartbeat {
       beat += 1;
       const status = statusOf(scene, index, beat);
-      if (scene.holder !== nameOf(index) || peers().mesh()) return { status, sightings };
+      if (scene.holder !== nameOf(index) || peers().isFullMesh()) return { status, sightings };
       const members = peers().sightings();
       return {
         status,
@@ -125,15 +125,15 @@
   const source = sourceOf(scene, index, () => peers);
   const peers: Peers = createPeers(kernel, clientOf(scene, index), source, {
     selfAddress: addressOf(index),
-    roundMs: 400,
-    roundPerBoxMs: 4,
-    suspectMs: 1_500,
-    vouchedMs: 4_500,
-    forgetMs: 60_000,
-    fanout: 8,
+    minRoundIntervalMs: 400,
+    roundIntervalPerBoxMs: 4,
+    baseSuspicionTimeoutMs: 1_500,
+    holderReportTtlMs: 4_500,
+    removeAfterMs: 60_000,
+    maxFullMeshPeers: 8,
     searchFanout: 4,
-    randomEvery: 5,
-    sightings: 8,
+    randomPartnerPeriod: 5,
+    maxSightings: 8,
   });
   scene.boxes.push({ address: addressOf(index), peers, stopped: false, sent: 0 });
 }
@@ -145,7 +145,7 @@
     scenes.set(this, scene);
     for (let index = 0; index < count; index++) addBox(scene, index);
     for (const { peers } of scene.boxes) {
-      for (const seed of [0, 1, 2]) peers.learn({ box: "seed", peerAddress: addressOf(seed) });
+      for (const seed of [0, 1, 2]) peers.addPeer({ box: "seed", peerAddress: addressOf(seed) });
       await peers.start();
     }
   },
@@ -217,7 +217,7 @@
     ofSome: number,
     ofMany: number,
   ) => {
-    const rounds = [few, some, many].map((others) => roundMs(base, perBox, others));
+    const rounds = [few, some, many].map((others) => computeRoundIntervalMs(base, perBox, others));
     assert.deepEqual(rounds, [ofFew, ofSome, ofMany]);
   },
 );
@@ -237,7 +237,7 @@
   return [...(partnerScenes.get(world) ?? [])].map(([box, reachesStore]) => {
     const member = createMember({ box, peerAddress: box }, 0);
     const status = { box, incarnation: box, beat: 1, reading: true, reachesStore };
-    takeStatus(member, status as BoxStatus, 0, 0);
+    applyStatus(member, status as BoxStatus, 0, 0);
     return member;
   });
 }
@@ -266,7 +266,7 @@
     // Round 0 asks one at random as well; the same turns come again later.
     const input = { members: membersOf(this), holder: "holder", holderHeard: true };
     const turn = { ...input, round: round + 12 };
-    const asked = partnersOfRound(turn, rules, seededRandom(1));
+    const asked = selectPartners(turn, rules, seededRandom(1));
     return asked.slice(1).map(({ address }) => address.box);
   });
   assert.deepEqual(
--- a/packages/box-peers/src/change-numbers.ts
+++ b/packages/box-peers/src/change-numbers.ts
@@ -1,24 +1,24 @@
 /** Numbers the changes of named values, so that each reader is told only what it lacks. */
 
-export interface ChangeNumbers<Value> {
+export interface ChangeTracker<Value> {
   /** Takes the values of now; those that are not named any more are forgotten. */
   update(values: ReadonlyMap<string, Value>): void;
   /** Values that have changed after the given number. */
-  after(number: number): readonly Value[];
+  changedAfter(number: number): readonly Value[];
   /** The number of the newest change. */
-  newest(): number;
+  latestNumber(): number;
 }
 
-interface Numbered<Value> {
+interface NumberedValue<Value> {
   readonly value: Value;
   readonly number: number;
 }
 
 /** Creates numbers from 1 on; `same` tells whether a value has not changed. */
-export function createChangeNumbers<Value>(
+export function createChangeTracker<Value>(
   same: (before: Value, now: Value) => boolean,
-): ChangeNumbers<Value> {
-  const numbered = new Map<string, Numbered<Value>>();
+): ChangeTracker<Value> {
+  const numbered = new Map<string, NumberedValue<Value>>();
   let newest = 0;
   return {
     update(values) {
@@ -32,8 +32,8 @@
         if (!values.has(name)) numbered.delete(name);
       }
     },
-    after: (number) =>
+    changedAfter: (number) =>
       [...numbered.values()].filter((entry) => entry.number > number).map(({ value }) => value),
-    newest: () => newest,
+    latestNumber: () => newest,
   };
 }
--- a/packages/box-peers/src/member-table.ts
+++ b/packages/box-peers/src/member-table.ts
@@ -1,24 +1,24 @@
 /** All other boxes that one box knows, and which of them it takes for alive. */
 import type { Clock } from "@linkfall/kernel";
 import type { Incarnation, Milliseconds } from "@linkfall/types";
-import { createMember, type Member, takeSighting, takeStatus } from "./member.js";
+import { createMember, type Member, applySighting, applyStatus } from "./member.js";
 import type { BoxAddress, Heartbeat, Sighting } from "./messages.js";
-import { isMesh, type PartnerRules, roundMs } from "./partners.js";
+import { fitsFullMesh, type PartnerOptions, computeRoundIntervalMs } from "./partners.js";
 
-export interface MemberRules extends PartnerRules {
+export interface MemberOptions extends PartnerOptions {
   /** Where other boxes reach this one. */
   readonly selfAddress: string;
   /** Shortest time between two rounds of heartbeats. */
-  readonly roundMs: Milliseconds;
+  readonly minRoundIntervalMs: Milliseconds;
   /** Time between two rounds for each other box, where that is longer. */
-  readonly roundPerBoxMs: Milliseconds;
+  readonly roundIntervalPerBoxMs: Milliseconds;
   /** A box that was not heard for this long gets no callers. */
-  readonly suspectMs: Milliseconds;
+  readonly baseSuspicionTimeoutMs: Milliseconds;
   /** A box that the holder of the order lease vouched for is believed in for this long after the
    * holder fell silent. */
-  readonly vouchedMs: Milliseconds;
+  readonly holderReportTtlMs: Milliseconds;
   /** A box that was not heard for this long is forgotten. */
-  readonly forgetMs: Milliseconds;
+  readonly removeAfterMs: Milliseconds;
 }
 
 /** What a look at the table found. */
@@ -30,35 +30,35 @@
 }
 
 /** What a status says beyond what was known of its box. */
-export type TakenStatus = "old" | "newer" | "new_incarnation";
+export type StatusUpdate = "old" | "newer" | "new_incarnation";
 
 export interface MemberTable {
   all(): readonly Member[];
   find(incarnation: Incarnation): Member | undefined;
   /** Notes where a box may be asked; undefined for this box itself. */
-  learn(address: BoxAddress): Member | undefined;
+  add(address: BoxAddress): Member | undefined;
   /** Takes what a box tells of itself and of others. */
-  take(heartbeat: Heartbeat): TakenStatus;
+  applyHeartbeat(heartbeat: Heartbeat): StatusUpdate;
   isAlive(member: Member): boolean;
   /** A box as this one tells of it; none where nothing is known of it but its address. */
-  sightingOf(member: Member): readonly Sighting[];
+  toSightings(member: Member): readonly Sighting[];
   /** Looks for boxes that have fallen silent, and forgets those that were silent for long. */
-  lookForSilent(): SilentMembers;
+  detectSilent(): SilentMembers;
   /** Most boxes that were known at once, this one included. */
-  most(): number;
+  maxKnownBoxes(): number;
   /** Whether every box exchanges heartbeats with every other one. */
-  mesh(): boolean;
+  isFullMesh(): boolean;
   /** Time between two rounds of heartbeats. */
-  intervalMs(): Milliseconds;
+  roundIntervalMs(): Milliseconds;
   /** Silence after which a box is suspected: a few rounds. */
-  suspectMs(): Milliseconds;
+  suspicionTimeoutMs(): Milliseconds;
 }
 
 /** In a large deployment, boxes without callers make their rounds so many times as far apart. */
-export const restingFactor = 2;
+export const idleRoundFactor = 2;
 
 /** Creates a table of no boxes. */
-export function createMemberTable(clock: Clock, rules: MemberRules): MemberTable {
+export function createMemberTable(clock: Clock, rules: MemberOptions): MemberTable {
   const members = new Map<string, Member>();
   /** Boxes that were heard themselves. */
   const heard = new Map<Incarnation, Member>();
@@ -66,11 +66,12 @@
 
   const all = () => [...members.values()];
   const find = (incarnation: Incarnation) => heard.get(incarnation);
-  const mesh = () => isMesh(members.size, rules);
-  const intervalMs = () => roundMs(rules.roundMs, rules.roundPerBoxMs, members.size);
-  const suspectMs = () => (rules.suspectMs * intervalMs()) / rules.roundMs;
+  const mesh = () => fitsFullMesh(members.size, rules);
+  const intervalMs = () =>
+    computeRoundIntervalMs(rules.minRoundIntervalMs, rules.roundIntervalPerBoxMs, members.size);
+  const suspectMs = () => (rules.baseSuspicionTimeoutMs * intervalMs()) / rules.minRoundIntervalMs;
   const mayRestMs = (member: Member) =>
-    mesh() || member.profile?.takesRequests ? suspectMs() : suspectMs() * restingFactor;
+    mesh() || member.profile?.takesRequests ? suspectMs() : suspectMs() * idleRoundFactor;
 
   const learn = (address: BoxAddress): Member | undefined => {
     if (address.peerAddress === rules.selfAddress) return undefined;
@@ -84,41 +85,43 @@
 
   const isAlive = (member: Member): boolean => {
     const now = clock.now();
-    if (now - member.seenAt <= mayRestMs(member)) return true;
+    if (now - member.lastSeenAt <= mayRestMs(member)) return true;
     if (member.vouchedBy === undefined) return false;
     const holder = find(member.vouchedBy);
-    return holder !== undefined && clock.elapsed() - holder.heardAt <= rules.vouchedMs;
+    return (
+      holder !== undefined && clock.elapsed() - holder.lastHeartbeatAt <= rules.holderReportTtlMs
+    );
   };
 
   const takeSightings = ({ status, sightings, report }: Heartbeat) => {
     const now = clock.now();
     for (const sighting of sightings) {
       const member = learn(sighting);
-      if (member) takeSighting(member, sighting, now);
+      if (member) applySighting(member, sighting, now);
     }
     for (const sighting of report?.members ?? []) {
       const member = learn(sighting);
-      if (member) takeSighting(member, sighting, now, status.incarnation);
+      if (member) applySighting(member, sighting, now, status.incarnation);
     }
   };
 
   const isSuspect = (member: Member) =>
     member.profile !== undefined && !member.suspected && !isAlive(member);
   const isLongSilent = (member: Member) => {
-    const last = Math.max(member.seenAt, member.learntAt);
-    return !isAlive(member) && clock.now() - last > rules.forgetMs;
+    const last = Math.max(member.lastSeenAt, member.addedAt);
+    return !isAlive(member) && clock.now() - last > rules.removeAfterMs;
   };
 
   return {
     all,
     find,
-    learn,
-    take(heartbeat) {
+    add: learn,
+    applyHeartbeat(heartbeat) {
       takeSightings(heartbeat);
       const { status } = heartbeat;
       const member = learn(status);
       const before = member?.status?.incarnation;
-      if (!member || !takeStatus(member, status, clock.now(), clock.elapsed())) return "old";
+      if (!member || !applyStatus(member, status, clock.now(), clock.elapsed())) return "old";
       member.suspected = false;
       if (before === status.incarnation) return "newer";
       if (before !== undefined) heard.delete(before);
@@ -126,16 +129,16 @@
       return "new_incarnation";
     },
     isAlive,
-    sightingOf(member) {
+    toSightings(member) {
       if (!member.profile) return [];
       const { box, incarnation, frontAddress, peerAddress, domain, capacity } = member.profile;
       const { ready, leaving, strained, takesRequests, reading } = member.profile;
-      const ageMs = Math.round(clock.now() - member.seenAt);
+      const ageMs = Math.round(clock.now() - member.lastSeenAt);
       const identity = { box, incarnation, frontAddress, peerAddress, domain, capacity };
       const state = { ready, leaving, strained, takesRequests, reading };
       return [{ ...identity, ...state, ageMs, silent: !isAlive(member) }];
     },
-    lookForSilent() {
+    detectSilent() {
       const suspected = all().filter(isSuspect);
       for (const member of suspected) member.suspected = true;
       const gone = all().filter(isLongSilent);
@@ -145,9 +148,9 @@
       }
       return { suspected, gone };
     },
-    most: () => most,
-    mesh,
-    intervalMs,
-    suspectMs,
+    maxKnownBoxes: () => most,
+    isFullMesh: mesh,
+    roundIntervalMs: intervalMs,
+    suspicionTimeoutMs: suspectMs,
   };
 }
--- a/packages/box-peers/src/messages.ts
+++ b/packages/box-peers/src/messages.ts
@@ -3,13 +3,13 @@
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { ObservedLease } from "@linkfall/order-lease";
 import type {
-  BlameWord,
-  Holdings,
+  BlameMessage,
+  EngineInventory,
   Incarnation,
   ListedTarget,
   Milliseconds,
   Offset,
-  TargetLimitWord,
+  TargetLimitMessage,
 } from "@linkfall/types";
 
 /** What every box has to know of every other one. It changes seldom. */
@@ -34,7 +34,7 @@
 }
 
 /** How far a box has followed the reports of the holder of the order lease. */
-export interface FollowedReport {
+export interface ReportPosition {
   readonly holder: Incarnation;
   readonly engines: number;
   readonly members: number;
@@ -53,7 +53,7 @@
   readonly lease?: ObservedLease;
   /** Time for which the sender may go on giving orders, where it may. */
   readonly ordersForMs?: Milliseconds;
-  readonly followed?: FollowedReport;
+  readonly followed?: ReportPosition;
   /** How far the sender has followed the reader in what boxes tell of requests that end targets. */
   readonly blameFollowed?: number;
   /** How far the sender has followed the reader in what boxes tell of targets' limits. */
@@ -63,7 +63,7 @@
 /** What one engine holds, as the holder of the order lease has read it. */
 export interface EngineHoldings {
   readonly id: string;
-  readonly holdings: Holdings;
+  readonly holdings: EngineInventory;
 }
 
 /** A box as another one has heard of it. */
@@ -75,13 +75,13 @@
 }
 
 /** What the holder of the order lease tells one other box. */
-export interface HolderReport {
+export interface LeaseHolderReport {
   /** Engines that have changed since the reader's last report. */
   readonly engines: readonly EngineHoldings[];
   /** Boxes that have changed since the reader's last report; absent where all boxes hear each other. */
   readonly members?: readonly Sighting[];
   /** How far the reader has followed once it has taken this. */
-  readonly followed: FollowedReport;
+  readonly followed: ReportPosition;
   /** The holder hears most of the boxes that it ever knew. */
   readonly hearsMost: boolean;
   readonly withheld: Readonly<Record<string, readonly string[]>>;
@@ -115,13 +115,13 @@
   /** Some of the boxes that the sender knows. */
   readonly sightings: readonly Sighting[];
   /** Present where the sender holds the order lease. */
-  readonly report?: HolderReport;
+  readonly report?: LeaseHolderReport;
   /** Present where the sender reads the list and the reader does not. */
   readonly targets?: TargetChanges;
   /** What the sender knows of requests that end targets; absent where the reader knows it. */
-  readonly blame?: BlameWord;
+  readonly blame?: BlameMessage;
   /** What the sender knows of targets' limits; absent where the reader knows it. */
-  readonly limits?: TargetLimitWord;
+  readonly limits?: TargetLimitMessage;
 }
 
 /** The configuration as one box has read it, in the form in which the store gave it. */
--- a/packages/box-peers/src/transport.ts
+++ b/packages/box-peers/src/transport.ts
@@ -12,14 +12,18 @@
   type UntypedServiceImplementation,
 } from "@grpc/grpc-js";
 import type { QuotaRequest, QuotaGrant } from "@linkfall/account-quota";
-import { type AskStream, createAskStream, type Numbered } from "@linkfall/ask-stream";
+import {
+  type RequestStream,
+  createRequestStream,
+  type NumberedMessage,
+} from "@linkfall/ask-stream";
 import type { PeerUnreachable } from "@linkfall/errors";
 import type { Clock } from "@linkfall/kernel";
 import type { PermitRequest, PermitGrant } from "@linkfall/target-limits";
 import type { Milliseconds } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
 import type { ConfigurationCopy, Heartbeat } from "./messages.js";
-import { fromBytes, longestMessage, toBytes } from "./wire-format.js";
+import { decodeMessage, maxMessageBytes, encodeMessage } from "./wire-format.js";
 
 /** What a box answers to others. */
 export interface PeerHandler {
@@ -57,20 +61,20 @@
   | { readonly kind: "quota"; readonly grant: QuotaGrant }
   | { readonly kind: "permit"; readonly grant: PermitGrant };
 
-const exchange: MethodDefinition<Numbered<Ask>, Numbered<Answer>> = {
+const exchange: MethodDefinition<NumberedMessage<Ask>, NumberedMessage<Answer>> = {
   path: "/linkfall.Boxes/Exchange",
   requestStream: true,
   responseStream: true,
-  requestSerialize: toBytes,
-  requestDeserialize: fromBytes,
-  responseSerialize: toBytes,
-  responseDeserialize: fromBytes,
+  requestSerialize: encodeMessage,
+  requestDeserialize: decodeMessage,
+  responseSerialize: encodeMessage,
+  responseDeserialize: decodeMessage,
 };
 
 /** A stream not used for so long is closed: a large deployment's boxes meet many others now and then. */
-const unusedMs: Milliseconds = 15_000;
-const options = {
-  "grpc.max_receive_message_length": longestMessage,
+const idleTimeoutMs: Milliseconds = 15_000;
+const channelOptions = {
+  "grpc.max_receive_message_length": maxMessageBytes,
   "grpc.initial_reconnect_backoff_ms": 100,
   "grpc.min_reconnect_backoff_ms": 100,
   "grpc.max_reconnect_backoff_ms": 500,
@@ -81,12 +85,12 @@
 };
 
 interface OpenStream {
-  readonly stream: AskStream<Ask, Answer>;
-  usedAt: Milliseconds;
+  readonly stream: RequestStream<Ask, Answer>;
+  lastUsedAt: Milliseconds;
 }
 
 function dial(address: string) {
-  const client = new Client(`ipv4:${address}`, credentials.createInsecure(), options);
+  const client = new Client(`ipv4:${address}`, credentials.createInsecure(), channelOptions);
   const { path, requestSerialize, responseDeserialize } = exchange;
   return {
     stream: client.makeBidiStreamRequest(path, requestSerialize, responseDeserialize),
@@ -94,7 +98,7 @@
   };
 }
 
-function otherKind(answer: Answer): PeerUnreachable {
+function unexpectedAnswer(answer: Answer): PeerUnreachable {
   const reason = `answered with ${answer.kind}`;
   return { kind: "peer_unreachable", reason, mayHaveArrived: true };
 }
@@ -104,48 +108,48 @@
   const streams = new Map<string, OpenStream>();
 
   const closeUnused = () => {
-    const oldest = clock.now() - unusedMs;
-    for (const [address, { stream, usedAt }] of streams) {
+    const oldest = clock.now() - idleTimeoutMs;
+    for (const [address, { stream, lastUsedAt: usedAt }] of streams) {
       if (usedAt >= oldest) continue;
       stream.close();
       streams.delete(address);
     }
   };
-  const streamTo = (address: string): AskStream<Ask, Answer> => {
+  const streamTo = (address: string): RequestStream<Ask, Answer> => {
     const known = streams.get(address);
     if (known) {
-      known.usedAt = clock.now();
+      known.lastUsedAt = clock.now();
       return known.stream;
     }
     closeUnused();
-    const stream = createAskStream<Ask, Answer>(clock, callMs, () => dial(address));
-    streams.set(address, { stream, usedAt: clock.now() });
+    const stream = createRequestStream<Ask, Answer>(clock, callMs, () => dial(address));
+    streams.set(address, { stream, lastUsedAt: clock.now() });
     return stream;
   };
 
   return {
     async exchange(address, heartbeat) {
-      const answered = await streamTo(address).ask({ kind: "heartbeat", heartbeat });
+      const answered = await streamTo(address).request({ kind: "heartbeat", heartbeat });
       return answered.chain((answer) =>
-        answer.kind === "heartbeat" ? Right(answer.heartbeat) : Left(otherKind(answer)),
+        answer.kind === "heartbeat" ? Right(answer.heartbeat) : Left(unexpectedAnswer(answer)),
       );
     },
     async configuration(address) {
-      const answered = await streamTo(address).ask({ kind: "configuration" });
+      const answered = await streamTo(address).request({ kind: "configuration" });
       return answered.chain((answer) =>
-        answer.kind === "configuration" ? Right(answer.copy) : Left(otherKind(answer)),
+        answer.kind === "configuration" ? Right(answer.copy) : Left(unexpectedAnswer(answer)),
       );
     },
     async quota(address, ask) {
-      const answered = await streamTo(address).ask({ kind: "quota", ask });
+      const answered = await streamTo(address).request({ kind: "quota", ask });
       return answered.chain((answer) =>
-        answer.kind === "quota" ? Right(answer.grant) : Left(otherKind(answer)),
+        answer.kind === "quota" ? Right(answer.grant) : Left(unexpectedAnswer(answer)),
       );
     },
     async permit(address, ask) {
-      const answered = await streamTo(address).ask({ kind: "permit", ask });
+      const answered = await streamTo(address).request({ kind: "permit", ask });
       return answered.chain((answer) =>
-        answer.kind === "permit" ? Right(answer.grant) : Left(otherKind(answer)),
+        answer.kind === "permit" ? Right(answer.grant) : Left(unexpectedAnswer(answer)),
       );
     },
     close() {
@@ -155,7 +159,7 @@
   };
 }
 
-async function answerTo(handler: PeerHandler, ask: Ask): Promise<Answer> {
+async function handleAsk(handler: PeerHandler, ask: Ask): Promise<Answer> {
   switch (ask.kind) {
     case "configuration":
       return { kind: ask.kind, copy: handler.configuration() };
@@ -170,12 +174,12 @@
 
 /** Creates a server that answers other boxes. */
 export function createPeerServer(handler: PeerHandler): PeerServer {
-  const server = new Server(options);
+  const server = new Server(channelOptions);
   const implementation: UntypedServiceImplementation = {
-    exchange: ((call: ServerDuplexStream<Numbered<Ask>, Numbered<Answer>>) => {
-      call.on("data", ({ number, body }: Numbered<Ask>) => {
+    exchange: ((call: ServerDuplexStream<NumberedMessage<Ask>, NumberedMessage<Answer>>) => {
+      call.on("data", ({ number, body }: NumberedMessage<Ask>) => {
         if (body === undefined) return;
-        void answerTo(handler, body).then((answer) => {
+        void handleAsk(handler, body).then((answer) => {
           if (call.writable) call.write({ number, body: answer });
         });
       });
--- a/packages/box-peers/src/wire-format.steps.ts
+++ b/packages/box-peers/src/wire-format.steps.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
 import { seededRandom } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import fc from "fast-check";
-import { fromBytes, toBytes } from "./wire-format.js";
+import { decodeMessage, encodeMessage } from "./wire-format.js";
 
 Then("{int} random messages are read as they were written", (runs: number) => {
   const message = fc
@@ -11,7 +11,7 @@
     .map(([body, text]) => ({ body, text }));
   fc.assert(
     fc.property(message, (value) => {
-      assert.deepEqual(fromBytes(toBytes(value)), value);
+      assert.deepEqual(decodeMessage(encodeMessage(value)), value);
     }),
     { seed: 11, numRuns: runs },
   );
@@ -25,17 +25,17 @@
     const told = Array.from({ length: engines }, () => ({
       id: `i-${random.identifier()}`,
       holdings: {
-        sequence: random.below(40),
-        models: Array.from({ length: models }, () => named(random.below(166))),
+        sequence: random.nextInt(40),
+        models: Array.from({ length: models }, () => named(random.nextInt(166))),
       },
     }));
-    notes(this).set("message", { kind: "heartbeat", report: { engines: told } });
+    scenarioState(this).set("message", { kind: "heartbeat", report: { engines: told } });
   },
 );
 
 Then("it is written in less than {float} of its text", function (this: object, share: number) {
-  const message = notes(this).get<object>("message");
-  const written = toBytes(message).length / JSON.stringify(message).length;
+  const message = scenarioState(this).get<object>("message");
+  const written = encodeMessage(message).length / JSON.stringify(message).length;
   assert.ok(written < share, String(written));
 });
 
@@ -43,12 +43,12 @@
   "a message of {int} characters is written with {int} byte more than its text",
   (characters: number, more: number) => {
     const text = "x".repeat(characters);
-    assert.equal(toBytes(text).length, JSON.stringify(text).length + more);
+    assert.equal(encodeMessage(text).length, JSON.stringify(text).length + more);
   },
 );
 
 Then("bytes of another form are not read", () => {
   for (const bytes of [Buffer.from([]), Buffer.from([1, 2, 3]), Buffer.from([0, 123])]) {
-    assert.throws(() => fromBytes(bytes));
+    assert.throws(() => decodeMessage(bytes));
   }
 });
--- a/packages/box-peers/src/wire-format.ts
+++ b/packages/box-peers/src/wire-format.ts
@@ -5,11 +5,11 @@
 import { constants, deflateRawSync, inflateRawSync } from "node:zlib";
 
 /** First byte of a message: how the rest of it is written. */
-const plainMark = 0;
-const compressedMark = 1;
+const plainFormat = 0;
+const compressedFormat = 1;
 
 /** Shorter messages are sent as they are: little is gained, and compressing takes time. */
-const leastCompressed = 400;
+const minCompressedBytes = 400;
 /** A small window and little memory: messages are some kilobytes long, and boxes are small. */
 const compression = {
   level: constants.Z_BEST_SPEED,
@@ -17,20 +17,20 @@
   memLevel: 6,
 };
 /** Longest message, written out: a whole configuration with many routes fits. */
-export const longestMessage = 16 * 1024 * 1024;
+export const maxMessageBytes = 16 * 1024 * 1024;
 
 /** Writes one message. */
-export function toBytes(message: unknown): Buffer {
+export function encodeMessage(message: unknown): Buffer {
   const text = Buffer.from(JSON.stringify(message));
-  const compress = text.length >= leastCompressed;
+  const compress = text.length >= minCompressedBytes;
   const body = compress ? deflateRawSync(text, compression) : text;
-  return Buffer.concat([Buffer.of(compress ? compressedMark : plainMark), body]);
+  return Buffer.concat([Buffer.of(compress ? compressedFormat : plainFormat), body]);
 }
 
 /** Reads one message; throws on bytes that `toBytes` did not write, which ends the stream that they came on. */
-export function fromBytes(bytes: Buffer): never {
+export function decodeMessage(bytes: Buffer): never {
   const body = bytes.subarray(1);
-  const compressed = bytes[0] === compressedMark;
-  const text = compressed ? inflateRawSync(body, { maxOutputLength: longestMessage }) : body;
+  const compressed = bytes[0] === compressedFormat;
+  const text = compressed ? inflateRawSync(body, { maxOutputLength: maxMessageBytes }) : body;
   return JSON.parse(text.toString("utf8")) as never;
 }
--- a/packages/box/src/create-box.ts
+++ b/packages/box/src/create-box.ts
@@ -4,9 +4,9 @@
   type CallerService,
   callerServiceName,
   createCallerService,
-  createInFlight,
-  inFlightName,
-  ticketOfficeName,
+  createInFlightLimiter,
+  inFlightLimiterName,
+  ticketIssuerName,
 } from "@linkfall/caller-service";
 import { completionsName, createCompletions } from "@linkfall/completion";
 import { type Settings, settingsName } from "@linkfall/config";
@@ -115,8 +115,8 @@
   const self = kernel.find(incarnationName);
   const secret = ports.random.identifier() + ports.random.identifier();
   const office = createTicketIssuer(ports.clock, self, secret, callers.ticket_lifetime_ms);
-  kernel.provide(ticketOfficeName, office);
-  kernel.provide(inFlightName, createInFlight(callers.max_in_flight));
+  kernel.provide(ticketIssuerName, office);
+  kernel.provide(inFlightLimiterName, createInFlightLimiter(callers.max_in_flight));
   kernel.provide(targetLoadName, createTargetLoad(kernel));
   kernel.provide(replicaFinderName, createReplicaFinder(kernel));
   kernel.provide(crashGuardName, createCrashGuard(kernel));
@@ -148,7 +148,7 @@
   const store = kernel.find(stateStoreName);
   const membership = kernel.find(membershipName);
   const callers = kernel.find(callerServiceName);
-  const office = kernel.find(ticketOfficeName);
+  const office = kernel.find(ticketIssuerName);
   let phase: DrainStatus["phase"] = "serving";
   let leftAt = 0;
 
--- a/packages/caller-presence/src/look-for-caller.ts
+++ b/packages/caller-presence/src/look-for-caller.ts
@@ -5,12 +5,12 @@
 import type { Milliseconds } from "@linkfall/types";
 
 /** Work for a caller that left longer ago is not begun; callers' bound for that is half a second. */
-const freshMs: Milliseconds = 150;
+const maxEventAgeMs: Milliseconds = 150;
 /** A box whose turns are all longer goes on after so many, rather than keep those who are there waiting. */
-const mostLooks = 3;
+const maxIterations = 3;
 
 /** The end of this turn of the event loop: all that the system told at its beginning has been handled. */
-const endOfTurn = () => new Promise<void>((resolve) => setImmediate(resolve));
+const endOfIteration = () => new Promise<void>((resolve) => setImmediate(resolve));
 
 /**
  * Resolves when the event loop has handled what the system knew at most `freshMs` before, or when the caller is gone.
@@ -18,23 +18,26 @@
  *
  * @param turnOf reading of the clock in an earlier turn of the loop
  */
-export async function lookForCaller(
+export async function awaitPendingDisconnects(
   now: () => Milliseconds,
   gone: () => boolean,
   turnOf: Milliseconds,
 ): Promise<void> {
   let since = turnOf;
-  for (let looks = 0; looks < mostLooks && !gone(); looks++) {
-    await endOfTurn();
+  for (let looks = 0; looks < maxIterations && !gone(); looks++) {
+    await endOfIteration();
     const at = now();
-    if (at - since <= freshMs) return;
+    if (at - since <= maxEventAgeMs) return;
     since = at;
   }
 }
 
 /** As `lookForCaller`, for a request that was read in this turn: what came behind it is read in the next one. */
-export async function lookInNextTurn(now: () => Milliseconds, gone: () => boolean): Promise<void> {
+export async function awaitPendingDisconnectsAfterRead(
+  now: () => Milliseconds,
+  gone: () => boolean,
+): Promise<void> {
   const turnOf = now();
-  await endOfTurn();
-  await lookForCaller(now, gone, turnOf);
+  await endOfIteration();
+  await awaitPendingDisconnects(now, gone, turnOf);
 }
--- a/packages/caller-presence/src/on-caller-left.ts
+++ b/packages/caller-presence/src/on-caller-left.ts
@@ -5,7 +5,7 @@
  * Calls `left` once if the caller goes before its answer is written. The end of its socket tells so one turn of the event
  * loop before the close of the response does.
  */
-export function onCallerLeft(response: ServerResponse, left: () => void): void {
+export function onCallerDisconnect(response: ServerResponse, left: () => void): void {
   const { socket } = response;
   let done = false;
   const leave = () => {
--- a/packages/caller-service/src/caller-service.ts
+++ b/packages/caller-service/src/caller-service.ts
@@ -9,11 +9,11 @@
 import { stateStoreName } from "@linkfall/state-store";
 import type { Account, Milliseconds, Refusal } from "@linkfall/types";
 import { createAuthentication } from "./authentication.js";
-import { createEntries } from "./entries.js";
+import { createEntriesHandler } from "./entries.js";
 import { createPrepareRequest } from "./prepare-request.js";
-import { readTerms } from "./request-terms.js";
+import { parseRequestOptions } from "./request-options.js";
 import { whenRead } from "./response-end.js";
-import { comeBackSoonMs, createRequestRunner } from "./run-request.js";
+import { retryAfterMs, createRequestRunner } from "./run-request.js";
 
 export interface CallerService {
   /**
@@ -23,7 +23,7 @@
    */
   handle(request: CallerRequest, forwarded?: boolean): Promise<CallerResponse>;
   /** Not repeatable requests that this box remembers. */
-  remembered(): number;
+  retainedResults(): number;
   /** Requests whose answers have not been passed on whole, those at their owners included. */
   open(): number;
 }
@@ -51,16 +51,16 @@
   const membership = kernel.find(membershipName);
   const settings = kernel.find(settingsName).callers;
   const authenticate = createAuthentication(kernel);
-  const entries = createEntries(kernel);
+  const entries = createEntriesHandler(kernel);
   const prepare = createPrepareRequest(kernel);
   const runner = createRequestRunner(kernel);
   const note = createOutcomeNotes(kernel);
   let open = 0;
 
   const mayServe = (): Refusal | undefined => {
-    if (!store.ready()) return notRun("not_ready", "this box has no state yet", comeBackSoonMs);
+    if (!store.ready()) return notRun("not_ready", "this box has no state yet", retryAfterMs);
     if (!membership.isolated()) return undefined;
-    return notRun("isolated", "this box is cut off; use another one", comeBackSoonMs);
+    return notRun("isolated", "this box is cut off; use another one", retryAfterMs);
   };
 
   const listModels = (account: Account): CallerResponse => {
@@ -81,10 +81,10 @@
       return entries(account, new URLSearchParams(query));
     }
     if (path === "/v1/models" && request.method === "GET") return listModels(account);
-    return readTerms(request, account, settings)
+    return parseRequestOptions(request, account, settings)
       .chain((terms) =>
         prepare(request, account, terms).map((prepared) =>
-          runner.run({ request, account, terms, forwarded }, prepared),
+          runner.run({ request, account, options: terms, forwarded }, prepared),
         ),
       )
       .caseOf({
@@ -112,7 +112,7 @@
       const response = await handle(request, forwarded);
       return whenRead(response, () => void (open -= 1));
     },
-    remembered: runner.remembered,
+    retainedResults: runner.retainedResults,
     open: () => open,
   };
 }
--- a/packages/caller-service/src/chunk-queue.ts
+++ b/packages/caller-service/src/chunk-queue.ts
@@ -11,7 +11,7 @@
   /** No further part comes. */
   end(): void;
   /** Resolves with undefined once there is a part. */
-  readonly filled: Promise<undefined>;
+  readonly firstPartAdded: Promise<undefined>;
   /** The parts in their order. Whoever stops reading calls the queue off. */
   read(): AsyncGenerator<BodyPart>;
 }
@@ -42,7 +42,7 @@
   };
 
   return {
-    filled,
+    firstPartAdded: filled,
     push(part) {
       waiting.push(part);
       noteFilled(undefined);
--- a/packages/caller-service/src/completion-endpoint.ts
+++ b/packages/caller-service/src/completion-endpoint.ts
@@ -1,6 +1,6 @@
 /** `POST /v1/completions` in the usual OpenAI-compatible shape. */
 import {
-  type CompletionEnd,
+  type CompletionResult,
   type CompletionJob,
   completionsName,
   type CompletionToken,
@@ -16,7 +16,7 @@
 import { type Either, Left, Right } from "purify-ts";
 import { z } from "zod";
 import { createChunkQueue } from "./chunk-queue.js";
-import type { RequestTerms } from "./request-terms.js";
+import type { RequestOptions } from "./request-options.js";
 
 const completionsPath = "/v1/completions";
 const standardMaxTokens = 128;
@@ -43,7 +43,7 @@
   run(
     account: Account,
     call: CompletionCall,
-    terms: RequestTerms,
+    terms: RequestOptions,
     gone: AbortSignal,
   ): Promise<CallerResponse>;
 }
@@ -71,7 +71,7 @@
  * What follows the last token: the end marker, or an error event and a cut. A caller must not take a
  * fragment for an answer.
  */
-function lastParts(end: CompletionEnd): readonly BodyPart[] {
+function lastParts(end: CompletionResult): readonly BodyPart[] {
   if (end.kind === "answered") return [Right(Buffer.from("data: [DONE]\n\n"))];
   const cut: TargetUnreachable = {
     kind: "target_unreachable",
@@ -123,18 +123,18 @@
   const streamed = async (job: CompletionJob, name: string): Promise<CallerResponse> => {
     const stop = new AbortController();
     const onGone = () => stop.abort();
-    job.gone.addEventListener("abort", onGone, { once: true });
+    job.callerGone.addEventListener("abort", onGone, { once: true });
     const chunks = createChunkQueue(() => stop.abort());
-    const running = completions.run({ ...job, gone: stop.signal }, (token) =>
+    const running = completions.run({ ...job, callerGone: stop.signal }, (token) =>
       chunks.push(Right(Buffer.from(chunkOf(job.id, name, token)))),
     );
     const ended = running.then((end) => {
-      job.gone.removeEventListener("abort", onGone);
+      job.callerGone.removeEventListener("abort", onGone);
       for (const part of lastParts(end)) void chunks.push(part);
       chunks.end();
       return end;
     });
-    const first = await Promise.race([chunks.filled, ended]);
+    const first = await Promise.race([chunks.firstPartAdded, ended]);
     if (first?.kind === "refused") return refusalResponse(first.refusal);
     return {
       status: 200,
@@ -167,7 +167,7 @@
         priority: terms.priority,
         deadlineAt: clock.now() + terms.deadlineMs,
         repeatable: terms.repeatable ?? true,
-        gone,
+        callerGone: gone,
       };
       return body.stream ? streamed(job, body.model) : gathered(job, body.model);
     },
--- a/packages/caller-service/src/entries.ts
+++ b/packages/caller-service/src/entries.ts
@@ -12,16 +12,16 @@
 /** Most addresses in one answer. */
 const mostEntries = 8;
 
-export const ticketOfficeName = serviceName<TicketIssuer>("ticket-office");
+export const ticketIssuerName = serviceName<TicketIssuer>("ticket-office");
 
-export type AnswerEntries = (account: Account, query: URLSearchParams) => CallerResponse;
+export type EntriesHandler = (account: Account, query: URLSearchParams) => CallerResponse;
 
 /** Creates the answering of one box. */
-export function createEntries(kernel: Kernel): AnswerEntries {
+export function createEntriesHandler(kernel: Kernel): EntriesHandler {
   const random = kernel.find(randomName);
   const membership = kernel.find(membershipName);
   const store = kernel.find(stateStoreName);
-  const office = kernel.find(ticketOfficeName);
+  const office = kernel.find(ticketIssuerName);
   const settings = kernel.find(settingsName);
 
   /** Boxes that serve the model's pool, where one is named; all others would pass the request on. */
@@ -36,7 +36,7 @@
   /** In random order, so that callers spread; those of the caller's domain first. */
   const ordered = (boxes: readonly MemberEntry[], domain: string | null) => {
     const shuffled = boxes
-      .map((entry) => ({ entry, place: random.fraction() }))
+      .map((entry) => ({ entry, place: random.nextFloat() }))
       .sort((a, b) => a.place - b.place)
       .map(({ entry }) => entry);
     const near = shuffled.filter((entry) => entry.domain === domain);
--- a/packages/caller-service/src/in-flight.ts
+++ b/packages/caller-service/src/in-flight.ts
@@ -5,17 +5,17 @@
 /** Share of the bound from which on accounts are held to their fair part. */
 const fairShareFrom = 0.5;
 
-export interface InFlight {
+export interface InFlightLimiter {
   /** Takes a place for a request; false when there is none for this account. */
-  enter(account: Account): boolean;
-  leave(account: Account): void;
+  tryAcquire(account: Account): boolean;
+  release(account: Account): void;
   total(): number;
 }
 
-export const inFlightName = serviceName<InFlight>("in-flight");
+export const inFlightLimiterName = serviceName<InFlightLimiter>("in-flight");
 
 /** Creates the count of one box that bears `most` requests at once. */
-export function createInFlight(most: number): InFlight {
+export function createInFlightLimiter(most: number): InFlightLimiter {
   const counts = new Map<string, number>();
   const shares = new Map<string, number>();
   let total = 0;
@@ -29,7 +29,7 @@
   };
 
   return {
-    enter(account) {
+    tryAcquire(account) {
       if (total >= most) return false;
       const own = counts.get(account.name) ?? 0;
       if (total >= most * fairShareFrom && own >= fairPart(account)) return false;
@@ -37,7 +37,7 @@
       total += 1;
       return true;
     },
-    leave(account) {
+    release(account) {
       const left = (counts.get(account.name) ?? 0) - 1;
       if (left > 0) counts.set(account.name, left);
       else counts.delete(account.name);
--- a/packages/caller-service/src/owner-route.ts
+++ b/packages/caller-service/src/owner-route.ts
@@ -7,14 +7,14 @@
 import { type CallerRequest, type CallerResponse, peerPortName } from "@linkfall/ports";
 import { notRun, outcomeUnknown, refusalResponse } from "@linkfall/refusals";
 import type { Account, Milliseconds } from "@linkfall/types";
-import { ticketOfficeName } from "./entries.js";
-import { type RequestTerms, termHeaders } from "./request-terms.js";
+import { ticketIssuerName } from "./entries.js";
+import { type RequestOptions, optionHeaders } from "./request-options.js";
 
 const howToGetATicket =
   "a not repeatable request needs a ticket: ask /v1/entries, and send " +
-  `${termHeaders.requestId}: <ticket id>/<your own part>`;
+  `${optionHeaders.requestId}: <ticket id>/<your own part>`;
 
-export interface OwnerRoute {
+export interface OwnerRouter {
   /**
    * Runs a not repeatable request here when this box owns it, else passes it to the owner.
    *
@@ -24,22 +24,22 @@
   handle(
     request: CallerRequest,
     account: Account,
-    terms: RequestTerms,
+    terms: RequestOptions,
     forwarded: boolean,
     execute: () => Promise<CallerResponse>,
   ): Promise<CallerResponse>;
   /** Requests that are remembered. */
-  remembered(): number;
+  retainedResults(): number;
 }
 
 /** Creates the routing to owners of one box. */
-export function createOwnerRoute(kernel: Kernel): OwnerRoute {
+export function createOwnerRouter(kernel: Kernel): OwnerRouter {
   const clock = kernel.find(clockName);
   const membership = kernel.find(membershipName);
   const incarnation = kernel.find(incarnationName);
   const peers = kernel.find(peerPortName);
   const settings = kernel.find(settingsName).callers;
-  const memory = createOnceMemory(clock, kernel.find(ticketOfficeName), {
+  const memory = createOnceMemory(clock, kernel.find(ticketIssuerName), {
     retentionMs: settings.once_retention_ms,
     maxEntries: settings.once_entries,
     maxAnswerBytes: settings.once_answer_bytes,
@@ -77,6 +77,6 @@
       if (forwarded) return ownerGone("is gone");
       return passToOwner(request, id, deadlineMs);
     },
-    remembered: memory.size,
+    retainedResults: memory.size,
   };
 }
--- a/packages/caller-service/src/prepare-request.ts
+++ b/packages/caller-service/src/prepare-request.ts
@@ -5,7 +5,7 @@
 import type { Account, Refusal } from "@linkfall/types";
 import { type Either, Left } from "purify-ts";
 import { createCompletionEndpoint } from "./completion-endpoint.js";
-import type { RequestTerms } from "./request-terms.js";
+import type { RequestOptions } from "./request-options.js";
 import { createServiceEndpoint, servicesPath } from "./service-endpoint.js";
 
 /** A request whose endpoint is known and that may run. */
@@ -20,7 +20,7 @@
 export type PrepareRequest = (
   request: CallerRequest,
   account: Account,
-  terms: RequestTerms,
+  terms: RequestOptions,
 ) => Either<Refusal, PreparedRequest>;
 
 /** Creates the endpoints of one box. */
--- a/packages/caller-service/src/request-terms.ts
+++ b/packages/caller-service/src/request-options.ts
@@ -9,14 +9,14 @@
 const highestPriority = 9;
 
 /** Header names, in lower case. */
-export const termHeaders = {
+export const optionHeaders = {
   deadline: "linkfall-deadline-ms",
   priority: "linkfall-priority",
   requestId: "linkfall-request-id",
   repeatable: "linkfall-repeatable",
 } as const;
 
-export interface RequestTerms {
+export interface RequestOptions {
   readonly deadlineMs: Milliseconds;
   readonly priority: number;
   readonly requestId?: string;
@@ -32,28 +32,28 @@
 function flag(text: string | undefined): Either<Refusal, boolean | undefined> {
   if (text === undefined) return Right(undefined);
   if (text === "true" || text === "false") return Right(text === "true");
-  return Left(notRun("bad_request", `${termHeaders.repeatable}: true or false`));
+  return Left(notRun("bad_request", `${optionHeaders.repeatable}: true or false`));
 }
 
 /** Reads the terms of a request; priorities above the account's highest are lowered to it. */
-export function readTerms(
+export function parseRequestOptions(
   request: CallerRequest,
   account: Account,
   limits: Settings["callers"],
-): Either<Refusal, RequestTerms> {
+): Either<Refusal, RequestOptions> {
   const { headers } = request;
-  const deadline = wholeNumber(headers[termHeaders.deadline], limits.default_deadline_ms);
+  const deadline = wholeNumber(headers[optionHeaders.deadline], limits.default_deadline_ms);
   if (deadline === undefined || deadline === 0) {
-    return Left(notRun("bad_request", `${termHeaders.deadline}: a whole number of milliseconds`));
+    return Left(notRun("bad_request", `${optionHeaders.deadline}: a whole number of milliseconds`));
   }
-  const priority = wholeNumber(headers[termHeaders.priority], standardPriority);
+  const priority = wholeNumber(headers[optionHeaders.priority], standardPriority);
   if (priority === undefined || priority > highestPriority) {
-    return Left(notRun("bad_request", `${termHeaders.priority}: 0 to ${highestPriority}`));
+    return Left(notRun("bad_request", `${optionHeaders.priority}: 0 to ${highestPriority}`));
   }
-  return flag(headers[termHeaders.repeatable]).map((repeatable) => ({
+  return flag(headers[optionHeaders.repeatable]).map((repeatable) => ({
     deadlineMs: Math.min(deadline, limits.max_deadline_ms),
     priority: Math.min(priority, account.maxPriority),
-    requestId: headers[termHeaders.requestId],
+    requestId: headers[optionHeaders.requestId],
     repeatable,
   }));
 }
--- a/packages/caller-service/src/run-request.ts
+++ b/packages/caller-service/src/run-request.ts
@@ -5,42 +5,42 @@
 import type { Account, Milliseconds } from "@linkfall/types";
 import { usageReportsName } from "@linkfall/usage-report";
 import { createAccountLimits } from "./account-limits.js";
-import { inFlightName } from "./in-flight.js";
-import { createOwnerRoute, type OwnerRoute } from "./owner-route.js";
+import { inFlightLimiterName } from "./in-flight.js";
+import { createOwnerRouter, type OwnerRouter } from "./owner-route.js";
 import type { PreparedRequest } from "./prepare-request.js";
-import type { RequestTerms } from "./request-terms.js";
+import type { RequestOptions } from "./request-options.js";
 import { whenRead } from "./response-end.js";
 
-export const comeBackSoonMs: Milliseconds = 1_000;
+export const retryAfterMs: Milliseconds = 1_000;
 
 /** One request on its way to its endpoint. */
-export interface RunInput {
+export interface RequestContext {
   readonly request: CallerRequest;
   readonly account: Account;
-  readonly terms: RequestTerms;
+  readonly options: RequestOptions;
   /** Another box has passed it on. */
   readonly forwarded: boolean;
 }
 
 export interface RequestRunner {
-  run(input: RunInput, prepared: PreparedRequest): Promise<CallerResponse>;
-  readonly remembered: OwnerRoute["remembered"];
+  run(input: RequestContext, prepared: PreparedRequest): Promise<CallerResponse>;
+  readonly retainedResults: OwnerRouter["retainedResults"];
 }
 
 /** Creates the runner of one box. */
 export function createRequestRunner(kernel: Kernel): RequestRunner {
-  const inFlight = kernel.find(inFlightName);
+  const inFlight = kernel.find(inFlightLimiterName);
   const usage = kernel.find(usageReportsName);
   const limits = createAccountLimits(kernel);
-  const owners = createOwnerRoute(kernel);
+  const owners = createOwnerRouter(kernel);
 
   /** Counts the request as in flight until its answer has been read, or dropped. */
   const runCounted = async (account: Account, prepared: PreparedRequest, gone: AbortSignal) => {
-    if (!inFlight.enter(account)) {
-      return refusalResponse(notRun("overloaded", "this box is full", comeBackSoonMs));
+    if (!inFlight.tryAcquire(account)) {
+      return refusalResponse(notRun("overloaded", "this box is full", retryAfterMs));
     }
     const response = await prepared.run(gone);
-    return whenRead(response, () => inFlight.leave(account));
+    return whenRead(response, () => inFlight.release(account));
   };
 
   const admitAndRun = async (account: Account, prepared: PreparedRequest, gone: AbortSignal) => {
@@ -50,14 +50,14 @@
   };
 
   return {
-    run({ request, account, terms, forwarded }, prepared) {
-      if (prepared.mayBeRepeated) return admitAndRun(account, prepared, request.gone);
+    run({ request, account, options: terms, forwarded }, prepared) {
+      if (prepared.mayBeRepeated) return admitAndRun(account, prepared, request.signal);
       // It runs to its end even when its caller goes, so that a repeat finds its answer.
       const never = new AbortController().signal;
       return owners.handle(request, account, terms, forwarded, () =>
         admitAndRun(account, prepared, never),
       );
     },
-    remembered: owners.remembered,
+    retainedResults: owners.retainedResults,
   };
 }
--- a/packages/caller-service/src/service-endpoint.ts
+++ b/packages/caller-service/src/service-endpoint.ts
@@ -7,7 +7,7 @@
 import { stateStoreName } from "@linkfall/state-store";
 import type { Account, PlainService, Refusal } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
-import type { RequestTerms } from "./request-terms.js";
+import type { RequestOptions } from "./request-options.js";
 
 /** Path under which plain services are called. */
 export const servicesPath = "/services/";
@@ -30,7 +30,7 @@
     account: Account,
     call: ServiceCall,
     request: CallerRequest,
-    terms: RequestTerms,
+    terms: RequestOptions,
     gone: AbortSignal,
   ): Promise<CallerResponse>;
 }
@@ -73,7 +73,7 @@
         body: request.body,
         deadlineAt: clock.now() + terms.deadlineMs,
         repeatable: repeatable && !call.declaredNotRepeatable,
-        gone,
+        callerGone: gone,
       });
     },
   };
--- a/packages/cli/src/commands/apply/index.ts
+++ b/packages/cli/src/commands/apply/index.ts
@@ -28,7 +28,7 @@
 
   async execute(): Promise<ExitCode> {
     return readResourceFile(this.file).caseOf<Promise<ExitCode>>({
-      Left: async (invalid: InvalidInput) => this.showProblems(invalid.problems),
+      Left: async (invalid: InvalidInput) => this.printProblems(invalid.problems),
       Right: (resources) => this.apply(resources),
     });
   }
@@ -36,19 +36,21 @@
   private async apply(resources: readonly Resource[]): Promise<ExitCode> {
     const client = this.client();
     const stored = await client.resources();
-    if (stored.isLeft()) return this.conclude(stored, () => undefined);
+    if (stored.isLeft()) return this.handleResult(stored, () => undefined);
     const { changes, diffs } = diffResources(resources, stored.unsafeCoerce().resources);
     const base: Revision = this.base === undefined ? Infinity : Number(this.base);
     const based = changes.map((change) => ({ ...change, base: Math.min(base, change.base) }));
     if (based.length === 0) {
-      this.line(this.output === "json" ? '{"kind":"unchanged"}' : "nothing to change");
-      return exitCodes.done;
+      this.printLine(this.output === "json" ? '{"kind":"unchanged"}' : "nothing to change");
+      return exitCodes.success;
     }
     if (this.output !== "json") {
       for (const { subject, action } of diffs) {
-        if (action !== "unchanged") this.line(`${action} ${subject.kind}/${subject.name}`);
+        if (action !== "unchanged") this.printLine(`${action} ${subject.kind}/${subject.name}`);
       }
     }
-    return this.conclude(await client.write(based), (written) => this.showWrite(written));
+    return this.handleResult(await client.write(based), (written) =>
+      this.printWriteResult(written),
+    );
   }
 }
--- a/packages/cli/src/commands/audit/index.ts
+++ b/packages/cli/src/commands/audit/index.ts
@@ -1,12 +1,12 @@
 /** `linkfall audit` */
-import type { AuditAnswer } from "@linkfall/operator-service";
+import type { AuditResponse } from "@linkfall/operator-service";
 import { Command } from "clipanion";
 import type { ExitCode } from "../../exit-codes.js";
 import { OperatorCommand } from "../../operator-command.js";
 import type { TableRow } from "../../table.js";
 
 /** One line of the trail: writes of operators and actions of the system, oldest first. */
-function toRows({ writes, actions }: AuditAnswer): readonly TableRow[] {
+function toRows({ writes, actions }: AuditResponse): readonly TableRow[] {
   const written = writes.flatMap((write) =>
     write.changes.map((change): TableRow => {
       const subject = `${change.subject.kind}/${change.subject.name}`;
@@ -43,8 +43,8 @@
 
   async execute(): Promise<ExitCode> {
     const heads = ["TIME", "WHO", "ACTION", "SUBJECT", "OLD", "NEW", "DETAIL"];
-    return this.conclude(await this.client().audit(), (answer) =>
-      this.show(answer, heads, () => toRows(answer)),
+    return this.handleResult(await this.client().audit(), (answer) =>
+      this.printValue(answer, heads, () => toRows(answer)),
     );
   }
 }
--- a/packages/cli/src/commands/boxes/index.ts
+++ b/packages/cli/src/commands/boxes/index.ts
@@ -12,8 +12,8 @@
 
   async execute(): Promise<ExitCode> {
     const heads = ["BOX", "STATE", "DOMAIN", "CALLERS", "INCARNATION", "POOLS"];
-    return this.conclude(await this.client().boxes(), (boxes) =>
-      this.show(boxes, heads, () =>
+    return this.handleResult(await this.client().boxes(), (boxes) =>
+      this.printValue(boxes, heads, () =>
         boxes.map((line) => [
           line.box,
           line.state,
--- a/packages/cli/src/commands/check-settings/index.ts
+++ b/packages/cli/src/commands/check-settings/index.ts
@@ -27,7 +27,7 @@
   async execute(): Promise<ExitCode> {
     if (this.describe) {
       this.context.stdout.write(describeSettings());
-      return exitCodes.done;
+      return exitCodes.success;
     }
     if (this.file === undefined) {
       this.context.stderr.write("linkfall: name a settings file\n");
@@ -46,7 +46,7 @@
       },
       Right: () => {
         this.context.stdout.write(`${this.file}: valid\n`);
-        return exitCodes.done;
+        return exitCodes.success;
       },
     });
   }
--- a/packages/cli/src/commands/delete/index.ts
+++ b/packages/cli/src/commands/delete/index.ts
@@ -20,21 +20,21 @@
   async execute(): Promise<ExitCode> {
     const kind = resourceKinds.find((known) => known === this.kind);
     if (kind === undefined) {
-      return this.showProblems([{ field: "kind", reason: `one of ${resourceKinds.join(", ")}` }]);
+      return this.printProblems([{ field: "kind", reason: `one of ${resourceKinds.join(", ")}` }]);
     }
     const name = { kind, name: this.name };
     const client = this.client();
     const answer = await client.resources();
-    if (answer.isLeft()) return this.conclude(answer, () => undefined);
+    if (answer.isLeft()) return this.handleResult(answer, () => undefined);
     const stored = answer
       .unsafeCoerce()
       .resources.find((entry) => resourceKey(entry.resource) === resourceKey(name));
     if (!stored) {
-      this.problem(`there is no ${kind} "${this.name}"`);
+      this.printError(`there is no ${kind} "${this.name}"`);
       return exitCodes.notFound;
     }
     const base = this.base === undefined ? stored.revision : Number(this.base);
     const written = await client.write([{ action: "delete", name, base }]);
-    return this.conclude(written, (value) => this.showWrite(value));
+    return this.handleResult(written, (value) => this.printWriteResult(value));
   }
 }
--- a/packages/cli/src/commands/diff/index.ts
+++ b/packages/cli/src/commands/diff/index.ts
@@ -23,15 +23,15 @@
     if (read.isLeft()) {
       return read
         .swap()
-        .map((invalid) => this.showProblems(invalid.problems))
+        .map((invalid) => this.printProblems(invalid.problems))
         .unsafeCoerce();
     }
     const stored = await this.client().resources();
-    return this.conclude(stored, ({ resources }) => {
+    return this.handleResult(stored, ({ resources }) => {
       const { diffs } = diffResources(read.unsafeCoerce(), resources);
       const different = diffs.filter((diff) => diff.action !== "unchanged");
       this.showDiffs(different);
-      return different.length > 0 ? exitCodes.different : exitCodes.done;
+      return different.length > 0 ? exitCodes.differs : exitCodes.success;
     });
   }
 
@@ -47,6 +47,6 @@
           JSON.stringify(after),
         ]),
       );
-    this.show(diffs, ["ACTION", "RESOURCE", "BASE", "FIELD", "BEFORE", "AFTER"], rows);
+    this.printValue(diffs, ["ACTION", "RESOURCE", "BASE", "FIELD", "BEFORE", "AFTER"], rows);
   }
 }
--- a/packages/cli/src/commands/explain/index.ts
+++ b/packages/cli/src/commands/explain/index.ts
@@ -1,14 +1,19 @@
 /** `linkfall explain REQUEST FILE...` */
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
-import { explainRequest, type LogLine, parseLine, showLine } from "@linkfall/explain-request";
+import {
+  explainRequest,
+  type LogLine,
+  parseLogLine,
+  formatLogLine,
+} from "@linkfall/explain-request";
 import { Command, Option } from "clipanion";
 import { type ExitCode, exitCodes } from "../../exit-codes.js";
 
 async function readLines(path: string): Promise<readonly LogLine[]> {
   const lines: LogLine[] = [];
   for await (const text of createInterface({ input: createReadStream(path) })) {
-    const line = parseLine(text);
+    const line = parseLogLine(text);
     if (line) lines.push(line);
   }
   return lines;
@@ -34,7 +39,7 @@
       this.context.stderr.write(`linkfall: no line names the request ${this.request}\n`);
       return exitCodes.invalid;
     }
-    for (const line of story) this.context.stdout.write(`${showLine(line)}\n`);
-    return exitCodes.done;
+    for (const line of story) this.context.stdout.write(`${formatLogLine(line)}\n`);
+    return exitCodes.success;
   }
 }
--- a/packages/cli/src/commands/get/index.ts
+++ b/packages/cli/src/commands/get/index.ts
@@ -20,14 +20,14 @@
 
   async execute(): Promise<ExitCode> {
     const answer = await this.client().resources();
-    return this.conclude(answer, ({ resources }) => {
+    return this.handleResult(answer, ({ resources }) => {
       const found = resources.filter((entry) => this.matches(entry));
       if (this.name !== undefined && found.length === 0) {
-        this.problem(`there is no ${this.kind} "${this.name}"`);
+        this.printError(`there is no ${this.kind} "${this.name}"`);
         return exitCodes.notFound;
       }
       this.showResources(found);
-      return exitCodes.done;
+      return exitCodes.success;
     });
   }
 
@@ -42,6 +42,6 @@
         const { kind, name, ...rest } = resource;
         return [kind, name, revision, who, JSON.stringify(rest)];
       });
-    this.show(found, ["KIND", "NAME", "REVISION", "BY", "FIELDS"], rows);
+    this.printValue(found, ["KIND", "NAME", "REVISION", "BY", "FIELDS"], rows);
   }
 }
--- a/packages/cli/src/commands/hash-token/index.ts
+++ b/packages/cli/src/commands/hash-token/index.ts
@@ -18,6 +18,6 @@
   async execute(): Promise<ExitCode> {
     const token = readFileSync(standardInputHandle, "utf8").trim();
     this.context.stdout.write(`${createHash("sha256").update(token).digest("hex")}\n`);
-    return exitCodes.done;
+    return exitCodes.success;
   }
 }
--- a/packages/cli/src/commands/held/index.ts
+++ b/packages/cli/src/commands/held/index.ts
@@ -15,8 +15,8 @@
 
   async execute(): Promise<ExitCode> {
     const heads = ["REQUEST", "SINCE", "SERVICE", "ROUTE", "ACCOUNT", "TARGETS"];
-    return this.conclude(await this.client().heldRequests(), (held) =>
-      this.show(held, heads, () =>
+    return this.handleResult(await this.client().heldRequests(), (held) =>
+      this.printValue(held, heads, () =>
         held.map((word) => [
           word.request,
           word.since,
@@ -42,10 +42,10 @@
 
   async execute(): Promise<ExitCode> {
     const released = await this.client().releaseRequest(this.request);
-    return this.conclude(released, (done): ExitCode => {
-      if (done) this.line(`released ${this.request}`);
-      else this.problem(`${this.request} is not held back`);
-      return done ? exitCodes.done : exitCodes.notFound;
+    return this.handleResult(released, (done): ExitCode => {
+      if (done) this.printLine(`released ${this.request}`);
+      else this.printError(`${this.request} is not held back`);
+      return done ? exitCodes.success : exitCodes.notFound;
     });
   }
 }
--- a/packages/cli/src/commands/limited/index.ts
+++ b/packages/cli/src/commands/limited/index.ts
@@ -15,8 +15,8 @@
 
   async execute(): Promise<ExitCode> {
     const heads = ["TARGET", "REQUESTS A SECOND", "FOR SECONDS"];
-    return this.conclude(await this.client().limitedTargets(), (limited) =>
-      this.show(limited, heads, () =>
+    return this.handleResult(await this.client().limitedTargets(), (limited) =>
+      this.printValue(limited, heads, () =>
         limited.map(({ target, perSecond, forMs }) => [
           target,
           String(perSecond),
--- a/packages/cli/src/commands/status/index.ts
+++ b/packages/cli/src/commands/status/index.ts
@@ -1,11 +1,11 @@
 /** `linkfall status` */
-import type { StatusAnswer } from "@linkfall/operator-service";
+import type { StatusResponse } from "@linkfall/operator-service";
 import { Command } from "clipanion";
 import type { ExitCode } from "../../exit-codes.js";
 import { OperatorCommand } from "../../operator-command.js";
 import { renderTable } from "../../table.js";
 
-function summary(answer: StatusAnswer): string {
+function summary(answer: StatusResponse): string {
   const drain = `${answer.drain.phase}, ${answer.drain.requestsInFlight} requests in flight`;
   const cut = answer.isolated ? ", cut off" : "";
   const held = answer.sessions.map(
@@ -24,10 +24,10 @@
   });
 
   async execute(): Promise<ExitCode> {
-    return this.conclude(await this.client().status(), (answer) => {
-      if (this.output === "json") return this.line(JSON.stringify(answer, undefined, 2));
-      this.line(summary(answer));
-      this.line("");
+    return this.handleResult(await this.client().status(), (answer) => {
+      if (this.output === "json") return this.printLine(JSON.stringify(answer, undefined, 2));
+      this.printLine(summary(answer));
+      this.printLine("");
       this.context.stdout.write(
         renderTable(
           ["MODEL", "VERSION", "READY", "LOADING", "OLDER", "ADAPTERS"],
@@ -41,7 +41,7 @@
           ]),
         ),
       );
-      this.line("");
+      this.printLine("");
       this.context.stdout.write(
         renderTable(
           ["ENGINE", "STATE", "ROLE", "RUNNING", "QUEUED", "RESIDENT"],
--- a/packages/cli/src/commands/watch/index.ts
+++ b/packages/cli/src/commands/watch/index.ts
@@ -39,9 +39,9 @@
     process.once("SIGINT", () => interrupted.abort());
     const after = this.after === undefined ? undefined : Number(this.after);
     const take = (event: WatchEvent) =>
-      this.line(this.output === "json" ? JSON.stringify(event) : describe(event));
+      this.printLine(this.output === "json" ? JSON.stringify(event) : describe(event));
     const ended = await this.client().watch(after, take, interrupted.signal);
     if (interrupted.signal.aborted) return 0;
-    return this.conclude(ended, () => undefined);
+    return this.handleResult(ended, () => undefined);
   }
 }
--- a/packages/cli/src/exit-codes.ts
+++ b/packages/cli/src/exit-codes.ts
@@ -1,6 +1,6 @@
 /** Exit codes, listed in docs/operators/command-line.md. */
 export const exitCodes = {
-  done: 0,
+  success: 0,
   /** The input is not valid; nothing was applied. */
   invalid: 2,
   /** Another operator's change came first; nothing was applied. */
@@ -8,9 +8,9 @@
   /** The box could not be asked. */
   unreachable: 4,
   /** The log did not answer in time; the change may have been accepted. */
-  unknown: 5,
+  outcomeUnknown: 5,
   /** There are differences. */
-  different: 6,
+  differs: 6,
   /** There is no such resource. */
   notFound: 7,
 } as const;
--- a/packages/cli/src/operator-command.ts
+++ b/packages/cli/src/operator-command.ts
@@ -2,11 +2,11 @@
 import { readFileSync } from "node:fs";
 import type { FieldProblem } from "@linkfall/errors";
 import {
-  type AskFailure,
+  type RequestFailure,
   createOperatorClient,
   type OperatorClient,
 } from "@linkfall/operator-client";
-import type { WriteAnswer } from "@linkfall/operator-service";
+import type { WriteResponse } from "@linkfall/operator-service";
 import { resourceKey } from "@linkfall/types";
 import { Command, Option } from "clipanion";
 import type { Either } from "purify-ts";
@@ -33,60 +33,64 @@
     });
   }
 
-  protected line(text: string): void {
+  protected printLine(text: string): void {
     this.context.stdout.write(`${text}\n`);
   }
 
-  protected problem(text: string): void {
+  protected printError(text: string): void {
     this.context.stderr.write(`linkfall: ${text}\n`);
   }
 
   /** Shows a value as JSON, or as the table made from it. */
-  protected show(value: unknown, heads: readonly string[], rows: () => readonly TableRow[]): void {
-    if (this.output === "json") this.line(JSON.stringify(value, undefined, 2));
+  protected printValue(
+    value: unknown,
+    heads: readonly string[],
+    rows: () => readonly TableRow[],
+  ): void {
+    if (this.output === "json") this.printLine(JSON.stringify(value, undefined, 2));
     else this.context.stdout.write(renderTable(heads, rows()));
   }
 
   /** Shows an answer, or says why there is none. */
-  protected conclude<T>(
-    answer: Either<AskFailure, T>,
+  protected handleResult<T>(
+    answer: Either<RequestFailure, T>,
     show: (value: T) => ExitCode | void,
   ): ExitCode {
     return answer.caseOf<ExitCode>({
       Left: (failure) => {
-        this.problem(failure.reason);
+        this.printError(failure.reason);
         return exitCodes.unreachable;
       },
-      Right: (value) => show(value) ?? exitCodes.done,
+      Right: (value) => show(value) ?? exitCodes.success,
     });
   }
 
-  protected showProblems(problems: readonly FieldProblem[]): ExitCode {
-    for (const { field, reason } of problems) this.problem(`${field}: ${reason}`);
+  protected printProblems(problems: readonly FieldProblem[]): ExitCode {
+    for (const { field, reason } of problems) this.printError(`${field}: ${reason}`);
     return exitCodes.invalid;
   }
 
   /** Says what became of a write. */
-  protected showWrite(written: WriteAnswer): ExitCode {
-    if (this.output === "json") this.line(JSON.stringify(written));
+  protected printWriteResult(written: WriteResponse): ExitCode {
+    if (this.output === "json") this.printLine(JSON.stringify(written));
     return match(written)
       .with({ kind: "accepted" }, ({ revision, boxes, inForceOn }): ExitCode => {
         const where = `in force on ${inForceOn} of ${boxes} boxes`;
-        if (this.output !== "json") this.line(`accepted at revision ${revision}, ${where}`);
-        return exitCodes.done;
+        if (this.output !== "json") this.printLine(`accepted at revision ${revision}, ${where}`);
+        return exitCodes.success;
       })
       .with({ kind: "revision_conflict" }, ({ subject, base, current, who }): ExitCode => {
         const by = who === "" ? "" : ` by ${who}`;
-        this.problem(
+        this.printError(
           `conflict on ${resourceKey(subject)}: your change is based on revision ${base}, ` +
             `the current one is ${current}${by}; nothing was applied`,
         );
         return exitCodes.conflict;
       })
-      .with({ kind: "invalid_input" }, ({ problems }) => this.showProblems(problems))
+      .with({ kind: "invalid_input" }, ({ problems }) => this.printProblems(problems))
       .with({ kind: "unknown" }, ({ reason }): ExitCode => {
-        this.problem(reason);
-        return exitCodes.unknown;
+        this.printError(reason);
+        return exitCodes.outcomeUnknown;
       })
       .exhaustive();
   }
--- a/packages/cli/src/operators.steps.ts
+++ b/packages/cli/src/operators.steps.ts
@@ -4,8 +4,8 @@
 import { join } from "node:path";
 import { PassThrough } from "node:stream";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { DeploymentProcesses, hashToken, operatorToken, until } from "@linkfall/stand-ins";
-import { account, engine, model, notes, pool } from "@linkfall/test-support";
+import { DeploymentProcesses, hashToken, operatorToken, waitUntil } from "@linkfall/stand-ins";
+import { account, engine, model, scenarioState, pool } from "@linkfall/test-support";
 import type { Resource } from "@linkfall/types";
 import { stringify } from "yaml";
 import { runLinkfall } from "./run.js";
@@ -17,7 +17,7 @@
 }
 
 const notices = model("notices");
-const officeOf = (world: object) => notes(world).get<Office>("office");
+const officeOf = (world: object) => scenarioState(world).get<Office>("office");
 
 Given("two boxes and an engine as processes", async function (this: object) {
   const deployment = new DeploymentProcesses();
@@ -25,9 +25,13 @@
   await deployment.startPlatform();
   const running = await deployment.startEngine(engine("e1"));
   for (const name of ["box-1", "box-2"]) await deployment.startBox(name, "north");
-  await Promise.all(deployment.boxes.map((box) => deployment.untilReady(box)));
+  await Promise.all(deployment.boxes.map((box) => deployment.waitUntilReady(box)));
   const owner = account("one", { tokenHash: hashToken("one") });
-  notes(this).set("office", { deployment, folder, declared: [owner, pool(), running, notices] });
+  scenarioState(this).set("office", {
+    deployment,
+    folder,
+    declared: [owner, pool(), running, notices],
+  });
 });
 
 After(async function (this: object) {
@@ -46,8 +50,8 @@
   let text = "";
   output.on("data", (chunk) => (text += String(chunk)));
   const code = await runLinkfall(args, { stdin: process.stdin, stdout: output, stderr: output });
-  notes(world).set("code", code);
-  notes(world).set("text", text);
+  scenarioState(world).set("code", code);
+  scenarioState(world).set("text", text);
 }
 
 function ask(
@@ -74,13 +78,13 @@
 Then(
   "the tool exits with 0 and the model is in force on both boxes",
   async function (this: object) {
-    assert.equal(notes(this).get("code"), 0, notes(this).get("text"));
+    assert.equal(scenarioState(this).get("code"), 0, scenarioState(this).get("text"));
     for (const box of [0, 1]) {
       const inForce = async () => {
         await ask(this, ["get", "model", "notices"], operatorToken, box);
-        return notes(this).get("code") === 0;
+        return scenarioState(this).get("code") === 0;
       };
-      await until(inForce, () => notes(this).get("text"));
+      await waitUntil(inForce, () => scenarioState(this).get("text"));
     }
   },
 );
@@ -141,8 +145,8 @@
 Then(
   "the tool exits with {int} and says {string}",
   function (this: object, code: number, words: string) {
-    const text = notes(this).get<string>("text");
-    assert.equal(notes(this).get("code"), code, text);
+    const text = scenarioState(this).get<string>("text");
+    assert.equal(scenarioState(this).get("code"), code, text);
     assert.ok(text.includes(words), text);
   },
 );
@@ -150,8 +154,8 @@
 Then(
   "the tool exits with {int} and says nothing of {string}",
   function (this: object, code: number, words: string) {
-    const text = notes(this).get<string>("text");
-    assert.equal(notes(this).get("code"), code, text);
+    const text = scenarioState(this).get<string>("text");
+    assert.equal(scenarioState(this).get("code"), code, text);
     assert.ok(!text.includes(words), text);
   },
 );
--- a/packages/completion/src/admission.ts
+++ b/packages/completion/src/admission.ts
@@ -3,7 +3,7 @@
 import { clockName, type Kernel, randomName, sleep } from "@linkfall/kernel";
 import { notRun } from "@linkfall/refusals";
 import { type Replica, replicaFinderName } from "@linkfall/replicas";
-import { chooseTarget, estimateRun } from "@linkfall/routing";
+import { chooseTarget, estimateRunMs } from "@linkfall/routing";
 import { targetLoadName } from "@linkfall/target-load";
 import type { Milliseconds, Refusal } from "@linkfall/types";
 import { type Either, Left, Right } from "purify-ts";
@@ -12,15 +12,15 @@
 
 const replicaPollMs: Milliseconds = 100;
 /** When to come back while no replica is ready and none is being loaded. */
-const noReplicaRetryMs: Milliseconds = 3_000;
-const shortestRetryMs: Milliseconds = 500;
+const noReplicaRetryAfterMs: Milliseconds = 3_000;
+const minRetryAfterMs: Milliseconds = 500;
 const ratioSmoothing = 0.05;
 
 export interface Admission {
   /** A replica to try next, waiting for one while it is being loaded; or the refusal. */
   admit(job: CompletionJob, progress: Progress): Promise<Either<Refusal, Replica>>;
   /** Learns how long the answers of a model are. */
-  learn(job: CompletionJob, tokens: number): void;
+  recordOutputLength(job: CompletionJob, tokens: number): void;
 }
 
 /** Creates the admission of one box. */
@@ -34,13 +34,17 @@
   const outputRatio = new Map<string, number>();
   let turn = 0;
 
-  const untilEnd = (job: CompletionJob, progress: Progress, replica: Replica): Milliseconds => {
+  const expectedEndMs = (
+    job: CompletionJob,
+    progress: Progress,
+    replica: Replica,
+  ): Milliseconds => {
     const ratio = outputRatio.get(job.model.name) ?? 1;
-    const tokens = Math.max(1, job.maxTokens * ratio - progress.next);
-    return replica.waitMs + estimateRun(tokens, load.streamRate(replica.target));
+    const tokens = Math.max(1, job.maxTokens * ratio - progress.nextPosition);
+    return replica.waitMs + estimateRunMs(tokens, load.streamTokensPerSecond(replica.target));
   };
 
-  const choose = (job: CompletionJob, candidates: readonly Replica[]): Replica => {
+  const chooseReplica = (job: CompletionJob, candidates: readonly Replica[]): Replica => {
     turn += 1;
     const prefix = job.prompt.slice(0, settings.prefix_bytes);
     return chooseTarget(candidates, {
@@ -58,43 +62,43 @@
       .filter((replica) => !progress.failedTargets.has(replica.target));
 
   /** Waits only while a copy is seen to be loading; otherwise the refusal comes at once. */
-  const awaitServing = async (
+  const waitForServing = async (
     job: CompletionJob,
     progress: Progress,
   ): Promise<readonly Replica[]> => {
     for (;;) {
       const open = serving(job, progress);
-      const worthWaiting = replicas.isLoading(job.model, job.adapter) && !job.gone.aborted;
+      const canWait = replicas.isLoading(job.model, job.adapter) && !job.callerGone.aborted;
       const inTime = clock.now() + replicaPollMs < job.deadlineAt;
-      if (open.length > 0 || !worthWaiting || !inTime) return open;
+      if (open.length > 0 || !canWait || !inTime) return open;
       await sleep(clock, replicaPollMs);
     }
   };
 
   const noReplica = (job: CompletionJob, progress: Progress): Refusal =>
     progress.failedTargets.size > 0
-      ? notRun("target_refused", "every replica has failed this request", shortestRetryMs)
+      ? notRun("target_refused", "every replica has failed this request", minRetryAfterMs)
       : notRun(
           "no_replica",
           `no replica of ${job.adapter?.name ?? job.model.name} is ready`,
-          noReplicaRetryMs,
+          noReplicaRetryAfterMs,
         );
 
   return {
     async admit(job, progress) {
-      const open = await awaitServing(job, progress);
+      const open = await waitForServing(job, progress);
       if (open.length === 0) return Left(noReplica(job, progress));
       const left = job.deadlineAt - clock.now();
-      const inTime = open.filter((replica) => untilEnd(job, progress, replica) <= left);
+      const inTime = open.filter((replica) => expectedEndMs(job, progress, replica) <= left);
       if (inTime.length > 0) {
-        const chosen = choose(job, open);
-        return Right(inTime.includes(chosen) ? chosen : choose(job, inTime));
+        const chosen = chooseReplica(job, open);
+        return Right(inTime.includes(chosen) ? chosen : chooseReplica(job, inTime));
       }
-      const soonest = Math.min(...open.map((replica) => untilEnd(job, progress, replica)));
-      const retryAfter = Math.max(shortestRetryMs, soonest - left);
+      const soonest = Math.min(...open.map((replica) => expectedEndMs(job, progress, replica)));
+      const retryAfter = Math.max(minRetryAfterMs, soonest - left);
       return Left(notRun("deadline_unreachable", "no replica can make the deadline", retryAfter));
     },
-    learn(job, tokens) {
+    recordOutputLength(job, tokens) {
       const before = outputRatio.get(job.model.name) ?? 1;
       const ratio = tokens / job.maxTokens;
       outputRatio.set(job.model.name, before + ratioSmoothing * (ratio - before));
--- a/packages/completion/src/attempt.ts
+++ b/packages/completion/src/attempt.ts
@@ -9,19 +9,19 @@
   attemptHeader,
   notStartedHeader,
   readEngineStream,
-  type StreamEnd,
-  type TakeToken,
+  type StreamResult,
+  type TokenHandler,
 } from "./engine-stream.js";
 import type { CompletionJob } from "./job.js";
 import type { Progress } from "./progress.js";
 
-const resumeTries = 2;
+const maxResumes = 2;
 const okStatus = 200;
 /** Status by which an engine refuses for load, which is not its fault. */
 const overloadStatus = 503;
 
 /** How one attempt at one engine ended. */
-export type AttemptEnd =
+export type AttemptResult =
   | { readonly kind: "complete" }
   /** The engine provably did not start it. */
   | { readonly kind: "not_started"; readonly reason: string; readonly targetFault: boolean }
@@ -38,13 +38,13 @@
   /** Aborted when the job is given up. */
   readonly signal: AbortSignal;
   /** Takes the tokens as they come. */
-  readonly take: TakeToken;
+  readonly onToken: TokenHandler;
 }
 
-export type RunAttempt = (input: AttemptInput) => Promise<AttemptEnd>;
+export type RunAttempt = (input: AttemptInput) => Promise<AttemptResult>;
 
 function startRequest({ job, progress, replica, attempt }: AttemptInput): TargetRequest {
-  const continues = progress.next > 0;
+  const continues = progress.nextPosition > 0;
   const body = {
     request_id: job.id,
     model: replica.artifact,
@@ -55,7 +55,7 @@
     stream: true,
     // The engine's prefix cache must not tell one account what another has asked.
     cache_scope: job.account,
-    continue_from: continues ? { text: progress.text, position: progress.next } : undefined,
+    continue_from: continues ? { text: progress.text, position: progress.nextPosition } : undefined,
   };
   return {
     address: replica.address,
@@ -82,7 +82,7 @@
   };
 }
 
-function refusedByEngine(response: TargetResponse): AttemptEnd {
+function errorStatusResult(response: TargetResponse): AttemptResult {
   const reason = `the engine answered ${response.status}`;
   if (response.headers[notStartedHeader] !== "true") return { kind: "lost", reason };
   return { kind: "not_started", reason, targetFault: response.status !== overloadStatus };
@@ -106,7 +106,7 @@
   /** Asks the same engine for the rest of a stream that broke off. */
   const resume = async (input: AttemptInput): Promise<TargetResponse | undefined> => {
     metrics.count("linkfall_stream_resumes_total", "Streams asked for again at the same engine");
-    const request = streamRequest(input, "GET", `?from=${input.progress.next}`);
+    const request = streamRequest(input, "GET", `?from=${input.progress.nextPosition}`);
     const asked = targets.send(request, input.signal);
     const answer = await withTimeout(clock, settings.call_timeout_ms, asked);
     const response = answer?.toMaybe().extract();
@@ -114,22 +114,32 @@
   };
 
   /** Passes the tokens of one response on and notes them in the progress. */
-  const passOn = (input: AttemptInput, response: TargetResponse): Promise<StreamEnd> => {
+  const readTokens = (input: AttemptInput, response: TargetResponse): Promise<StreamResult> => {
     const { progress, attempt } = input;
-    const take: TakeToken = (token) => {
+    const take: TokenHandler = (token) => {
       progress.text += token.text;
-      progress.next += 1;
-      return input.take(token);
+      progress.nextPosition += 1;
+      return input.onToken(token);
     };
-    return readEngineStream(clock, response, attempt, progress.next, settings.stall_ms, take);
+    return readEngineStream(
+      clock,
+      response,
+      attempt,
+      progress.nextPosition,
+      settings.stall_ms,
+      take,
+    );
   };
 
-  const follow = async (input: AttemptInput, first: TargetResponse): Promise<AttemptEnd> => {
+  const readWithResumes = async (
+    input: AttemptInput,
+    first: TargetResponse,
+  ): Promise<AttemptResult> => {
     let response = first;
     for (let tries = 0; ; tries++) {
-      const end = await passOn(input, response);
+      const end = await readTokens(input, response);
       if (end.kind === "complete") return end;
-      const givenUp = input.signal.aborted || tries >= resumeTries;
+      const givenUp = input.signal.aborted || tries >= maxResumes;
       if (end.kind === "garbled" || givenUp) return { kind: "lost", reason: end.reason };
       const resumed = await resume(input);
       if (!resumed) return { kind: "lost", reason: end.reason };
@@ -137,7 +147,7 @@
     }
   };
 
-  const start = async (input: AttemptInput): Promise<AttemptEnd> => {
+  const start = async (input: AttemptInput): Promise<AttemptResult> => {
     const sent = await targets.send(startRequest(input), input.signal);
     const failure = sent.swap().toMaybe().extract();
     if (failure) {
@@ -146,21 +156,24 @@
       return { kind: "not_started", reason, targetFault: true };
     }
     const response = sent.unsafeCoerce();
-    if (response.status !== okStatus) return refusedByEngine(response);
-    return follow(input, response);
+    if (response.status !== okStatus) return errorStatusResult(response);
+    return readWithResumes(input, response);
   };
 
   return async (asked) => {
     const startedAt = clock.now();
-    const firstPosition = asked.progress.next;
+    const firstPosition = asked.progress.nextPosition;
     const giveUp = new AbortController();
     const onAbort = () => giveUp.abort();
     asked.signal.addEventListener("abort", onAbort, { once: true });
     const input = { ...asked, signal: giveUp.signal };
-    load.sent(input.replica.target);
+    load.requestSent(input.replica.target);
     const end = await start(input);
-    const ran = { ranMs: clock.now() - startedAt, tokens: input.progress.next - firstPosition };
-    load.ended(input.replica.target, end.kind === "complete" ? ran : undefined);
+    const ran = {
+      ranMs: clock.now() - startedAt,
+      tokens: input.progress.nextPosition - firstPosition,
+    };
+    load.requestEnded(input.replica.target, end.kind === "complete" ? ran : undefined);
     asked.signal.removeEventListener("abort", onAbort);
     if (end.kind === "lost") {
       giveUp.abort();
--- a/packages/completion/src/completion.ts
+++ b/packages/completion/src/completion.ts
@@ -12,19 +12,19 @@
 import { targetLoadName } from "@linkfall/target-load";
 import type { Milliseconds, Refusal } from "@linkfall/types";
 import { createAdmission } from "./admission.js";
-import { type AttemptEnd, createRunAttempt } from "./attempt.js";
-import type { TakeToken } from "./engine-stream.js";
-import type { CompletionEnd, CompletionJob } from "./job.js";
-import { noProgress, type Progress } from "./progress.js";
+import { type AttemptResult, createRunAttempt } from "./attempt.js";
+import type { TokenHandler } from "./engine-stream.js";
+import type { CompletionResult, CompletionJob } from "./job.js";
+import { createProgress, type Progress } from "./progress.js";
 import { createRetryBudget } from "./retry-budget.js";
 
 /** Route of completions, as operators are told of requests that are held back. */
 const completionsRoute = "completions";
-const afterFailureRetryMs: Milliseconds = 1_000;
+const failureRetryAfterMs: Milliseconds = 1_000;
 
 export interface Completions {
   /** Hands the tokens of the answer on as they come and resolves with how it ended. */
-  run(job: CompletionJob, take: TakeToken): Promise<CompletionEnd>;
+  run(job: CompletionJob, take: TokenHandler): Promise<CompletionResult>;
 }
 
 export const completionsName = serviceName<Completions>("completions");
@@ -41,7 +41,7 @@
   const store = kernel.find(stateStoreName);
   let attempts = 0;
 
-  const guarded = ({ fingerprint, account, model }: CompletionJob): GuardedRequest => {
+  const guardedRequest = ({ fingerprint, account, model }: CompletionJob): GuardedRequest => {
     const facts = { request: fingerprint, service: model.pool, route: completionsRoute, account };
     const engines = () => [...store.desired().engines.values()];
     return {
@@ -50,22 +50,26 @@
     };
   };
 
-  const noteFailure = (
+  const recordFailure = (
     progress: Progress,
     replica: Replica,
-    end: Exclude<AttemptEnd, { kind: "complete" }>,
+    end: Exclude<AttemptResult, { kind: "complete" }>,
   ) => {
     progress.failedTargets.add(replica.target);
     if (end.kind === "lost") progress.mayHaveRun = true;
-    if (end.kind === "lost" || end.targetFault) load.failed(replica.target);
+    if (end.kind === "lost" || end.targetFault) load.recordFailure(replica.target);
   };
 
   /** Why there is no further attempt; undefined when there may be one. */
-  const whyStop = (job: CompletionJob, progress: Progress, reason: string): Refusal | undefined => {
-    const refusal = refusalAfter(job, progress, reason);
-    if (job.gone.aborted || clock.now() >= job.deadlineAt) return refusal;
+  const refusalUnlessRetry = (
+    job: CompletionJob,
+    progress: Progress,
+    reason: string,
+  ): Refusal | undefined => {
+    const refusal = refusalWithoutRetry(job, progress, reason);
+    if (job.callerGone.aborted || clock.now() >= job.deadlineAt) return refusal;
     if (progress.mayHaveRun && !job.repeatable) return refusal;
-    if (!budget.retry(job.account)) return { ...refusal, code: "retry_budget" };
+    if (!budget.tryTake(job.account)) return { ...refusal, code: "retry_budget" };
     metrics.count("linkfall_retries_total", "Attempts after the first");
     return undefined;
   };
@@ -74,8 +78,8 @@
     job: CompletionJob,
     progress: Progress,
     signal: AbortSignal,
-    take: TakeToken,
-  ): Promise<CompletionEnd> => {
+    take: TokenHandler,
+  ): Promise<CompletionResult> => {
     for (;;) {
       const admitted = await admission.admit(job, progress);
       if (admitted.isLeft()) {
@@ -84,54 +88,55 @@
       }
       const replica = admitted.unsafeCoerce();
       const attempt = `${job.id}~${++attempts}`;
-      const end = await runAttempt({ job, progress, replica, attempt, signal, take });
+      const end = await runAttempt({ job, progress, replica, attempt, signal, onToken: take });
       if (end.kind === "complete") {
-        admission.learn(job, progress.next);
-        guard.recordServed(guarded(job));
+        admission.recordOutputLength(job, progress.nextPosition);
+        guard.recordServed(guardedRequest(job));
         return { kind: "answered" };
       }
-      noteFailure(progress, replica, end);
+      recordFailure(progress, replica, end);
       const { target: name, address } = replica;
       // A further engine that the request ends would take all requests at work there with it.
       const mayGoOn =
-        end.kind !== "lost" || (await guard.mayRetryElsewhere(guarded(job), { name, address }));
-      if (!mayGoOn) return refused(refusalAfter(job, progress, end.reason));
-      const refusal = whyStop(job, progress, end.reason);
+        end.kind !== "lost" ||
+        (await guard.mayRetryElsewhere(guardedRequest(job), { name, address }));
+      if (!mayGoOn) return refused(refusalWithoutRetry(job, progress, end.reason));
+      const refusal = refusalUnlessRetry(job, progress, end.reason);
       if (refusal) return refused(refusal);
     }
   };
 
   return {
     async run(job, take) {
-      const heldBack = guard.refusal(guarded(job));
+      const heldBack = guard.refusal(guardedRequest(job));
       if (heldBack) return refused(heldBack);
-      budget.request(job.account);
-      const progress = noProgress();
+      budget.recordRequest(job.account);
+      const progress = createProgress();
       const giveUp = new AbortController();
       const onGone = () => giveUp.abort();
-      job.gone.addEventListener("abort", onGone, { once: true });
+      job.callerGone.addEventListener("abort", onGone, { once: true });
       const cancelDeadline = clock.after(job.deadlineAt - clock.now(), () => giveUp.abort());
       const end = await runAttempts(job, progress, giveUp.signal, take);
       cancelDeadline();
-      job.gone.removeEventListener("abort", onGone);
-      return clock.now() >= job.deadlineAt ? pastDeadline(end) : end;
+      job.callerGone.removeEventListener("abort", onGone);
+      return clock.now() >= job.deadlineAt ? withDeadlineReason(end) : end;
     },
   };
 }
 
-function refused(refusal: Refusal): CompletionEnd {
+function refused(refusal: Refusal): CompletionResult {
   return { kind: "refused", refusal };
 }
 
 /** What the caller is told when no further attempt is made. */
-function refusalAfter(job: CompletionJob, progress: Progress, reason: string): Refusal {
-  if (!progress.mayHaveRun) return notRun("target_refused", reason, afterFailureRetryMs);
+function refusalWithoutRetry(job: CompletionJob, progress: Progress, reason: string): Refusal {
+  if (!progress.mayHaveRun) return notRun("target_refused", reason, failureRetryAfterMs);
   if (!job.repeatable) return outcomeUnknown("target_lost", reason);
-  return failed("target_lost", reason, afterFailureRetryMs);
+  return failed("target_lost", reason, failureRetryAfterMs);
 }
 
 /** Names the deadline as the cause of an end that it brought about. */
-function pastDeadline(end: CompletionEnd): CompletionEnd {
+function withDeadlineReason(end: CompletionResult): CompletionResult {
   if (end.kind === "answered") return end;
   const { outcome } = end.refusal;
   return refused({ outcome, code: "deadline_passed", reason: "the deadline has passed" });
--- a/packages/completion/src/engine-stream.steps.ts
+++ b/packages/completion/src/engine-stream.steps.ts
@@ -4,10 +4,10 @@
 import { Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
 import type { BodyPart, TargetResponse } from "@linkfall/ports";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import fc from "fast-check";
 import { Left, Right } from "purify-ts";
-import { attemptHeader, readEngineStream, type StreamEnd } from "./engine-stream.js";
+import { attemptHeader, readEngineStream, type StreamResult } from "./engine-stream.js";
 import type { CompletionToken } from "./job.js";
 
 const stallMs = 2_000;
@@ -20,7 +20,7 @@
 
 interface ReadResult {
   readonly tokens: readonly CompletionToken[];
-  readonly end: StreamEnd;
+  readonly end: StreamResult;
 }
 
 async function read(
@@ -94,11 +94,11 @@
   const answers = fault.startsWith("belongs") ? "r~0" : "r~1";
   const result = read(clock, parts, 0, answers);
   await clock.runUntil(5_000);
-  notes(this).set("result", await result);
+  scenarioState(this).set("result", await result);
 });
 
 Then("its end is {string} after {int} tokens", function (this: object, end: string, count: number) {
-  const result = notes(this).get<ReadResult>("result");
+  const result = scenarioState(this).get<ReadResult>("result");
   assert.deepEqual([result.end.kind, result.tokens.length], [end, count]);
 });
 
@@ -133,10 +133,10 @@
         if (position === count - 1) held = heapAfterCollection() - before;
       },
     );
-    notes(this).set("held", held);
+    scenarioState(this).set("held", held);
   },
 );
 
 Then("less than {int} MB are held for it", function (this: object, megabytes: number) {
-  assert.ok(notes(this).get<number>("held") < megabytes * 1_000_000);
+  assert.ok(scenarioState(this).get<number>("held") < megabytes * 1_000_000);
 });
--- a/packages/completion/src/engine-stream.ts
+++ b/packages/completion/src/engine-stream.ts
@@ -12,7 +12,7 @@
 export const notStartedHeader = "x-not-started";
 
 /** How the reading of a stream ended. */
-export type StreamEnd =
+export type StreamResult =
   | { readonly kind: "complete" }
   /** It broke off, or fell silent, before its end. */
   | { readonly kind: "cut"; readonly reason: string }
@@ -20,7 +20,7 @@
   | { readonly kind: "garbled"; readonly reason: string };
 
 /** Takes a token; a promise holds the stream back until it resolves. */
-export type TakeToken = (token: CompletionToken) => Promise<void> | void;
+export type TokenHandler = (token: CompletionToken) => Promise<void> | void;
 
 /** The shape of an event's data, as far as it is used. Checked by hand: it is on the copy path. */
 interface Chunk {
@@ -44,19 +44,19 @@
 }
 
 /** Tells when a stream has been silent too long, with one timer for the whole stream. */
-function watchSilence(clock: Clock, limit: Milliseconds) {
-  let heardAt = clock.now();
-  let isSilent = false;
-  let tellWaiting: () => void = () => undefined;
+function createStallTimer(clock: Clock, limit: Milliseconds) {
+  let lastReadAt = clock.now();
+  let hasStalled = false;
+  let resolvePending: () => void = () => undefined;
   let cancel: CancelTimer = () => undefined;
   const check = () => {
-    const left = heardAt + limit - clock.now();
+    const left = lastReadAt + limit - clock.now();
     if (left > 0) {
       cancel = clock.after(left, check);
       return;
     }
-    isSilent = true;
-    tellWaiting();
+    hasStalled = true;
+    resolvePending();
   };
   check();
   return {
@@ -64,15 +64,15 @@
      * The promise's value, or undefined once the stream has been silent too long. A race against one
      * promise of the whole stream would keep something for each token until the stream's end.
      */
-    orSilent<T>(promise: Promise<T>): Promise<T | undefined> {
+    raceStall<T>(promise: Promise<T>): Promise<T | undefined> {
       return new Promise((resolve, reject) => {
-        tellWaiting = () => resolve(undefined);
-        if (isSilent) tellWaiting();
+        resolvePending = () => resolve(undefined);
+        if (hasStalled) resolvePending();
         promise.then(resolve, reject);
       });
     },
-    heard() {
-      heardAt = clock.now();
+    reset() {
+      lastReadAt = clock.now();
     },
     stop: () => cancel(),
   };
@@ -89,12 +89,12 @@
   attempt: string,
   from: number,
   stallMs: Milliseconds,
-  take: TakeToken,
-): Promise<StreamEnd> {
+  take: TokenHandler,
+): Promise<StreamResult> {
   if (response.headers[attemptHeader] !== attempt) {
     return { kind: "garbled", reason: "the answer belongs to another request" };
   }
-  const watch = watchSilence(clock, stallMs);
+  const watch = createStallTimer(clock, stallMs);
   try {
     return await readTokens(response, from, watch, take);
   } finally {
@@ -105,17 +105,17 @@
 async function readTokens(
   response: TargetResponse,
   from: number,
-  watch: ReturnType<typeof watchSilence>,
-  take: TakeToken,
-): Promise<StreamEnd> {
+  watch: ReturnType<typeof createStallTimer>,
+  take: TokenHandler,
+): Promise<StreamResult> {
   const messages: EventSourceMessage[] = [];
   const parser = createParser({ onEvent: (message) => void messages.push(message) });
   const decoder = new TextDecoder();
   const parts = response.body[Symbol.asyncIterator]();
   let next = from;
   for (;;) {
-    const read = await watch.orSilent(parts.next());
-    watch.heard();
+    const read = await watch.raceStall(parts.next());
+    watch.reset();
     if (read === undefined) return { kind: "cut", reason: "the stream fell silent" };
     if (read.done) return { kind: "cut", reason: "the stream ended before its end marker" };
     const part: BodyPart = read.value;
--- a/packages/completion/src/job.ts
+++ b/packages/completion/src/job.ts
@@ -16,7 +16,7 @@
   /** Whether it may be started again after it may have run. */
   readonly repeatable: boolean;
   /** Aborted when nobody wants the answer any more. */
-  readonly gone: AbortSignal;
+  readonly callerGone: AbortSignal;
 }
 
 /** One generated token, with its place in the answer. */
@@ -28,5 +28,5 @@
 }
 
 /** How a completion ended, after all of its tokens. */
-export type CompletionEnd =
+export type CompletionResult =
   { readonly kind: "answered" } | { readonly kind: "refused"; readonly refusal: Refusal };
--- a/packages/completion/src/progress.ts
+++ b/packages/completion/src/progress.ts
@@ -4,7 +4,7 @@
   /** Text that has been passed on. */
   text: string;
   /** Position of the next token. */
-  next: number;
+  nextPosition: number;
   /** Whether any attempt may have been started. */
   mayHaveRun: boolean;
   /** Targets that failed this job; they are not tried again for it. */
@@ -12,6 +12,6 @@
 }
 
 /** The progress of a job that has not begun. */
-export function noProgress(): Progress {
-  return { text: "", next: 0, mayHaveRun: false, failedTargets: new Set() };
+export function createProgress(): Progress {
+  return { text: "", nextPosition: 0, mayHaveRun: false, failedTargets: new Set() };
 }
--- a/packages/config/src/describe-settings.ts
+++ b/packages/config/src/describe-settings.ts
@@ -1,29 +1,32 @@
 /** The reference of all settings, written from the schemas so that it cannot fall behind. */
 import { z } from "zod";
-import { type SettingKey, settingSections } from "./keys.js";
+import { type SettingDefinition, settingSections } from "./keys.js";
 
-interface JsonSchemaFacts {
+interface JsonSchemaConstraints {
   readonly default?: unknown;
   readonly minimum?: number;
   readonly maximum?: number;
   readonly enum?: readonly string[];
 }
 
-function factsOf(setting: SettingKey): JsonSchemaFacts {
-  return z.toJSONSchema(setting.schema, { io: "input", unrepresentable: "any" }) as JsonSchemaFacts;
+function constraintsOf(setting: SettingDefinition): JsonSchemaConstraints {
+  return z.toJSONSchema(setting.schema, {
+    io: "input",
+    unrepresentable: "any",
+  }) as JsonSchemaConstraints;
 }
 
-function boundsOf(facts: JsonSchemaFacts): string {
-  if (facts.enum) return facts.enum.join(", ");
-  if (facts.minimum === undefined) return "";
-  return `${facts.minimum} to ${facts.maximum}`;
+function formatBounds(constraints: JsonSchemaConstraints): string {
+  if (constraints.enum) return constraints.enum.join(", ");
+  if (constraints.minimum === undefined) return "";
+  return `${constraints.minimum} to ${constraints.maximum}`;
 }
 
-function row(name: string, setting: SettingKey): string {
-  const facts = factsOf(setting);
+function formatRow(name: string, setting: SettingDefinition): string {
+  const constraints = constraintsOf(setting);
   const required = setting.schema.safeParse(undefined).success ? "" : "required";
-  const standard = facts.default === undefined ? required : String(facts.default);
-  return `| ${name} | ${setting.unit} | ${standard} | ${boundsOf(facts)} | ${setting.meaning} |`;
+  const defaultText = constraints.default === undefined ? required : String(constraints.default);
+  return `| ${name} | ${setting.unit} | ${defaultText} | ${formatBounds(constraints)} | ${setting.description} |`;
 }
 
 /** All settings as Markdown tables, a section each. */
@@ -32,7 +35,7 @@
   for (const [section, keys] of Object.entries(settingSections)) {
     lines.push(`## [${section}]`, "", "| key | unit | default | bounds | meaning |");
     lines.push("| --- | --- | --- | --- | --- |");
-    for (const [name, setting] of Object.entries(keys)) lines.push(row(name, setting));
+    for (const [name, setting] of Object.entries(keys)) lines.push(formatRow(name, setting));
     lines.push("");
   }
   return lines.join("\n");
--- a/packages/config/src/read-settings.ts
+++ b/packages/config/src/read-settings.ts
@@ -14,7 +14,7 @@
 }
 
 /** Rules that span several keys. */
-function crossProblems(settings: Settings): readonly FieldProblem[] {
+function findCrossKeyProblems(settings: Settings): readonly FieldProblem[] {
   const problems: FieldProblem[] = [];
   if (settings.lease.renew_ms * 2 > settings.lease.lease_ms) {
     problems.push({ field: "lease.renew_ms", reason: "at most half of lease.lease_ms" });
@@ -34,7 +34,7 @@
   if (!checked.success) {
     return Left({ kind: "invalid_input", problems: checked.error.issues.map(toProblem) });
   }
-  const problems = crossProblems(checked.data);
+  const problems = findCrossKeyProblems(checked.data);
   if (problems.length > 0) return Left({ kind: "invalid_input", problems });
   return Right(checked.data);
 }
--- a/packages/config/src/settings-schema.ts
+++ b/packages/config/src/settings-schema.ts
@@ -1,13 +1,13 @@
 /** The schema of a whole settings file, made from its keys. */
 import { serviceName } from "@linkfall/kernel";
 import { z } from "zod";
-import { type SettingKey, settingSections } from "./keys.js";
+import { type SettingDefinition, settingSections } from "./keys.js";
 
-type SectionSchemas<S extends Record<string, SettingKey>> = {
+type SectionSchemas<S extends Record<string, SettingDefinition>> = {
   [K in keyof S]: S[K]["schema"];
 };
 
-function sectionSchema<S extends Record<string, SettingKey>>(section: S) {
+function sectionSchema<S extends Record<string, SettingDefinition>>(section: S) {
   const shape = Object.fromEntries(
     Object.entries(section).map(([keyName, setting]) => [keyName, setting.schema]),
   ) as SectionSchemas<S>;
--- a/packages/config/src/settings.steps.ts
+++ b/packages/config/src/settings.steps.ts
@@ -2,13 +2,13 @@
 import { readFileSync } from "node:fs";
 import { Then, When } from "@cucumber/cucumber";
 import type { InvalidInput } from "@linkfall/errors";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import type { Either } from "purify-ts";
 import { describeSettings } from "./describe-settings.js";
 import type { Settings } from "./settings-schema.js";
 import { readSettings } from "./read-settings.js";
 
-const required = `
+const requiredSettings = `
 [box]
 name = b1
 domain = north
@@ -20,36 +20,40 @@
 list_url = http://127.0.0.1:5
 `;
 
-const readOf = (world: object) => notes(world).get<Either<InvalidInput, Settings>>("read");
+const readResult = (world: object) =>
+  scenarioState(world).get<Either<InvalidInput, Settings>>("read");
 
 When("settings are read that name only what is required", function (this: object) {
-  notes(this).set("read", readSettings(required));
+  scenarioState(this).set("read", readSettings(requiredSettings));
 });
 
 Then(
   "they are valid and the length of a lease is {int} ms",
   function (this: object, length: number) {
-    assert.equal(readOf(this).unsafeCoerce().lease.lease_ms, length);
+    assert.equal(readResult(this).unsafeCoerce().lease.lease_ms, length);
   },
 );
 
 When(
   "settings are read with an unknown key, a port without an IP number and a lease that is too short",
   function (this: object) {
-    const text = `${required.replace("127.0.0.1:1\n", "localhost:1\n")}[lease]\nlease_ms = 1\ncolour = red\n`;
-    notes(this).set("read", readSettings(text));
+    const text = `${requiredSettings.replace("127.0.0.1:1\n", "localhost:1\n")}[lease]\nlease_ms = 1\ncolour = red\n`;
+    scenarioState(this).set("read", readSettings(text));
   },
 );
 
 When(
   "settings are read whose renewals are further apart than half a lease",
   function (this: object) {
-    notes(this).set("read", readSettings(`${required}[lease]\nlease_ms = 1000\nrenew_ms = 900\n`));
+    scenarioState(this).set(
+      "read",
+      readSettings(`${requiredSettings}[lease]\nlease_ms = 1000\nrenew_ms = 900\n`),
+    );
   },
 );
 
 const problemFields = (world: object) => {
-  const invalid = readOf(world).swap().unsafeCoerce();
+  const invalid = readResult(world).swap().unsafeCoerce();
   return invalid.problems.map((problem) => problem.field).sort();
 };
 
--- a/packages/crash-blame/src/crash-blame.steps.ts
+++ b/packages/crash-blame/src/crash-blame.steps.ts
@@ -275,7 +275,7 @@
     if (verdict === "unsettled") load.scheduled.push({ request, at: now + 500, retries });
     if (verdict === "guilty" || verdict === "unsettled" || available.length === 0) continue;
     const endsAt =
-      now + (request === poison ? poisonExecutionMs : executionMs * (0.5 + random.fraction()));
+      now + (request === poison ? poisonExecutionMs : executionMs * (0.5 + random.nextFloat()));
     running.get(pick(random, available))?.push({ request, box, endsAt });
   }
 }
@@ -291,7 +291,7 @@
     crashAt(context, box, target, [request]);
     const left = retriesLeft.get(load)?.get(request) ?? 0;
     if (left === 0) continue;
-    load.scheduled.push({ request, at: now + 50 + random.below(400), retries: left - 1 });
+    load.scheduled.push({ request, at: now + 50 + random.nextInt(400), retries: left - 1 });
   }
   exchange(context);
 }
@@ -332,7 +332,7 @@
       await simulate(load, (now) => {
         if (now === 0 || now % (intervalS * 1_000) !== 0) return;
         const targets = [...load.running.keys()];
-        const from = load.random.below(targets.length);
+        const from = load.random.nextInt(targets.length);
         for (let index = 0; index < count; index++) {
           crash(load, targets[(from + index) % targets.length]);
         }
--- a/packages/crash-blame/src/held-store.ts
+++ b/packages/crash-blame/src/held-store.ts
@@ -48,7 +48,7 @@
 
   const read = async () => {
     while (!stopped) {
-      const response = await stream.newest();
+      const response = await stream.readNewest();
       response.ifRight(({ records }) => {
         for (const { key, value } of records) if (value !== undefined) restoreRecord(key, value);
         ready = true;
--- a/packages/crash-blame/src/index.ts
+++ b/packages/crash-blame/src/index.ts
@@ -4,7 +4,7 @@
  */
 import { createReceivedUpdates } from "@linkfall/followed-news";
 import { type Clock, serviceName } from "@linkfall/kernel";
-import type { BlameWord, Fingerprint, HeldRequest, Incarnation } from "@linkfall/types";
+import type { BlameMessage, Fingerprint, HeldRequest, Incarnation } from "@linkfall/types";
 import {
   addCrash,
   addHeldRequest,
@@ -50,9 +50,9 @@
   /** Restores a persisted decision. */
   restore(heldRequest: HeldRequest): void;
   /** Returns the changes after a sequence number of this box, for another box to apply. */
-  changesSince(sequence: number): BlameWord;
+  changesSince(sequence: number): BlameMessage;
   /** Applies changes from another box. */
-  applyChanges(from: Incarnation, changes: BlameWord): void;
+  applyChanges(from: Incarnation, changes: BlameMessage): void;
   /** Sequence number up to which the changes of another box have been applied. */
   appliedSequence(other: Incarnation): number;
   /** Calls the listener on each change that originates at this box. */
--- a/packages/crash-guard/src/index.ts
+++ b/packages/crash-guard/src/index.ts
@@ -100,7 +100,7 @@
       }
     },
     async mayRetryElsewhere({ attributes, countTargets }, { name, address }) {
-      const listening = await ports.listens(address);
+      const listening = await ports.probeListener(address);
       logger.event("sendLost", { fingerprint: attributes.request, target: name, listening });
       if (listening !== "refuses") return true;
       blame.recordCrash(name, attributes);
--- a/packages/daemon/src/addresses.steps.ts
+++ b/packages/daemon/src/addresses.steps.ts
@@ -1,8 +1,13 @@
 import assert from "node:assert/strict";
 import { createServer, type Server } from "node:net";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { DeploymentProcesses, freeAddresses, loopback, type RunningBox } from "@linkfall/stand-ins";
-import { notes } from "@linkfall/test-support";
+import {
+  DeploymentProcesses,
+  freeAddresses,
+  loopbackHost,
+  type RunningBox,
+} from "@linkfall/stand-ins";
+import { scenarioState } from "@linkfall/test-support";
 
 interface Taken {
   readonly deployment: DeploymentProcesses;
@@ -12,7 +17,7 @@
   readonly address: string;
 }
 
-const takenOf = (world: object) => notes(world).get<Taken>("taken");
+const takenOf = (world: object) => scenarioState(world).get<Taken>("taken");
 
 Given(
   "a platform, and a process that listens on the {word} address of a box",
@@ -28,24 +33,24 @@
     const address = addresses[`${which}_address`];
     const occupant = createServer();
     const port = Number(address.split(":")[1]);
-    await new Promise<void>((resolve) => occupant.listen(port, loopback, resolve));
+    await new Promise<void>((resolve) => occupant.listen(port, loopbackHost, resolve));
     const section = { name: "box-1", domain: "north", ...addresses };
-    notes(this).set("taken", { deployment, occupant, section, address });
+    scenarioState(this).set("taken", { deployment, occupant, section, address });
   },
 );
 
 When("the box starts", async function (this: object) {
   const { deployment, section } = takenOf(this);
-  notes(this).set("box", await deployment.startBox("box-1", "north", { box: section }));
+  scenarioState(this).set("box", await deployment.startBox("box-1", "north", { box: section }));
 });
 
 Then(
   "it ends with exit code {int} and names the address, not a broken invariant",
   async function (this: object, code: number) {
-    const box = notes(this).get<RunningBox>("box");
-    assert.equal(await box.exited, code, box.errors());
-    assert.match(box.errors(), new RegExp(`cannot listen on ${takenOf(this).address}`));
-    assert.doesNotMatch(box.errors(), /invariantBroken/);
+    const box = scenarioState(this).get<RunningBox>("box");
+    assert.equal(await box.exited, code, box.stderrText());
+    assert.match(box.stderrText(), new RegExp(`cannot listen on ${takenOf(this).address}`));
+    assert.doesNotMatch(box.stderrText(), /invariantBroken/);
   },
 );
 
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -6,9 +6,9 @@
 import type { AddressUnavailable, InvalidInput } from "@linkfall/errors";
 import { systemClock, systemRandom } from "@linkfall/kernel";
 import type { Logger } from "@linkfall/logger";
-import { changedKeys, followSettings } from "@linkfall/settings-watch";
+import { changedKeys, watchSettingsFile } from "@linkfall/settings-watch";
 import type { Milliseconds } from "@linkfall/types";
-import { loggerFor, startDaemon } from "./run-daemon.js";
+import { createDaemonLogger, startDaemon } from "./run-daemon.js";
 
 const usage = `linkfalld: the daemon of a linkfall entry box
 
@@ -66,20 +66,20 @@
 
 /** Tells operators which changes of the settings file wait for the next start. */
 async function tellOfChanges({ path, text, settings }: SettingsFile, logger: Logger) {
-  const watch = followSettings({
+  const watch = watchSettingsFile({
     clock: systemClock(),
     random: systemRandom(),
     logger,
     path,
     text,
     intervalMs: settingsCheckMs,
-    check: readSettings,
-    take: (read) =>
+    parse: readSettings,
+    onChange: (read) =>
       logger.event("settingsChanged", { atNextStart: changedKeys(settings, read).join(" ") }),
   });
   process.on("SIGHUP", () => {
     logger.event("settingsSignalled");
-    watch.look();
+    watch.checkNow();
   });
   await watch.start();
 }
@@ -103,7 +103,7 @@
 async function main(): Promise<void> {
   const file = settingsFromArguments();
   const { settings } = file;
-  const logger = loggerFor(settings);
+  const logger = createDaemonLogger(settings);
   await tellOfChanges(file, logger);
   const defect = stopOnDefect(logger);
   process.on("uncaughtException", defect);
--- a/packages/daemon/src/processes.steps.ts
+++ b/packages/daemon/src/processes.steps.ts
@@ -1,16 +1,16 @@
 import assert from "node:assert/strict";
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import {
-  answerLength,
+  answerTokenCount,
   DeploymentProcesses,
-  type EngineShape,
+  type EngineSpec,
   hashToken,
   operatorToken,
   type RunningBox,
   tokenAt,
-  until,
+  waitUntil,
 } from "@linkfall/stand-ins";
-import { account, model, notes, pool } from "@linkfall/test-support";
+import { account, model, scenarioState, pool } from "@linkfall/test-support";
 import type { Change, Resource } from "@linkfall/types";
 
 const token = "token-of-one";
@@ -23,7 +23,7 @@
   placement: { plan_ms: 300 },
 };
 
-const shapes: readonly EngineShape[] = [1, 2, 3, 4].map((number) => ({
+const shapes: readonly EngineSpec[] = [1, 2, 3, 4].map((number) => ({
   name: `e${number}`,
   pool: "p",
   domain: number % 2 === 0 ? "north" : "south",
@@ -35,7 +35,7 @@
   leaving: false,
 }));
 
-const deploymentOf = (world: object) => notes(world).get<DeploymentProcesses>("deployment");
+const deploymentOf = (world: object) => scenarioState(world).get<DeploymentProcesses>("deployment");
 
 async function operatorAsk<T>(box: RunningBox, path: string, body?: unknown): Promise<T> {
   const answer = await fetch(`http://${box.operatorAddress}${path}`, {
@@ -71,7 +71,7 @@
     revision = answer.revision;
     return answer.kind === "accepted";
   };
-  await until(accepted, () => "the write was not accepted");
+  await waitUntil(accepted, () => "the write was not accepted");
   return revision;
 }
 
@@ -82,13 +82,13 @@
   "a deployment of 3 boxes and 4 engines as processes, with every model placed",
   async function (this: object) {
     const deployment = new DeploymentProcesses();
-    notes(this).set("deployment", deployment);
+    scenarioState(this).set("deployment", deployment);
     await deployment.startPlatform();
     const engines = await Promise.all(shapes.map((shape) => deployment.startEngine(shape)));
     for (const [index, domain] of ["north", "south", "north"].entries()) {
       await deployment.startBox(`box-${index + 1}`, domain, times);
     }
-    await Promise.all(deployment.boxes.map((box) => deployment.untilReady(box)));
+    await Promise.all(deployment.boxes.map((box) => deployment.waitUntilReady(box)));
     const owner = account("one", { tokenHash: hashToken(token) });
     // Two copies of each, so that a stream can go on elsewhere.
     const models = modelNames.map((name) => model(name, { sizeMb: 20, minReplicas: 2 }));
@@ -99,7 +99,7 @@
         (status) => status.models.length > 0 && status.models.every((each) => each.ready >= 2),
       );
     };
-    await until(placed, () => "the models were not placed");
+    await waitUntil(placed, () => "the models were not placed");
   },
 );
 
@@ -129,7 +129,7 @@
 
 function expectedText(prompt: string): string {
   const asked = { model: "model:a@1", prompt, max_tokens: longAnswer };
-  return Array.from({ length: answerLength(asked) }, (_, at) => tokenAt(asked, at)).join("");
+  return Array.from({ length: answerTokenCount(asked) }, (_, at) => tokenAt(asked, at)).join("");
 }
 
 /** The text of a stream that came to its end marker. */
@@ -161,26 +161,26 @@
       () => "answered",
       () => "broken",
     );
-    await until(
+    await waitUntil(
       () => runsOf(deployment, prompt) === 1,
       () => "the request never started",
     );
     owner.child.kill("SIGKILL");
     assert.equal(await first, "broken");
     const repeat = await complete(other, { prompt, headers });
-    notes(this).set(
+    scenarioState(this).set(
       "outcome",
       ((await repeat.json()) as { error: { outcome: string } }).error.outcome,
     );
-    notes(this).set("prompt", prompt);
+    scenarioState(this).set("prompt", prompt);
   },
 );
 
 Then(
   "the repeat is told {string} and the request ran once",
   function (this: object, outcome: string) {
-    assert.equal(notes(this).get("outcome"), outcome);
-    assert.equal(runsOf(deploymentOf(this), notes(this).get("prompt")), 1);
+    assert.equal(scenarioState(this).get("outcome"), outcome);
+    assert.equal(runsOf(deploymentOf(this), scenarioState(this).get("prompt")), 1);
   },
 );
 
@@ -199,7 +199,7 @@
     assert.ok(holder);
     const others = deployment.boxes.filter((box) => box !== holder);
     holder.child.kill("SIGSTOP");
-    await until(
+    await waitUntil(
       async () => (await holderAmong(others)) !== undefined,
       () => "nobody took over",
     );
@@ -222,7 +222,7 @@
       const statuses = await Promise.all(deployment.boxes.map(statusOf));
       return statuses.every((status) => isReady(status, "a", "2"));
     };
-    await until(everywhere, () => "version 2 did not become ready");
+    await waitUntil(everywhere, () => "version 2 did not become ready");
     assert.deepEqual(deployment.violations(), []);
   },
 );
@@ -230,25 +230,25 @@
 When("the log goes down and a new box starts", async function (this: object) {
   const deployment = deploymentOf(this);
   await deployment.post(deployment.logAddress, "/faults", { down: true });
-  notes(this).set("box", await deployment.startBox("box-4", "south", times));
+  scenarioState(this).set("box", await deployment.startBox("box-4", "south", times));
 });
 
 Then(
   "the new box becomes ready and answers, and after the outage a change is in force on every box",
   async function (this: object) {
     const deployment = deploymentOf(this);
-    const box = notes(this).get<RunningBox>("box");
-    await deployment.untilReady(box);
+    const box = scenarioState(this).get<RunningBox>("box");
+    await deployment.waitUntilReady(box);
     const prompt = "during the outage";
     const answers = async () => (await complete(box, { prompt })).status === 200;
-    await until(answers, () => "the new box did not answer");
+    await waitUntil(answers, () => "the new box did not answer");
     await deployment.post(deployment.logAddress, "/faults", { down: false });
     const revision = await write(box, [account("two")], 0);
     const inForce = async () => {
       const statuses = await Promise.all(deployment.boxes.map(statusOf));
       return statuses.every((status) => status.offset >= revision);
     };
-    await until(inForce, () => "the change did not reach every box");
+    await waitUntil(inForce, () => "the change did not reach every box");
   },
 );
 
@@ -261,20 +261,20 @@
   for (const name of ["box-1", "box-2", "box-3"]) {
     started.push(await deployment.startBox(name, "north", times));
   }
-  await Promise.all(started.map((box) => deployment.untilReady(box)));
-  notes(this).set("started", started);
+  await Promise.all(started.map((box) => deployment.waitUntilReady(box)));
+  scenarioState(this).set("started", started);
 });
 
 Then(
   "each of the new boxes serves, with every copy where it was, and no stand-in saw a violation",
   async function (this: object) {
     const deployment = deploymentOf(this);
-    for (const box of notes(this).get<RunningBox[]>("started")) {
+    for (const box of scenarioState(this).get<RunningBox[]>("started")) {
       const serves = async () => (await complete(box, { prompt: "after the kill" })).status === 200;
-      await until(serves, () => "a new box does not serve");
+      await waitUntil(serves, () => "a new box does not serve");
       const seesBothCopies = async () =>
         (await statusOf(box)).models.every((each) => each.ready === 2);
-      await until(seesBothCopies, () => "a new box does not see the copies");
+      await waitUntil(seesBothCopies, () => "a new box does not see the copies");
     }
     assert.deepEqual(deployment.violations(), []);
   },
@@ -288,43 +288,45 @@
   const streams = prompts.map((prompt) =>
     complete(box, { prompt, stream: true }).then(wholeStream),
   );
-  await until(
+  await waitUntil(
     () => prompts.every((prompt) => runsOf(deployment, prompt) > 0),
     () => "not all streams began",
   );
   box.child.kill(signal);
-  notes(world).set("texts", await Promise.all(streams));
-  notes(world).set("prompts", prompts);
+  scenarioState(world).set("texts", await Promise.all(streams));
+  scenarioState(world).set("prompts", prompts);
   return box;
 }
 
 When("a box is stopped while streams run through it", async function (this: object) {
   const box = await signalUnderStreams(this, "SIGTERM");
-  notes(this).set("exit", await box.exited);
+  scenarioState(this).set("exit", await box.exited);
 });
 
 When("a box is told so while streams run through it", async function (this: object) {
-  notes(this).set("box", await signalUnderStreams(this, "SIGHUP"));
+  scenarioState(this).set("box", await signalUnderStreams(this, "SIGHUP"));
 });
 
 Then("every stream ends whole and the box goes on serving", async function (this: object) {
-  const prompts = notes(this).get<string[]>("prompts");
-  assert.deepEqual(notes(this).get("texts"), prompts.map(expectedText));
-  const answer = await complete(notes(this).get<RunningBox>("box"), { prompt: "afterwards" });
+  const prompts = scenarioState(this).get<string[]>("prompts");
+  assert.deepEqual(scenarioState(this).get("texts"), prompts.map(expectedText));
+  const answer = await complete(scenarioState(this).get<RunningBox>("box"), {
+    prompt: "afterwards",
+  });
   assert.equal(answer.status, 200);
 });
 
 Then("every stream ends whole and the box exits with 0", function (this: object) {
-  const prompts = notes(this).get<string[]>("prompts");
-  assert.deepEqual(notes(this).get("texts"), prompts.map(expectedText));
-  assert.equal(notes(this).get("exit"), 0);
+  const prompts = scenarioState(this).get<string[]>("prompts");
+  assert.deepEqual(scenarioState(this).get("texts"), prompts.map(expectedText));
+  assert.equal(scenarioState(this).get("exit"), 0);
 });
 
 When("the engine of a repeatable stream is killed", async function (this: object) {
   const deployment = deploymentOf(this);
   const prompt = "a long bulletin";
   const stream = complete(deployment.boxes[0], { prompt, stream: true }).then(wholeStream);
-  await until(
+  await waitUntil(
     () => runsOf(deployment, prompt) === 1,
     () => "the stream never began",
   );
@@ -332,10 +334,10 @@
     each.lines.some((line) => line.prompt === prompt),
   );
   engine?.child.kill("SIGKILL");
-  notes(this).set("text", await stream);
-  notes(this).set("prompt", prompt);
+  scenarioState(this).set("text", await stream);
+  scenarioState(this).set("prompt", prompt);
 });
 
 Then("the stream ends whole", function (this: object) {
-  assert.equal(notes(this).get("text"), expectedText(notes(this).get("prompt")));
+  assert.equal(scenarioState(this).get("text"), expectedText(scenarioState(this).get("prompt")));
 });
--- a/packages/daemon/src/run-daemon.ts
+++ b/packages/daemon/src/run-daemon.ts
@@ -46,7 +46,7 @@
 export async function startDaemon(
   settings: Settings,
   logger: Logger,
-  defect: (problem: unknown) => void,
+  onDefect: (problem: unknown) => void,
 ): Promise<Either<AddressUnavailable, Daemon>> {
   const clock = systemClock();
   const client = createHttpClient();
@@ -64,7 +64,7 @@
     engines: createEngineHttp(engines),
     targets: {
       send: client.send,
-      listens: (address) => isListening(clock, address, lookMs),
+      probeListener: (address) => isListening(clock, address, lookMs),
     },
   });
 
@@ -74,7 +74,7 @@
     bodyTimeoutMs: settings.callers.body_timeout_ms,
   };
   const { caller_address, operator_address, peer_address } = settings.box;
-  const front = { clock, limits, tls, defect };
+  const front = { clock, limits, tls, onDefect: onDefect };
   const callers = createHttpFront({
     ...front,
     address: caller_address,
@@ -85,7 +85,7 @@
     address: operator_address,
     handle: box.operators.handle,
   });
-  const peerServer = createPeerServer(box.peerHandler, defect, tls);
+  const peerServer = createPeerServer(box.peerHandler, onDefect, tls);
 
   const daemon: Daemon = {
     box,
@@ -109,6 +109,6 @@
 }
 
 /** The logger that the settings ask for. */
-export function loggerFor(settings: Settings): Logger {
+export function createDaemonLogger(settings: Settings): Logger {
   return createLogger(settings.box.name, settings.log.level);
 }
--- a/packages/demand-meter/src/index.ts
+++ b/packages/demand-meter/src/index.ts
@@ -2,33 +2,33 @@
 import type { Clock } from "@linkfall/kernel";
 import type { DemandSample, Milliseconds } from "@linkfall/types";
 
-const smoothingMs: Milliseconds = 20_000;
+const timeConstantMs: Milliseconds = 20_000;
 const millisecondsPerSecond = 1000;
 /** Rates under this are not worth passing on. */
-const negligibleRate = 0.001;
+const minReportedRate = 0.001;
 
-interface Decaying {
+interface DecayingTotals {
   requests: number;
   tokens: number;
-  at: Milliseconds;
+  updatedAt: Milliseconds;
 }
 
 export interface DemandMeter {
   /** Counts one request that asks for `tokens` output tokens. */
-  note(model: string, tokens: number): void;
+  recordRequest(model: string, tokens: number): void;
   /** This box's own demand. */
-  own(): readonly DemandSample[];
+  localDemand(): readonly DemandSample[];
 }
 
-function decay(entry: Decaying, now: Milliseconds): void {
-  const factor = Math.exp(-(now - entry.at) / smoothingMs);
+function decay(entry: DecayingTotals, now: Milliseconds): void {
+  const factor = Math.exp(-(now - entry.updatedAt) / timeConstantMs);
   entry.requests *= factor;
   entry.tokens *= factor;
-  entry.at = now;
+  entry.updatedAt = now;
 }
 
-function toSample(model: string, entry: Decaying): DemandSample {
-  const seconds = smoothingMs / millisecondsPerSecond;
+function toSample(model: string, entry: DecayingTotals): DemandSample {
+  const seconds = timeConstantMs / millisecondsPerSecond;
   return {
     model,
     requestsPerSecond: entry.requests / seconds,
@@ -38,23 +38,23 @@
 
 /** Creates a meter that has seen nothing. */
 export function createDemandMeter(clock: Clock): DemandMeter {
-  const entries = new Map<string, Decaying>();
+  const entries = new Map<string, DecayingTotals>();
   return {
-    note(model, tokens) {
+    recordRequest(model, tokens) {
       const now = clock.now();
-      const entry = entries.get(model) ?? { requests: 0, tokens: 0, at: now };
+      const entry = entries.get(model) ?? { requests: 0, tokens: 0, updatedAt: now };
       entries.set(model, entry);
       decay(entry, now);
       entry.requests += 1;
       entry.tokens += tokens;
     },
-    own() {
+    localDemand() {
       const now = clock.now();
       const samples: DemandSample[] = [];
       for (const [model, entry] of entries) {
         decay(entry, now);
         const sample = toSample(model, entry);
-        if (sample.requestsPerSecond < negligibleRate) entries.delete(model);
+        if (sample.requestsPerSecond < minReportedRate) entries.delete(model);
         else samples.push(sample);
       }
       return samples;
--- a/packages/demo/src/desired-state.ts
+++ b/packages/demo/src/desired-state.ts
@@ -1,5 +1,5 @@
 /** Desired state of the demo: seven models on four engines, an adapter and an HTTP service. */
-import type { EngineShape } from "@linkfall/stand-ins";
+import type { EngineSpec } from "@linkfall/stand-ins";
 import { hashToken } from "@linkfall/stand-ins";
 import type { Engine, Resource } from "@linkfall/types";
 
@@ -22,7 +22,7 @@
 ];
 
 /** Engines of the demo; the last one does not check fencing tokens. */
-export const demoEngines: readonly EngineShape[] = [0, 1, 2, 3].map((index) => ({
+export const demoEngines: readonly EngineSpec[] = [0, 1, 2, 3].map((index) => ({
   name: `engine-${index + 1}`,
   pool,
   domain: domains[index % domains.length],
--- a/packages/demo/src/main.ts
+++ b/packages/demo/src/main.ts
@@ -1,6 +1,6 @@
 /** `npm run demo`: starts a small deployment on loopback, sends requests and prints the responses. */
 import { createOperatorClient } from "@linkfall/operator-client";
-import { DeploymentProcesses, operatorToken, until } from "@linkfall/stand-ins";
+import { DeploymentProcesses, operatorToken, waitUntil } from "@linkfall/stand-ins";
 import { type RequestResult, fetchEntries, sendRequest } from "./callers.js";
 import { accountTokens, demoEngines, demoResources } from "./desired-state.js";
 
@@ -29,7 +29,7 @@
   const boxes = await Promise.all(
     domains.map((domain, index) => deployment.startBox(`box-${index + 1}`, domain)),
   );
-  await Promise.all(boxes.map((box) => deployment.untilReady(box)));
+  await Promise.all(boxes.map((box) => deployment.waitUntilReady(box)));
   const resources = demoResources(
     engines,
     services.map((service) => service.address),
@@ -60,7 +60,7 @@
         .orDefault(false),
     );
   };
-  await until(allModelsReady, () => "timed out waiting for all models to become ready", 60_000);
+  await waitUntil(allModelsReady, () => "timed out waiting for all models to become ready", 60_000);
 }
 
 async function sendRequests(): Promise<void> {
@@ -170,7 +170,7 @@
   await main();
 } catch (error) {
   process.stderr.write(`demo: ${String(error)}\n`);
-  for (const box of deployment.boxes) process.stderr.write(box.errors().slice(-2_000));
+  for (const box of deployment.boxes) process.stderr.write(box.stderrText().slice(-2_000));
   await deployment.stop();
   process.exitCode = 1;
 }
--- a/packages/desired-feed/src/configuration-tracker.ts
+++ b/packages/desired-feed/src/configuration-tracker.ts
@@ -75,7 +75,7 @@
     version,
     copy: () => ({ version: version(), text: activeText }),
     apply(text, from) {
-      codec.configuration(text).caseOf({
+      codec.parseConfiguration(text).caseOf({
         Left: (invalid) => {
           const problem = describeProblems(invalid);
           logger.event("badRecord", { key: configurationKey, problem });
--- a/packages/desired-feed/src/desired-feed.steps.ts
+++ b/packages/desired-feed/src/desired-feed.steps.ts
@@ -40,11 +40,11 @@
 
 /** A configuration record is its version, a target record the name of its service. */
 const codec: RecordCodec = {
-  configuration: (text) =>
+  parseConfiguration: (text) =>
     Number.isFinite(Number(text))
       ? Right(configuration(Number(text)))
       : Left({ kind: "invalid_input", problems: [{ field: "version", reason: "not a number" }] }),
-  target: (id, text) =>
+  parseTarget: (id, text) =>
     text === "{"
       ? Left({ kind: "invalid_input", problems: [{ field: "", reason: "not JSON" }] })
       : Right({ id, service: text, address: "10.0.0.1:1", domain: "d", slots: 1, leaving: false }),
--- a/packages/desired-feed/src/desired-feed.ts
+++ b/packages/desired-feed/src/desired-feed.ts
@@ -96,7 +96,7 @@
 /** Parses one target entry; an invalid one is logged and counted, and yields undefined. */
 function parseTarget({ input, logger, metrics }: FeedContext, id: string, text: string) {
   return input.codec
-    .target(id, text)
+    .parseTarget(id, text)
     .ifLeft(({ problems }) => {
       const [problem] = problems;
       metrics.count("linkfall_bad_entries_total", "Entries of targets that could not be read.");
--- a/packages/desired-feed/src/stream-follower.ts
+++ b/packages/desired-feed/src/stream-follower.ts
@@ -82,7 +82,9 @@
       }
       const from = nextOffset;
       const restartsBefore = restarts;
-      const read = await (from === undefined ? port.newest() : port.changes(from, times.maxWaitMs));
+      const read = await (from === undefined
+        ? port.readNewest()
+        : port.readChanges(from, times.maxWaitMs));
       if (stopped) return;
       await read.caseOf<Promise<void> | void>({
         Left: handleFailure,
--- a/packages/engine-http/src/index.ts
+++ b/packages/engine-http/src/index.ts
@@ -2,7 +2,7 @@
  * Engines over HTTP: `GET /report`, `POST /fence {epoch}` (answers with a report), `POST /orders`
  * and `GET /cache-events?after=`.
  */
-import { expectAnswer, type JsonCaller } from "@linkfall/json-call";
+import { parseOkResponse, type JsonCaller } from "@linkfall/json-call";
 import type { EnginePort } from "@linkfall/ports";
 import { engineRoles, residentStates } from "@linkfall/types";
 import { z } from "zod";
@@ -49,22 +49,22 @@
   return {
     async report(address) {
       const answer = await caller.call({ address, method: "GET", path: "/report" });
-      return answer.chain((value) => expectAnswer(value, reportSchema));
+      return answer.chain((value) => parseOkResponse(value, reportSchema));
     },
     async raiseFence(address, epoch) {
       const call = { address, method: "POST", path: "/fence", body: { epoch } } as const;
       const answer = await caller.call(call);
-      return answer.chain((value) => expectAnswer(value, reportSchema));
+      return answer.chain((value) => parseOkResponse(value, reportSchema));
     },
     async order(address, order) {
       const call = { address, method: "POST", path: "/orders", body: order } as const;
       const answer = await caller.call(call);
-      return answer.chain((value) => expectAnswer(value, replySchema));
+      return answer.chain((value) => parseOkResponse(value, replySchema));
     },
     async cacheEvents(address, after) {
       const path = `/cache-events?after=${after}`;
       const answer = await caller.call({ address, method: "GET", path });
-      return answer.chain((value) => expectAnswer(value, cacheSchema));
+      return answer.chain((value) => parseOkResponse(value, cacheSchema));
     },
   };
 }
--- a/packages/entry-box/src/accept-watch.ts
+++ b/packages/entry-box/src/accept-watch.ts
@@ -7,44 +7,44 @@
 import type { Metrics } from "@linkfall/metrics";
 import type { Milliseconds } from "@linkfall/types";
 
-export interface AcceptWatch {
+export interface AcceptQueueMonitor {
   /** Notes that a connection was taken. */
-  accepted(): void;
+  connectionAccepted(): void;
 }
 
-export interface AcceptWatchInput {
+export interface AcceptQueueMonitorOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Turns of the event loop since the process began. */
-  loopTurns(): number;
+  loopIterations(): number;
 }
 
 /** Connections that were taken one a turn, without a turn between them. */
-interface AcceptRun {
-  readonly since: Milliseconds;
-  lastAt: Milliseconds;
-  lastTurn: number;
+interface AcceptBurst {
+  readonly startedAt: Milliseconds;
+  lastAcceptedAt: Milliseconds;
+  lastIteration: number;
   connections: number;
   /** A wait that is told next; each line doubles it. */
-  tellFromMs: Milliseconds;
+  logThresholdMs: Milliseconds;
 }
 
 /** A wait that callers notice: they give up what is unread after a second, or sooner. */
-const longWaitMs: Milliseconds = 250;
+const minLoggedWaitMs: Milliseconds = 250;
 
 /** Creates a watch. */
-export function createAcceptWatch({
+export function createAcceptQueueMonitor({
   clock,
   logger,
   metrics,
-  loopTurns,
-}: AcceptWatchInput): AcceptWatch {
-  let run: AcceptRun | undefined;
+  loopIterations: loopTurns,
+}: AcceptQueueMonitorOptions): AcceptQueueMonitor {
+  let run: AcceptBurst | undefined;
 
-  const tell = (current: AcceptRun, waitedMs: Milliseconds) => {
-    if (waitedMs < current.tellFromMs) return;
-    current.tellFromMs = waitedMs * 2;
+  const tell = (current: AcceptBurst, waitedMs: Milliseconds) => {
+    if (waitedMs < current.logThresholdMs) return;
+    current.logThresholdMs = waitedMs * 2;
     logger.event("connectionsWaited", {
       connections: current.connections,
       waitedMs: Math.round(waitedMs),
@@ -52,17 +52,23 @@
   };
 
   return {
-    accepted() {
+    connectionAccepted() {
       const now = clock.now();
       const turn = loopTurns();
-      if (run === undefined || turn > run.lastTurn + 1) {
-        run = { since: now, lastAt: now, lastTurn: turn, connections: 1, tellFromMs: longWaitMs };
+      if (run === undefined || turn > run.lastIteration + 1) {
+        run = {
+          startedAt: now,
+          lastAcceptedAt: now,
+          lastIteration: turn,
+          connections: 1,
+          logThresholdMs: minLoggedWaitMs,
+        };
         return;
       }
-      const turnMs = now - run.lastAt;
-      const waitedMs = now - run.since;
-      run.lastAt = now;
-      run.lastTurn = turn;
+      const turnMs = now - run.lastAcceptedAt;
+      const waitedMs = now - run.startedAt;
+      run.lastAcceptedAt = now;
+      run.lastIteration = turn;
       run.connections += 1;
       metrics.observe(
         "linkfall_accept_turn_ms",
--- a/packages/entry-box/src/account-admission.ts
+++ b/packages/entry-box/src/account-admission.ts
@@ -1,7 +1,7 @@
 /** Takes a request from the limit of its account, and settles it when the request has its end. */
 import { type AccountQuota, type QuotaCharge, unitsOf } from "@linkfall/account-quota";
-import type { ForwardedRequest, RequestEnd } from "@linkfall/forwarding";
-import type { ClientAccount, Milliseconds, RequestTerms } from "@linkfall/types";
+import type { ForwardedRequest, RequestOutcome } from "@linkfall/forwarding";
+import type { ClientAccount, Milliseconds, RequestMetadata } from "@linkfall/types";
 
 export type AccountAdmission =
   /** `use` is what was taken; absent where no limit holds. */
@@ -12,7 +12,7 @@
 export async function admitToQuota(
   quota: AccountQuota,
   account: ClientAccount | undefined,
-  terms: RequestTerms,
+  terms: RequestMetadata,
   version: number,
 ): Promise<AccountAdmission> {
   if (!account?.limit) return { kind: "admitted" };
@@ -25,8 +25,8 @@
 export function settleQuota(
   quota: AccountQuota,
   use: QuotaCharge | undefined,
-  { runs, sends, unwritten }: ForwardedRequest,
-  end: RequestEnd,
+  { possibleRuns: runs, sends, unwrittenSends: unwritten }: ForwardedRequest,
+  end: RequestOutcome,
 ): void {
   if (!use) return;
   const neverRan = runs === 0 && (end.outcome === "refused" || sends === unwritten);
--- a/packages/entry-box/src/accounts.steps.ts
+++ b/packages/entry-box/src/accounts.steps.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
 import type { BoxProfile, BoxStatus } from "@linkfall/box-peers";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { createBoundedLabel } from "./bounded-label.js";
-import { hearsMost } from "./connected.js";
-import { partsOf } from "./limit-parts.js";
+import { reachesMajority } from "./connected.js";
+import { limitSharesOf } from "./limit-parts.js";
 import { rankAllocators } from "./allocators.js";
 
 function profileOf(capacity: number, index: number, leaving = false): BoxProfile {
@@ -31,11 +31,11 @@
     const boxes = numbers(capacities).map((capacity, index) =>
       profileOf(capacity, index, index === 0),
     );
-    notes(this).set("boxes", boxes);
+    scenarioState(this).set("boxes", boxes);
   },
 );
 
-const boxesOf = (world: object) => notes(world).get<readonly BoxProfile[]>("boxes");
+const boxesOf = (world: object) => scenarioState(world).get<readonly BoxProfile[]>("boxes");
 const firstOf = (account: string, boxes: readonly BoxProfile[]) =>
   rankAllocators(account, boxes)[0];
 const accounts = Array.from({ length: 50 }, (_, index) => `account-${index}`);
@@ -66,7 +66,7 @@
 
 Then("boxes of capacity {string} have the parts {string}", (capacities: string, parts: string) => {
   const boxes = numbers(capacities).map((capacity, index) => profileOf(capacity, index));
-  assert.deepEqual([...partsOf(boxes).values()], numbers(parts));
+  assert.deepEqual([...limitSharesOf(boxes).values()], numbers(parts));
 });
 
 Then(
@@ -74,7 +74,7 @@
   (most: number, heard: number, answer: string) => {
     const statuses = Array.from({ length: heard }, () => ({}) as BoxStatus);
     const peers = { statuses: () => statuses, most: () => most };
-    assert.equal(hearsMost(peers) ? "yes" : "no", answer);
+    assert.equal(reachesMajority(peers) ? "yes" : "no", answer);
   },
 );
 
--- a/packages/entry-box/src/activity.ts
+++ b/packages/entry-box/src/activity.ts
@@ -2,9 +2,9 @@
 import { type Clock, type Random, repeatEvery, type Service } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 
-export interface Activity extends Service {
+export interface ActivityMonitor extends Service {
   /** Notes a request. */
-  note(): void;
+  recordRequest(): void;
   /** Whether callers have sent requests lately. */
   takesRequests(): boolean;
   /** Whether little of the processor is left. */
@@ -12,24 +12,28 @@
 }
 
 /** Callers may come back for as long after their last request. */
-const recentMs: Milliseconds = 10_000;
-const sampleMs: Milliseconds = 1_000;
+const recentRequestWindowMs: Milliseconds = 10_000;
+const sampleIntervalMs: Milliseconds = 1_000;
 /** Two shares, so that a box does not change its mind with every sample. */
-const strainedFrom = 0.75;
-const easyBelow = 0.5;
+const strainedThreshold = 0.75;
+const recoveredThreshold = 0.5;
 
 /** `busyShare` tells the share of the time since its last call in which the process was at work. */
-export function createActivity(clock: Clock, random: Random, busyShare: () => number): Activity {
+export function createActivityMonitor(
+  clock: Clock,
+  random: Random,
+  busyShare: () => number,
+): ActivityMonitor {
   let lastAt = -Infinity;
   let strained = false;
-  const sampling = repeatEvery(clock, random, sampleMs, () => {
-    strained = busyShare() > (strained ? easyBelow : strainedFrom);
+  const sampling = repeatEvery(clock, random, sampleIntervalMs, () => {
+    strained = busyShare() > (strained ? recoveredThreshold : strainedThreshold);
   });
   return {
-    note() {
+    recordRequest() {
       lastAt = clock.now();
     },
-    takesRequests: () => clock.now() - lastAt < recentMs,
+    takesRequests: () => clock.now() - lastAt < recentRequestWindowMs,
     strained: () => strained,
     start: sampling.start,
     stop: sampling.stop,
--- a/packages/entry-box/src/allocators.ts
+++ b/packages/entry-box/src/allocators.ts
@@ -1,8 +1,8 @@
 /** Which boxes hand out what all boxes share. */
 import { type BoxProfile, peersName } from "@linkfall/box-peers";
 import { rankNodes } from "@linkfall/rendezvous";
-import type { BoxParts } from "./box-parts.js";
-import { strongFrom } from "./entries.js";
+import type { BoxRuntime } from "./box-runtime.js";
+import { strongCapacityThreshold } from "./entries.js";
 import { ownProfile } from "./own-profile.js";
 
 /**
@@ -10,7 +10,7 @@
  * are not leaving, ranked by hash, so that boxes that know the same others ask the same one.
  */
 export function rankAllocators(name: string, boxes: readonly BoxProfile[]): readonly string[] {
-  const from = strongFrom(boxes);
+  const from = strongCapacityThreshold(boxes);
   const able = boxes.filter((box) => box.capacity >= from && !box.leaving);
   return rankNodes(
     name,
@@ -19,6 +19,6 @@
 }
 
 /** The same among the boxes that this one takes for alive. */
-export function allocatorsFor(parts: BoxParts, name: string): readonly string[] {
+export function currentAllocators(parts: BoxRuntime, name: string): readonly string[] {
   return rankAllocators(name, [ownProfile(parts), ...parts.kernel.find(peersName).alive()]);
 }
--- a/packages/entry-box/src/box-loads.ts
+++ b/packages/entry-box/src/box-loads.ts
@@ -4,16 +4,16 @@
 import type { ModelDemand } from "@linkfall/model-demand";
 import type { Milliseconds } from "@linkfall/types";
 
-export type Loads = Readonly<Record<string, TargetLoad>>;
+export type LoadByTarget = Readonly<Record<string, TargetLoad>>;
 
 /** This box's requests by target, without targets that have none. */
-export function ownLoads(fleet: Fleet): Loads {
+export function ownLoads(fleet: Fleet): LoadByTarget {
   const busy = fleet.all().filter(({ ownLoad: own }) => own.inFlight > 0 || own.promptTokens > 0);
   return Object.fromEntries(busy.map(({ listed, ownLoad: own }) => [listed.id, own]));
 }
 
 /** Requests of several boxes by target. */
-export function sumLoads(loads: readonly Loads[]): Map<string, TargetLoad> {
+export function sumLoads(loads: readonly LoadByTarget[]): Map<string, TargetLoad> {
   const sums = new Map<string, TargetLoad>();
   for (const [id, load] of loads.flatMap((entry) => Object.entries(entry))) {
     const sum = sums.get(id);
@@ -26,7 +26,10 @@
 }
 
 /** A sum without one box's part; targets that are left without work are left out. */
-export function withoutPart(sums: ReadonlyMap<string, TargetLoad>, part: Loads): Loads {
+export function subtractLoads(
+  sums: ReadonlyMap<string, TargetLoad>,
+  part: LoadByTarget,
+): LoadByTarget {
   const rest = [...sums].map(([id, sum]) => {
     const own = part[id];
     const inFlight = Math.max(0, sum.inFlight - (own?.inFlight ?? 0));
@@ -37,7 +40,7 @@
 }
 
 /** Whether a box has requests that wait for weights. */
-export function hasWaiting(status: BoxStatus | undefined): boolean {
+export function hasWaitingRequests(status: BoxStatus | undefined): boolean {
   if (!status) return false;
   return status.demand.some(
     (demand) => demand.waiting > 0 || Object.keys(demand.waitingAdapters).length > 0,
@@ -45,9 +48,9 @@
 }
 
 /** Models that nobody has asked for in this time are left out of a heartbeat. */
-const recentMs: Milliseconds = 3_000;
+const recentDemandWindowMs: Milliseconds = 3_000;
 
 /** The part of a box's demand that the order giver has to hear. */
 export function recentDemand(demand: readonly ModelDemand[]): readonly ModelDemand[] {
-  return demand.filter((entry) => entry.idleMs < recentMs);
+  return demand.filter((entry) => entry.idleMs < recentDemandWindowMs);
 }
--- a/packages/entry-box/src/box-ports.ts
+++ b/packages/entry-box/src/box-ports.ts
@@ -26,7 +26,7 @@
   readonly requests: RequestCodec;
   readonly engines: RoutedEnginePort;
   /** Share of the time since the last call in which this process was at work, from 0 to 1. */
-  busyShare(): number;
+  processorUtilization(): number;
   /** Turns of this process's event loop since its start. */
-  loopTurns(): number;
+  loopIterations(): number;
 }
--- a/packages/entry-box/src/box-ranking.steps.ts
+++ b/packages/entry-box/src/box-ranking.steps.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
-import { chooseReaders, type PlacedBox } from "./box-ranking.js";
+import { scenarioState } from "@linkfall/test-support";
+import { chooseReaders, type BoxInDomain } from "./box-ranking.js";
 
-const placed = (names: string, domain: string, capacity: number): readonly PlacedBox[] =>
+const placed = (names: string, domain: string, capacity: number): readonly BoxInDomain[] =>
   names.split(" ").map((box) => ({ box, domain, capacity }));
 
-const boxesOf = (world: object) => notes(world).get<readonly PlacedBox[]>("boxes");
+const boxesOf = (world: object) => scenarioState(world).get<readonly BoxInDomain[]>("boxes");
 
 Given(
   "boxes {string} of domain {string} with capacity {int}, and {string} of domain {string} with capacity {int}",
@@ -20,7 +20,7 @@
     otherCapacity: number,
   ) {
     const others = placed(otherNames, otherDomain, otherCapacity);
-    notes(this).set("boxes", [...placed(names, domain, capacity), ...others]);
+    scenarioState(this).set("boxes", [...placed(names, domain, capacity), ...others]);
   },
 );
 
--- a/packages/entry-box/src/box-ranking.ts
+++ b/packages/entry-box/src/box-ranking.ts
@@ -6,7 +6,7 @@
   readonly capacity: number;
 }
 
-export interface PlacedBox extends RankedBox {
+export interface BoxInDomain extends RankedBox {
   readonly domain: string;
 }
 
@@ -24,7 +24,7 @@
  * Names of the boxes that read the store for all: the first in rank, then the first of each further failure
  * domain, so that none of these takes all of them along; the next in rank where there are fewer domains.
  */
-export function chooseReaders(boxes: readonly PlacedBox[], count: number): readonly string[] {
+export function chooseReaders(boxes: readonly BoxInDomain[], count: number): readonly string[] {
   const domainOf = new Map(boxes.map(({ box, domain }) => [box, domain]));
   const ranked = rankBoxes(boxes);
   const domains = new Set<string>();
--- a/packages/entry-box/src/registry.ts
+++ b/packages/entry-box/src/box-registry.ts
@@ -6,14 +6,14 @@
 import { isEndpoint, type Milliseconds } from "@linkfall/types";
 
 /** Pause after the registry could not be read or written. */
-const retryMs: Milliseconds = 500;
+const retryDelayMs: Milliseconds = 500;
 /** How often the registry is read again, for boxes that nobody has told of. */
-const readAgainMs: Milliseconds = 15_000;
+const meshPollIntervalMs: Milliseconds = 15_000;
 /** The same where one box hears all others and tells of them. */
-const readSeldomMs: Milliseconds = 60_000;
+const hubPollIntervalMs: Milliseconds = 60_000;
 
 /** Other writers may leave records under any key; log lines show no more of it. */
-const longestKey = 64;
+const maxLoggedKeyLength = 64;
 
 /** What another writer left in place of an address is passed over: it names no box to ask. */
 function parseAddress(box: string, text: string): BoxAddress | undefined {
@@ -31,16 +31,16 @@
   let registered = false;
   while (!stopped()) {
     if (!registered) registered = (await stream.put(self.box, self.peerAddress)).isRight();
-    const read = await stream.newest();
+    const read = await stream.readNewest();
     read.ifRight(({ records }) => {
       for (const { key, value } of records) {
         if (value === undefined) continue;
         const address = parseAddress(key, value);
-        if (address) peers.learn(address);
-        else logger.event("badRecord", { key: key.slice(0, longestKey), problem: "no address" });
+        if (address) peers.addPeer(address);
+        else logger.event("badRecord", { key: key.slice(0, maxLoggedKeyLength), problem: "no address" });
       }
     });
-    const againMs = peers.mesh() ? readAgainMs : readSeldomMs;
-    await sleep(clock, registered && read.isRight() ? againMs : retryMs);
+    const againMs = peers.isFullMesh() ? meshPollIntervalMs : hubPollIntervalMs;
+    await sleep(clock, registered && read.isRight() ? againMs : retryDelayMs);
   }
 }
--- a/packages/entry-box/src/box-parts.ts
+++ b/packages/entry-box/src/box-runtime.ts
@@ -6,36 +6,36 @@
 import { metricsName } from "@linkfall/metrics";
 import { createModelDemandMeter, type ModelDemandMeter } from "@linkfall/model-demand";
 import type { Incarnation } from "@linkfall/types";
-import { type Activity, createActivity } from "./activity.js";
+import { type ActivityMonitor, createActivityMonitor } from "./activity.js";
 import type { EntryBoxPorts } from "./box-ports.js";
-import { createPlannedStop, type PlannedStop } from "./planned-stop.js";
+import { createGracefulShutdown, type GracefulShutdown } from "./planned-stop.js";
 
-export interface BoxParts {
+export interface BoxRuntime {
   readonly kernel: Kernel;
   readonly settings: EntrySettings;
   readonly ports: EntryBoxPorts;
   readonly incarnation: Incarnation;
-  readonly stop: PlannedStop;
+  readonly shutdown: GracefulShutdown;
   readonly demand: ModelDemandMeter;
-  readonly activity: Activity;
+  readonly activity: ActivityMonitor;
   readonly peerClient: PeerClient;
 }
 
 /** Creates the parts, with the services that every other one needs. */
-export function createBoxParts(settings: EntrySettings, ports: EntryBoxPorts): BoxParts {
+export function createBoxRuntime(settings: EntrySettings, ports: EntryBoxPorts): BoxRuntime {
   const { clock, random, logger } = ports;
   const kernel = createKernel();
   kernel.provide(clockName, clock);
   kernel.provide(randomName, random);
   kernel.provide(loggerName, logger);
   kernel.provide(metricsName, ports.metrics);
-  const activity = createActivity(clock, random, ports.busyShare);
+  const activity = createActivityMonitor(clock, random, ports.processorUtilization);
   return {
     kernel,
     settings,
     ports,
     incarnation: `${settings.box.name}@${random.identifier()}`,
-    stop: createPlannedStop(clock, settings),
+    shutdown: createGracefulShutdown(clock, settings),
     demand: createModelDemandMeter(clock),
     activity: kernel.provide({ name: "activity" }, activity, activity),
     peerClient: createPeerClient(clock, settings.peers.call_ms),
--- a/packages/entry-box/src/entries.steps.ts
+++ b/packages/entry-box/src/entries.steps.ts
@@ -1,10 +1,11 @@
 import assert from "node:assert/strict";
 import { type DataTable, Given, Then } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
-import { chooseEntries, type EntryOfBox } from "./entries.js";
+import { scenarioState } from "@linkfall/test-support";
+import { chooseEntries, type EntryCandidate } from "./entries.js";
 
-const boxesOf = (world: object) => notes(world).get<readonly EntryOfBox[]>("boxes");
-const keep = (world: object, boxes: readonly EntryOfBox[]) => notes(world).set("boxes", boxes);
+const boxesOf = (world: object) => scenarioState(world).get<readonly EntryCandidate[]>("boxes");
+const keep = (world: object, boxes: readonly EntryCandidate[]) =>
+  scenarioState(world).set("boxes", boxes);
 const split = (names: string) => names.split(" ");
 
 Given("boxes of these capacities", function (this: object, table: DataTable) {
--- a/packages/entry-box/src/entries.ts
+++ b/packages/entry-box/src/entries.ts
@@ -1,7 +1,7 @@
 /** Which boxes a caller is told of. */
 
 /** One box that takes callers. */
-export interface EntryOfBox {
+export interface EntryCandidate {
   readonly address: string;
   readonly domain: string;
   /** What it can carry, in cores of one speed. */
@@ -11,30 +11,35 @@
 }
 
 /** With fewer boxes than this to choose from, a caller is told of more. */
-const enough = 2;
+const minEntries = 2;
 /** Boxes with this share of the strongest one's capacity are strong as well. */
-const strongShare = 0.5;
+const strongCapacityRatio = 0.5;
 /** With this share of the strong boxes strained, the others are needed too. */
-const helpShare = 0.5;
+const maxStrainedFraction = 0.5;
 
 /** Capacity from which on a box counts as strong. */
-export function strongFrom(boxes: readonly Pick<EntryOfBox, "capacity">[]): number {
-  return Math.max(0, ...boxes.map((box) => box.capacity)) * strongShare;
+export function strongCapacityThreshold(
+  boxes: readonly Pick<EntryCandidate, "capacity">[],
+): number {
+  return Math.max(0, ...boxes.map((box) => box.capacity)) * strongCapacityRatio;
 }
 
 /** The boxes that are to take requests while they can carry them: few that know much serve better
  * than many that know little. */
-function carriers(boxes: readonly EntryOfBox[], from: number): readonly EntryOfBox[] {
+function preferredBoxes(boxes: readonly EntryCandidate[], from: number): readonly EntryCandidate[] {
   const strong = boxes.filter((box) => box.capacity >= from);
   const strained = strong.filter((box) => box.strained);
-  return strained.length > strong.length * helpShare ? boxes : strong;
+  return strained.length > strong.length * maxStrainedFraction ? boxes : strong;
 }
 
 /** Addresses for a caller: strong boxes of its failure domain where there are enough, else of all. */
-export function chooseEntries(boxes: readonly EntryOfBox[], domain?: string): readonly string[] {
+export function chooseEntries(
+  boxes: readonly EntryCandidate[],
+  domain?: string,
+): readonly string[] {
   const near = boxes.filter((box) => box.domain === domain);
-  const from = strongFrom(boxes);
-  const choices = [carriers(near, from), carriers(boxes, from), near];
-  const chosen = choices.find((choice) => choice.length >= enough) ?? boxes;
+  const from = strongCapacityThreshold(boxes);
+  const choices = [preferredBoxes(near, from), preferredBoxes(boxes, from), near];
+  const chosen = choices.find((choice) => choice.length >= minEntries) ?? boxes;
   return chosen.map((box) => box.address);
 }
--- a/packages/entry-box/src/forward-context.ts
+++ b/packages/entry-box/src/forward-context.ts
@@ -6,9 +6,9 @@
   type ChangeWaiter,
   createChangeWaiter,
   createForwardMetrics,
-  createLastTries,
-  createLostTargets,
-  createStreamPace,
+  createFinalAttempts,
+  createTargetProbe,
+  createStreamGapMeter,
   createWorkCostMeter,
   type ForwardContext,
 } from "@linkfall/forwarding";
@@ -18,19 +18,19 @@
 import { createRetryBudget } from "@linkfall/retry-budget";
 import type { Milliseconds } from "@linkfall/types";
 import { orderDispatcherName } from "@linkfall/weight-orders";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import type { HeartbeatReceiver } from "./heartbeat-receiver.js";
 import { targetLimitsName } from "./provide-limits.js";
-import { boxesWithCallers } from "./boxes-with-callers.js";
+import { countBoxesWithCallers } from "./boxes-with-callers.js";
 
 /** Requests that begin to wait within this time are told together: little against the time of a load. */
-const gatherMs: Milliseconds = 10;
+const announceDelayMs: Milliseconds = 10;
 /** A target that ended refuses within a millisecond or two; one that is cut off does not answer. */
-const lookMs: Milliseconds = 100;
+const listenProbeTimeoutMs: Milliseconds = 100;
 const microsecondsPerMillisecond = 1000;
 
 /** Tells the box that gives orders of demand, several requests together. */
-function createDemandAnnouncer({ kernel, ports }: BoxParts): () => void {
+function createDemandAnnouncer({ kernel, ports }: BoxRuntime): () => void {
   const { clock } = ports;
   let announcing = false;
   const announce = () => {
@@ -38,24 +38,24 @@
     const lease = kernel.find(orderLeaseName);
     if (lease.epoch() !== undefined) return kernel.find(orderDispatcherName).triggerCycle();
     const holder = lease.observedLease()?.holder;
-    kernel.find(peersName).send((member) => member.status?.incarnation === holder);
+    kernel.find(peersName).sendHeartbeats((member) => member.status?.incarnation === holder);
   };
   return () => {
     if (announcing) return;
     announcing = true;
-    clock.after(gatherMs, announce);
+    clock.after(announceDelayMs, announce);
   };
 }
 
 /** A waiter that wakes its requests when what is believed of targets has changed. */
-export function createFleetWaiter({ kernel, ports }: BoxParts): ChangeWaiter {
+export function createFleetWaiter({ kernel, ports }: BoxRuntime): ChangeWaiter {
   const waiter = createChangeWaiter(ports.clock);
-  kernel.find(fleetName).onChange(waiter.wake);
+  kernel.find(fleetName).onChange(waiter.wakeAll);
   return waiter;
 }
 
 export function createForwardContext(
-  parts: BoxParts,
+  parts: BoxRuntime,
   waiter: ChangeWaiter,
   receiver: HeartbeatReceiver,
 ): ForwardContext {
@@ -68,45 +68,47 @@
     logger,
     metrics: createForwardMetrics(kernel.find(metricsName)),
     blame: kernel.find(crashBlameName),
-    lastTries: createLastTries(),
-    lostTargets: createLostTargets(clock, (address) => isListening(clock, address, lookMs)),
+    finalAttempts: createFinalAttempts(),
+    targetProbe: createTargetProbe(clock, (address) =>
+      isListening(clock, address, listenProbeTimeoutMs),
+    ),
     targetLimits: kernel.find(targetLimitsName),
     codec: ports.requests,
     fleet: kernel.find(fleetName),
     demand,
-    waiter,
+    changeWaiter: waiter,
     domain: settings.box.domain,
-    tellOfWait: createDemandAnnouncer(parts),
-    takes: parts.stop.takes,
-    boxes: () => boxesWithCallers(parts),
+    announceDemand: createDemandAnnouncer(parts),
+    acceptsRoute: parts.shutdown.accepts,
+    boxCount: () => countBoxesWithCallers(parts),
     expectedWeightsMs: receiver.expectedWeightsMs,
-    budget: createRetryBudget(clock, {
+    retryBudget: createRetryBudget(clock, {
       ratio: retries.ratio,
-      slack: retries.slack,
+      baseRetries: retries.slack,
       windowMs: retries.window_ms,
     }),
-    pace: createStreamPace(clock),
-    costs: createWorkCostMeter({
+    streamGaps: createStreamGapMeter(clock),
+    workCosts: createWorkCostMeter({
       perTokenMs: forwarding.first_token_cost_us / microsecondsPerMillisecond,
       perRequestMs: forwarding.first_request_cost_ms,
-      perAnswerMs: forwarding.first_answer_cost_ms,
+      perResponseMs: forwarding.first_answer_cost_ms,
       crossDomainMs: forwarding.cross_domain_ms,
     }),
-    limits: {
-      connectMs: forwarding.connect_ms,
-      leastSilentMs: forwarding.least_silent_ms,
-      silentObjectives: forwarding.silent_objectives,
-      silentExpected: forwarding.silent_expected,
+    sendLimits: {
+      connectTimeoutMs: forwarding.connect_ms,
+      minIdleTimeoutMs: forwarding.least_silent_ms,
+      idleTimeoutObjectives: forwarding.silent_objectives,
+      idleTimeoutExpectedFactor: forwarding.silent_expected,
       deadlineMarginMs: forwarding.deadline_margin_ms,
     },
     forwardLimits: {
-      leastTimeMs: forwarding.least_time_ms,
-      mostSends: forwarding.most_sends,
-      againMs: forwarding.again_ms,
-      replicaGainMs: forwarding.replica_gain_ms,
-      hopelessShare: forwarding.hopeless_share,
-      queueObjectives: forwarding.queue_objectives,
-      comeBackMs: forwarding.come_back_ms,
+      minTimeLeftMs: forwarding.least_time_ms,
+      maxSends: forwarding.most_sends,
+      retryPauseMs: forwarding.again_ms,
+      minReplicaGainMs: forwarding.replica_gain_ms,
+      maxQueueShare: forwarding.hopeless_share,
+      maxQueueObjectives: forwarding.queue_objectives,
+      defaultRetryAfterMs: forwarding.come_back_ms,
     },
   };
 }
--- a/packages/entry-box/src/front.ts
+++ b/packages/entry-box/src/front.ts
@@ -1,7 +1,7 @@
 /** The address where callers connect: reads requests within the limits and hands them on. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
-import { type AnswerSink, createAnswerSink, ownHeaders } from "@linkfall/forwarding";
+import { type ResponseSink, createResponseSink, localReplyHeaders } from "@linkfall/forwarding";
 import type { CallerLimits, Milliseconds } from "@linkfall/types";
 import { readBody } from "./read-body.js";
 
@@ -12,11 +12,11 @@
   readonly host: string;
   readonly headers: readonly string[];
   readonly body: Buffer;
-  readonly sink: AnswerSink;
+  readonly sink: ResponseSink;
   readonly arrivedAt: Milliseconds;
 }
 
-export interface FrontInput {
+export interface FrontOptions {
   /** `host:port`. */
   readonly address: string;
   readonly maxHeaderBytes: number;
@@ -25,16 +25,16 @@
   onConnection(): void;
   limits(): CallerLimits | undefined;
   /** Whether connections are to be closed after their answer. */
-  closing(): boolean;
+  isClosing(): boolean;
   handle(request: FrontRequest): Promise<void>;
 }
 
 export interface Front {
   listen(): Promise<void>;
   /** Requests that have no final answer yet. */
-  open(): number;
+  openRequests(): number;
   /** Time since the last request began. */
-  quietMs(): Milliseconds;
+  idleMs(): Milliseconds;
   /** Takes no new connections and closes those without a request. */
   close(): void;
   closeAll(): void;
@@ -46,19 +46,19 @@
   headerTimeoutMs: 5_000,
   idleTimeoutMs: 15_000,
 };
-const checkConnectionsMs = 500;
+const connectionCheckIntervalMs = 500;
 
-const malformedAnswers: Readonly<Record<string, string>> = {
+const malformedRequestStatuses: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: "431 Request Header Fields Too Large",
   ERR_HTTP_REQUEST_TIMEOUT: "408 Request Timeout",
 };
 
-function answerMalformed(problem: NodeJS.ErrnoException, socket: Socket): void {
+function rejectMalformed(problem: NodeJS.ErrnoException, socket: Socket): void {
   if (problem.code === "ECONNRESET" || !socket.writable) {
     socket.destroy();
     return;
   }
-  const status = malformedAnswers[problem.code ?? ""] ?? "400 Bad Request";
+  const status = malformedRequestStatuses[problem.code ?? ""] ?? "400 Bad Request";
   socket.end(`HTTP/1.1 ${status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n`);
 }
 
@@ -67,14 +67,14 @@
   server.headersTimeout = limits.headerTimeoutMs;
 }
 
-function refuseUnread(response: ServerResponse, status: number): void {
+function rejectUnread(response: ServerResponse, status: number): void {
   response.shouldKeepAlive = false;
   response.writeHead(status, { "Content-Length": 0 });
   response.end();
 }
 
 /** Creates a front that does not listen yet. */
-export function createFront(input: FrontInput): Front {
+export function createFront(input: FrontOptions): Front {
   let open = 0;
   let lastAt = input.now();
 
@@ -83,11 +83,11 @@
     lastAt = arrivedAt;
     const limits = input.limits() ?? defaultLimits;
     applyLimits(server, limits);
-    const sink = createAnswerSink(response, input.closing);
+    const sink = createResponseSink(response, input.isClosing);
     const path = message.url ?? "";
-    if (!path.startsWith("/")) return refuseUnread(response, 400);
+    if (!path.startsWith("/")) return rejectUnread(response, 400);
     const body = await readBody(message, limits.maxBodyBytes);
-    if (body.kind === "too_large") return refuseUnread(response, 413);
+    if (body.kind === "too_large") return rejectUnread(response, 413);
     if (body.kind === "cut") return;
     await input.handle({
       method: message.method ?? "GET",
@@ -101,7 +101,7 @@
   };
 
   const server = createServer(
-    { maxHeaderSize: input.maxHeaderBytes, connectionsCheckingInterval: checkConnectionsMs },
+    { maxHeaderSize: input.maxHeaderBytes, connectionsCheckingInterval: connectionCheckIntervalMs },
     (message, response) => {
       open += 1;
       void serve(message, response).finally(() => void (open -= 1));
@@ -109,7 +109,7 @@
   );
   server.requestTimeout = 0;
   applyLimits(server, defaultLimits);
-  server.on("clientError", answerMalformed);
+  server.on("clientError", rejectMalformed);
   server.on("connection", input.onConnection);
 
   const mark = input.address.lastIndexOf(":");
@@ -119,8 +119,8 @@
         server.once("error", reject);
         server.listen(Number(input.address.slice(mark + 1)), input.address.slice(0, mark), resolve);
       }),
-    open: () => open,
-    quietMs: () => input.now() - lastAt,
+    openRequests: () => open,
+    idleMs: () => input.now() - lastAt,
     close() {
       server.close();
       server.closeIdleConnections();
@@ -130,6 +130,10 @@
 }
 
 /** Answers a request that no target gets. */
-export function answerOwn(sink: AnswerSink, status: number, retryAfterMs?: Milliseconds): void {
-  sink.whole(status, ownHeaders(retryAfterMs), Buffer.from("{}\n"));
+export function respondLocally(
+  sink: ResponseSink,
+  status: number,
+  retryAfterMs?: Milliseconds,
+): void {
+  sink.send(status, localReplyHeaders(retryAfterMs), Buffer.from("{}\n"));
 }
--- a/packages/entry-box/src/gauges.ts
+++ b/packages/entry-box/src/gauges.ts
@@ -4,12 +4,12 @@
 import { fleetName } from "@linkfall/fleet";
 import { metricsName } from "@linkfall/metrics";
 import { orderLeaseName } from "@linkfall/order-lease";
-import type { BoxParts } from "./box-parts.js";
+import type { BoxRuntime } from "./box-runtime.js";
 import type { Front } from "./front.js";
 
 const millisecondsPerSecond = 1000;
 
-export function registerGauges({ kernel, ports }: BoxParts, front: Front): void {
+export function registerGauges({ kernel, ports }: BoxRuntime, front: Front): void {
   const metrics = kernel.find(metricsName);
   const feed = kernel.find(desiredFeedName);
   const lease = kernel.find(orderLeaseName);
@@ -42,7 +42,7 @@
   metrics.gauge("linkfall_store_read_here", "1 while this box reads the store itself.", () =>
     feed.readsStore() ? 1 : 0,
   );
-  metrics.gauge("linkfall_requests_open", "Requests without a final answer.", front.open);
+  metrics.gauge("linkfall_requests_open", "Requests without a final answer.", front.openRequests);
   metrics.gauge(
     "linkfall_boxes_heard",
     "Other boxes that are taken for alive.",
--- a/packages/entry-box/src/handle-request.ts
+++ b/packages/entry-box/src/handle-request.ts
@@ -5,18 +5,18 @@
   type ForwardContext,
   type ForwardedRequest,
   forwardRequest,
-  type RequestEnd,
+  type RequestOutcome,
 } from "@linkfall/forwarding";
 import type { Metrics } from "@linkfall/metrics";
 import type { RequestCodec } from "@linkfall/ports";
 import { fingerprintOf, type RequestContent } from "@linkfall/request-fingerprint";
-import { shareFor } from "@linkfall/route-table";
-import type { ClientAccount, Milliseconds, RequestTerms, Route } from "@linkfall/types";
+import { selectShare } from "@linkfall/route-table";
+import type { ClientAccount, Milliseconds, RequestMetadata, Route } from "@linkfall/types";
 import { admitToQuota, settleQuota } from "./account-admission.js";
-import { answerOwn, type FrontRequest } from "./front.js";
+import { respondLocally, type FrontRequest } from "./front.js";
 import { identify } from "./identify.js";
 
-export interface HandleContext {
+export interface RequestContext {
   /** Whether the box knows what it has to know before it serves. */
   ready(): boolean;
   readonly feed: DesiredFeed;
@@ -28,24 +28,24 @@
   accountLabel(account: string | undefined): string;
 }
 
-const notReadyMs: Milliseconds = 500;
+const notReadyRetryAfterMs: Milliseconds = 500;
 /** The account has used up its limit. */
 const overLimitStatus = 429;
 
 /** Works the fingerprint out when it is first asked for: most requests never need theirs. */
-function fingerprintLater(content: RequestContent): () => string {
+function lazyFingerprint(content: RequestContent): () => string {
   let known: string | undefined;
   return () => (known ??= fingerprintOf(content));
 }
 
-function toForwarded(
+function toForwardedRequest(
   request: FrontRequest,
-  terms: RequestTerms,
+  terms: RequestMetadata,
   route: Route,
   account: ClientAccount | undefined,
   { configuration }: ActiveConfiguration,
 ): ForwardedRequest | undefined {
-  const service = configuration.services.get(shareFor(route, terms.id).service);
+  const service = configuration.services.get(selectShare(route, terms.id).service);
   if (!service) return undefined;
   const heldMs = Math.min(terms.deadlineMs ?? route.timeoutMs, route.timeoutMs);
   return {
@@ -54,25 +54,25 @@
     service,
     terms,
     account: account?.name,
-    fingerprint: fingerprintLater({ ...request, account: account?.name }),
+    fingerprint: lazyFingerprint({ ...request, account: account?.name }),
     priority: account?.priority ?? route.priority,
-    awaitedUntil: request.arrivedAt + Math.min(heldMs, route.patienceMs ?? heldMs),
-    endsAt: request.arrivedAt + heldMs,
-    position: { lastId: terms.resumeAfter },
-    tried: new Set(),
-    runs: 0,
+    responseStartDueAt: request.arrivedAt + Math.min(heldMs, route.eventTimeoutMs ?? heldMs),
+    deadlineAt: request.arrivedAt + heldMs,
+    streamPosition: { lastEventId: terms.resumeAfter },
+    triedTargets: new Set(),
+    possibleRuns: 0,
     sends: 0,
-    unwritten: 0,
-    longestGapMs: 0,
-    held: false,
-    lastTry: false,
+    unwrittenSends: 0,
+    maxStreamGapMs: 0,
+    waitedForWeights: false,
+    isFinalAttempt: false,
   };
 }
 
-function record(
-  context: HandleContext,
+function recordEnd(
+  context: RequestContext,
   request: ForwardedRequest,
-  end: RequestEnd,
+  end: RequestOutcome,
   units: number | undefined,
 ): void {
   const { clock, logger } = context.forward;
@@ -95,39 +95,40 @@
     reason: reason === "" ? undefined : reason,
     retryAfterMs: end.outcome === "refused" ? end.retryAfterMs : undefined,
     sends: request.sends,
-    runs: request.runs,
-    held: request.held,
-    firstMs: request.firstAt && Math.round(request.firstAt - request.arrivedAt),
+    runs: request.possibleRuns,
+    held: request.waitedForWeights,
+    firstMs: request.firstByteAt && Math.round(request.firstByteAt - request.arrivedAt),
     objectiveMs: request.route.objectiveMs,
-    gapMs: request.longestGapMs > 0 ? Math.round(request.longestGapMs) : undefined,
+    gapMs: request.maxStreamGapMs > 0 ? Math.round(request.maxStreamGapMs) : undefined,
     ms: tookMs,
-    leftMs: Math.round(request.endsAt - clock.now()),
+    leftMs: Math.round(request.deadlineAt - clock.now()),
     configuration: context.feed.activeConfiguration()?.configuration.version,
   });
 }
 
 /** Answers one request; what it needs to know of the deployment is of the moment of its arrival. */
-export async function handleRequest(context: HandleContext, request: FrontRequest): Promise<void> {
+export async function handleRequest(context: RequestContext, request: FrontRequest): Promise<void> {
   const { feed, codec, forward } = context;
-  const terms = codec.readTerms(request.headers);
+  const terms = codec.readMetadata(request.headers);
   const refused = (status: number, why: string, retryAfterMs?: Milliseconds, more?: object) => {
     const { path } = request;
     forward.logger.event("requestRejected", { request: terms.id, status, why, path, ...more });
-    answerOwn(request.sink, status, retryAfterMs);
+    respondLocally(request.sink, status, retryAfterMs);
   };
-  const unreadable = codec.unreadable(request.headers);
+  const unreadable = codec.describeInvalidHeaders(request.headers);
   if (unreadable !== undefined) return refused(400, unreadable);
   const inForce = feed.activeConfiguration();
-  if (!inForce || !context.ready()) return refused(503, "no configuration yet", notReadyMs);
+  if (!inForce || !context.ready())
+    return refused(503, "no configuration yet", notReadyRetryAfterMs);
   const route = inForce.routes.find(request.host, request.path);
   if (!route) return refused(404, `no route in version ${inForce.configuration.version}`);
   const { version } = inForce.configuration;
-  const caller = identify(inForce.keys, route, codec.readKey(request.headers));
+  const caller = identify(inForce.keys, route, codec.readApiKey(request.headers));
   if (caller.kind === "unknown") {
     return refused(401, caller.why, undefined, { version, key: caller.fingerprint });
   }
-  const forwarded = toForwarded(request, terms, route, caller.account, inForce);
-  if (!forwarded) return refused(503, "no such service", notReadyMs);
+  const forwarded = toForwardedRequest(request, terms, route, caller.account, inForce);
+  if (!forwarded) return refused(503, "no such service", notReadyRetryAfterMs);
   const admission = await admitToQuota(context.quota, caller.account, terms, version);
   if (admission.kind === "refused") {
     const more = { account: forwarded.account, version, retryAfterMs: admission.retryAfterMs };
@@ -140,5 +141,5 @@
   }
   const end = await forwardRequest(forward, forwarded);
   settleQuota(context.quota, admission.use, forwarded, end);
-  record(context, forwarded, end, admission.use?.units);
+  recordEnd(context, forwarded, end, admission.use?.units);
 }
