--- a/packages/order-lease/src/order-lease.steps.ts
+++ b/packages/order-lease/src/order-lease.steps.ts
@@ -232,9 +232,9 @@
     const port = scene.store.portFor(name);
     const box: LeaseBox = addBox(scene, name, 1, {
       ...port,
-      async newest() {
+      async readNewest() {
         box.lease.observe(observed);
-        return port.newest();
+        return port.readNewest();
       },
     });
     // It is notified of the claim during the read, and not before.
@@ -362,8 +362,8 @@
   };
   for (let step = 0; step < 12; step++) {
     const box = pick(random, scene.boxes);
-    await allowed[random.below(allowed.length)](scene, box, seed);
-    await passTime(scene, 300 + random.below(3_000), checkInvariants);
+    await allowed[random.nextInt(allowed.length)](scene, box, seed);
+    await passTime(scene, 300 + random.nextInt(3_000), checkInvariants);
   }
   for (const box of scene.boxes) {
     box.silent = false;
--- a/packages/order-lease/src/order-lease.ts
+++ b/packages/order-lease/src/order-lease.ts
@@ -106,8 +106,8 @@
     const sentAt = clock.elapsed();
     const read =
       state.nextOffset === undefined
-        ? await stream.newest()
-        : await stream.changes(state.nextOffset, 0);
+        ? await stream.readNewest()
+        : await stream.readChanges(state.nextOffset, 0);
     reading = false;
     read.ifLeft(handleReadFailure).ifRight((batch) => {
       applyBatch(batch);
@@ -132,7 +132,7 @@
 
   const claim = async () => {
     const offsetBefore = state.claim.offset;
-    const read = await stream.newest();
+    const read = await stream.readNewest();
     if (read.isLeft()) return;
     read.ifRight(applyBatch);
     // Another box has claimed the lease since.
--- a/packages/peer-grpc/src/ask-stream.steps.ts
+++ b/packages/peer-grpc/src/ask-stream.steps.ts
@@ -3,7 +3,7 @@
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, systemClock } from "@linkfall/kernel";
 import type { Heartbeat, PeerHandler } from "@linkfall/ports";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import type { MemberEntry } from "@linkfall/types";
 import { createPeerClient, type PeerGrpcClient } from "./peer-client.js";
 import { createPeerServer, type PeerGrpcServer } from "./peer-server.js";
@@ -38,7 +38,7 @@
   readonly client: PeerGrpcClient;
   readonly address: string;
 }
-const pairOf = (world: object) => notes(world).get<Pair>("pair");
+const pairOf = (world: object) => scenarioState(world).get<Pair>("pair");
 
 async function serve(address: string): Promise<{ server: PeerGrpcServer; port: number }> {
   const server = createPeerServer(handler, (problem) => {
@@ -50,7 +50,7 @@
 Given("a box that answers its peers", async function (this: object) {
   const { server, port } = await serve("127.0.0.1:0");
   const client = createPeerClient(systemClock(), limitMs);
-  notes(this).set("pair", { server, client, address: `127.0.0.1:${port}` });
+  scenarioState(this).set("pair", { server, client, address: `127.0.0.1:${port}` });
 });
 
 After({ name: "peer-grpc" }, function (this: object) {
@@ -80,7 +80,7 @@
     const reports = numbers.map((index) =>
       client.readReports(address, { from: `b@${index}`, pools: [], heldFrom: "", held: [] }),
     );
-    notes(this).set("answers", {
+    scenarioState(this).set("answers", {
       offsets: (await Promise.all(beats)).map((each) => each.unsafeCoerce().summary.offset),
       accounts: (await Promise.all(usage)).map((each) => each.unsafeCoerce()[0].account),
       starts: (await Promise.all(reports)).map((each) => each.unsafeCoerce().from),
@@ -90,7 +90,7 @@
 );
 
 Then("each got the answer to itself", function (this: object) {
-  const { offsets, accounts, starts, numbers } = notes(this).get<{
+  const { offsets, accounts, starts, numbers } = scenarioState(this).get<{
     offsets: number[];
     accounts: string[];
     starts: string[];
@@ -135,13 +135,13 @@
   const sockets: Socket[] = [];
   const server = createServer((socket) => void sockets.push(socket.on("error", () => undefined)));
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
-  notes(this).set("silent", { server, sockets });
+  scenarioState(this).set("silent", { server, sockets });
 });
 
 After({ name: "peer-grpc, silent box" }, async function (this: object) {
   let silent: SilentBox;
   try {
-    silent = notes(this).get<SilentBox>("silent");
+    silent = scenarioState(this).get<SilentBox>("silent");
   } catch {
     return;
   }
@@ -150,7 +150,7 @@
 });
 
 When("a message to it has waited for its limit, twice", async function (this: object) {
-  const { server, sockets } = notes(this).get<SilentBox>("silent");
+  const { server, sockets } = scenarioState(this).get<SilentBox>("silent");
   const { port } = server.address() as { port: number };
   const clock = createVirtualClock();
   const client = createPeerClient(clock, limitMs);
@@ -162,13 +162,13 @@
     results.push((await asked).isLeft());
   }
   client.close();
-  notes(this).set("results", results);
+  scenarioState(this).set("results", results);
 });
 
 Then(
   "each came back as unreachable, and each had a connection of its own",
   function (this: object) {
-    assert.deepEqual(notes(this).get("results"), [true, true]);
-    assert.equal(notes(this).get<SilentBox>("silent").sockets.length, 2);
+    assert.deepEqual(scenarioState(this).get("results"), [true, true]);
+    assert.equal(scenarioState(this).get<SilentBox>("silent").sockets.length, 2);
   },
 );
--- a/packages/peer-grpc/src/convert.ts
+++ b/packages/peer-grpc/src/convert.ts
@@ -28,10 +28,10 @@
 } from "./generated/peer.js";
 
 /** A message that lacks a part which every sender sets. */
-export class IncompleteMessage extends Error {}
+export class IncompleteMessageError extends Error {}
 
-function present<T>(part: T | undefined, name: string): T {
-  if (part === undefined) throw new IncompleteMessage(name);
+function requireField<T>(part: T | undefined, name: string): T {
+  if (part === undefined) throw new IncompleteMessageError(name);
   return part;
 }
 
@@ -67,9 +67,9 @@
 /** @throws IncompleteMessage */
 export function fromBeatRequest(message: BeatRequest): Heartbeat {
   return {
-    from: present(message.from, "from"),
+    from: requireField(message.from, "from"),
     members: message.members,
-    summary: toSummary(present(message.summary, "summary")),
+    summary: toSummary(requireField(message.summary, "summary")),
     blame: toBlame(message.blame),
   };
 }
@@ -88,8 +88,8 @@
 }
 
 /** One of the words that a text may hold. */
-function oneOf<T extends string>(words: readonly T[], text: string): T {
-  return present(
+function parseLiteral<T extends string>(words: readonly T[], text: string): T {
+  return requireField(
     words.find((word) => word === text),
     text,
   );
@@ -104,8 +104,11 @@
   const { role, residents } = message;
   return {
     ...message,
-    role: oneOf(engineRoles, role),
-    residents: residents.map((copy) => ({ ...copy, state: oneOf(residentStates, copy.state) })),
+    role: parseLiteral(engineRoles, role),
+    residents: residents.map((copy) => ({
+      ...copy,
+      state: parseLiteral(residentStates, copy.state),
+    })),
   };
 }
 
@@ -119,10 +122,10 @@
   return { from: reply.from, reports };
 }
 
-function toRelayed(message: RelayedMessage): RelayedReport {
+function toRelayedReport(message: RelayedMessage): RelayedReport {
   const { ageMs, placementVersion, placement } = message;
   return {
-    load: present(message.load, "load"),
+    load: requireField(message.load, "load"),
     ageMs,
     placementVersion,
     placement: placement && toPlacement(placement),
@@ -131,5 +134,5 @@
 
 /** @throws IncompleteMessage */
 export function fromReportsReply(message: ReportsReplyMessage): ReportsReply {
-  return { from: message.from, reports: message.reports.map(toRelayed) };
+  return { from: message.from, reports: message.reports.map(toRelayedReport) };
 }
--- a/packages/peer-grpc/src/peer-client.ts
+++ b/packages/peer-grpc/src/peer-client.ts
@@ -1,6 +1,6 @@
 /** Asks other boxes. */
 import { type ClientReadableStream, Metadata, type ServiceError, status } from "@grpc/grpc-js";
-import { type AskStream, createAskStream } from "@linkfall/ask-stream";
+import { type RequestStream, createRequestStream } from "@linkfall/ask-stream";
 import type { PeerUnreachable, TargetUnreachable } from "@linkfall/errors";
 import type { Clock } from "@linkfall/kernel";
 import type { BodyPart, CallerRequest, CallerResponse, PeerPort, PeerState } from "@linkfall/ports";
@@ -23,7 +23,7 @@
 import { clientCredentials, type PeerTls } from "./peer-tls.js";
 
 /** Connections not used for so long are closed: their boxes are gone. */
-const unusedMs: Milliseconds = 300_000;
+const idleTimeoutMs: Milliseconds = 300_000;
 const channelOptions = {
   "grpc.initial_reconnect_backoff_ms": 100,
   "grpc.max_reconnect_backoff_ms": 1_000,
@@ -35,14 +35,14 @@
 type AnswerBody = NonNullable<Answer["body"]>;
 
 /** The stream of small messages gives its connection up alone, so it shares none. */
-const ownConnection = { "grpc.use_local_subchannel_pool": 1 };
+const dedicatedConnection = { "grpc.use_local_subchannel_pool": 1 };
 
 /** What is open to one other box. */
-interface HeldPeer {
+interface PeerConnection {
   /** For forwarded requests and the fetching of state. */
   readonly client: PeerClient;
-  readonly stream: AskStream<AskBody, AnswerBody>;
-  usedAt: Milliseconds;
+  readonly stream: RequestStream<AskBody, AnswerBody>;
+  lastUsedAt: Milliseconds;
 }
 
 export interface PeerGrpcClient extends PeerPort {
@@ -59,21 +59,21 @@
   return !(problem.code === status.UNAVAILABLE && noConnection);
 }
 
-function cut(reason: string): BodyPart {
+function truncated(reason: string): BodyPart {
   return Left<TargetUnreachable>({ kind: "target_unreachable", reason, mayHaveArrived: true });
 }
 
 /** The parts of a forwarded answer's body; a stream without its end marker was cut. */
-async function* bodyOf(parts: AsyncIterator<ForwardPart>): AsyncGenerator<BodyPart> {
+async function* readBody(parts: AsyncIterator<ForwardPart>): AsyncGenerator<BodyPart> {
   try {
     for (let read = await parts.next(); !read.done; read = await parts.next()) {
       const { part } = read.value;
       if (part?.$case === "chunk") yield Right(part.value);
       if (part?.$case === "whole") return;
     }
-    yield cut("the owner's answer was cut");
+    yield truncated("the owner's answer was cut");
   } catch (problem) {
-    yield cut(String(problem));
+    yield truncated(String(problem));
   }
 }
 
@@ -88,7 +88,7 @@
     return Right({
       status: first.value.status,
       headers: first.value.headers,
-      body: bodyOf(parts),
+      body: readBody(parts),
     });
   } catch (problem) {
     return Left(unreachable(problem, mayHaveArrived(problem as ServiceError)));
@@ -114,7 +114,7 @@
 type AnswerValue<K> = Extract<AnswerBody, { $case: K }>["value"];
 
 /** The answer of one kind; any other, or one that lacks a part, counts as none. */
-function answerOf<K extends AnswerBody["$case"], T>(
+function expectAnswer<K extends AnswerBody["$case"], T>(
   answer: Either<PeerUnreachable, AnswerBody>,
   kind: K,
   convert: (value: AnswerValue<K>) => T,
@@ -128,38 +128,41 @@
 
 /** Creates the client of one box; `limit` bounds small messages and the fetching of state. */
 export function createPeerClient(clock: Clock, limit: Milliseconds, tls?: PeerTls): PeerGrpcClient {
-  const held = new Map<string, HeldPeer>();
+  const held = new Map<string, PeerConnection>();
   const credentials = clientCredentials(tls);
 
-  const closePeer = ({ client, stream }: HeldPeer) => {
+  const closePeer = ({ client, stream }: PeerConnection) => {
     client.close();
     stream.close();
   };
 
   const closeUnused = () => {
-    const oldest = clock.now() - unusedMs;
+    const oldest = clock.now() - idleTimeoutMs;
     for (const [address, peer] of held) {
-      if (peer.usedAt >= oldest) continue;
+      if (peer.lastUsedAt >= oldest) continue;
       closePeer(peer);
       held.delete(address);
     }
   };
 
-  const peerAt = (address: string): HeldPeer => {
+  const peerAt = (address: string): PeerConnection => {
     const known = held.get(address);
     if (known) {
-      known.usedAt = clock.now();
+      known.lastUsedAt = clock.now();
       return known;
     }
     closeUnused();
     const dial = () => {
-      const client = new PeerClient(address, credentials, { ...channelOptions, ...ownConnection });
+      const client = new PeerClient(address, credentials, {
+        ...channelOptions,
+        ...dedicatedConnection,
+      });
       return { stream: client.exchange(), close: () => client.close() };
     };
-    const peer: HeldPeer = {
+    const peer: PeerConnection = {
       client: new PeerClient(address, credentials, channelOptions),
-      stream: createAskStream(clock, limit, dial),
-      usedAt: clock.now(),
+      stream: createRequestStream(clock, limit, dial),
+      lastUsedAt: clock.now(),
     };
     held.set(address, peer);
     return peer;
@@ -168,16 +171,16 @@
   return {
     async heartbeat(address, message) {
       const body = { $case: "beat", value: toBeatRequest(message) } as const;
-      return answerOf(await peerAt(address).stream.ask(body), "beat", fromBeatReply);
+      return expectAnswer(await peerAt(address).stream.request(body), "beat", fromBeatReply);
     },
     async reportUsage(address, report) {
       const body = { $case: "usage", value: toUsageMessage(report) } as const;
-      const answer = await peerAt(address).stream.ask(body);
-      return answerOf(answer, "usage", ({ accounts }) => accounts);
+      const answer = await peerAt(address).stream.request(body);
+      return expectAnswer(answer, "usage", ({ accounts }) => accounts);
     },
     async readReports(address, request) {
       const body = { $case: "reports", value: toReportsMessage(request) } as const;
-      return answerOf(await peerAt(address).stream.ask(body), "reports", fromReportsReply);
+      return expectAnswer(await peerAt(address).stream.request(body), "reports", fromReportsReply);
     },
     async fetchState(address) {
       const stream = peerAt(address).client.fetchState({});
@@ -190,7 +193,7 @@
       const { method, path, headers, body } = request;
       const message = { method, path, headers: { ...headers }, body: Buffer.from(body) };
       const stream = peerAt(address).client.forward(message, new Metadata());
-      request.gone.addEventListener("abort", () => stream.cancel(), { once: true });
+      request.signal.addEventListener("abort", () => stream.cancel(), { once: true });
       return readForwarded(stream);
     },
     close() {
--- a/packages/peer-grpc/src/peer-server.ts
+++ b/packages/peer-grpc/src/peer-server.ts
@@ -5,7 +5,7 @@
 import type { CallerResponse, PeerHandler } from "@linkfall/ports";
 import { type Either, Left, Right } from "purify-ts";
 import { match } from "ts-pattern";
-import { fromBeatRequest, IncompleteMessage, toBeatReply, toReportsReply } from "./convert.js";
+import { fromBeatRequest, IncompleteMessageError, toBeatReply, toReportsReply } from "./convert.js";
 import {
   type Answer,
   type Ask,
@@ -16,7 +16,7 @@
 } from "./generated/peer.js";
 import { type PeerTls, serverCredentials } from "./peer-tls.js";
 
-const statePartLength = 1_000_000;
+const maxStatePartLength = 1_000_000;
 
 export interface PeerGrpcServer {
   /** Starts to listen; resolves with the port. */
@@ -58,7 +58,7 @@
  *
  * @throws IncompleteMessage
  */
-function answerTo(handler: PeerHandler, body: Ask["body"]): Answer["body"] {
+function handleAsk(handler: PeerHandler, body: Ask["body"]): Answer["body"] {
   return match(body)
     .returnType<Answer["body"]>()
     .with({ $case: "beat" }, ({ $case, value }) => ({
@@ -74,7 +74,7 @@
       value: toReportsReply(handler.readReports(value)),
     }))
     .with(undefined, () => {
-      throw new IncompleteMessage("body");
+      throw new IncompleteMessageError("body");
     })
     .exhaustive();
 }
@@ -93,9 +93,9 @@
     exchange(call) {
       call.on("data", ({ number, body }: Ask) => {
         try {
-          call.write({ number, body: answerTo(handler, body) });
+          call.write({ number, body: handleAsk(handler, body) });
         } catch (problem) {
-          if (!(problem instanceof IncompleteMessage)) return defect(problem);
+          if (!(problem instanceof IncompleteMessageError)) return defect(problem);
           call.emit("error", { code: status.INVALID_ARGUMENT, message: problem.message });
         }
       });
@@ -103,8 +103,8 @@
     },
     fetchState(call) {
       const { offset, data } = handler.fetchState();
-      for (let start = 0; start < data.length; start += statePartLength) {
-        call.write({ offset, data: data.slice(start, start + statePartLength) });
+      for (let start = 0; start < data.length; start += maxStatePartLength) {
+        call.write({ offset, data: data.slice(start, start + maxStatePartLength) });
       }
       call.end();
     },
@@ -113,7 +113,7 @@
       call.on("cancelled", () => gone.abort());
       const { method, path, headers, body } = call.request;
       handler
-        .forward({ method, path, headers, body, gone: gone.signal })
+        .forward({ method, path, headers, body, signal: gone.signal })
         .then((response) => writeForwarded(call, response, gone.signal))
         .catch(defect);
     },
--- a/packages/placement/src/placement.steps.ts
+++ b/packages/placement/src/placement.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { computeLedgers } from "@linkfall/ledger";
-import { engine, model, notes, report } from "@linkfall/test-support";
+import { engine, model, scenarioState, report } from "@linkfall/test-support";
 import { type Engine, type Model, modelArtifact, type Resident } from "@linkfall/types";
 import fc from "fast-check";
 import { planPool } from "./plan.js";
@@ -95,7 +95,7 @@
   }
 }
 
-const poolOf = (world: object) => notes(world).get<FakePool>("pool");
+const poolOf = (world: object) => scenarioState(world).get<FakePool>("pool");
 
 Given(
   "3 engines of 100 MB in 3 failure domains, and 6 models of 30 MB of which {string} needs 2 replicas",
@@ -106,7 +106,7 @@
     const models = [0, 1, 2, 3, 4, 5].map((index) =>
       model(`m${index}`, { sizeMb: 30, minReplicas: `m${index}` === name ? 2 : 1 }),
     );
-    notes(this).set("pool", new FakePool(engines, models));
+    scenarioState(this).set("pool", new FakePool(engines, models));
   },
 );
 
--- a/packages/plain-call/src/index.ts
+++ b/packages/plain-call/src/index.ts
@@ -8,9 +8,9 @@
 import { targetLoadName } from "@linkfall/target-load";
 import { targetWatchName } from "@linkfall/target-watch";
 import type { ServiceTarget } from "@linkfall/types";
-import { judgeLoss, judgeNothingLeft, mostAttempts } from "./judge-loss.js";
-import { discard, notStarted, passAnswer } from "./pass-answer.js";
-import { passedHeaders, type PlainCall } from "./plain-call.js";
+import { refusalAfterLoss, refusalWithoutTargets, maxAttempts } from "./call-refusals.js";
+import { discardBody, isNotStarted, forwardResponse } from "./pass-answer.js";
+import { endToEndHeaders, type PlainCall } from "./plain-call.js";
 
 export type { PlainCall } from "./plain-call.js";
 
@@ -29,16 +29,16 @@
   const watch = kernel.find(targetWatchName);
   const guard = kernel.find(crashGuardName);
 
-  const guarded = ({ fingerprint, service, account }: PlainCall): GuardedRequest => {
+  const guardedRequest = ({ fingerprint, service, account }: PlainCall): GuardedRequest => {
     const facts = { request: fingerprint, service: service.name, route: service.name, account };
     return { attributes: facts, countTargets: () => service.targets.length };
   };
 
   const open = (call: PlainCall, tried: ReadonlySet<string>): readonly ServiceTarget[] => {
-    const staying = call.service.targets.filter(
+    const available = call.service.targets.filter(
       (target) => !watch.isLeaving(target) && !tried.has(target.address),
     );
-    return load.ejection().keep(staying, (target) => target.address, clock.now());
+    return load.ejection().selectAvailable(available, (target) => target.address, clock.now());
   };
 
   const choose = (candidates: readonly ServiceTarget[]): string => {
@@ -54,22 +54,22 @@
     return chosen.address;
   };
 
-  const attemptAt = async (call: PlainCall, address: string, signal: AbortSignal) => {
-    load.sent(address);
+  const sendTo = async (call: PlainCall, address: string, signal: AbortSignal) => {
+    load.requestSent(address);
     const sent = await targets.send(
       {
         address,
         method: call.method,
         path: call.path,
-        headers: { ...passedHeaders(call.headers), "linkfall-account": call.account },
+        headers: { ...endToEndHeaders(call.headers), "linkfall-account": call.account },
         body: call.body,
         freshConnection: !call.repeatable,
       },
       signal,
     );
     return sent.mapLeft((failure) => {
-      load.ended(address, undefined);
-      load.failed(address);
+      load.requestEnded(address, undefined);
+      load.recordFailure(address);
       return failure;
     });
   };
@@ -83,11 +83,11 @@
     let lost: TargetUnreachable | undefined;
     for (let attempt = 1; ; attempt++) {
       const candidates = open(call, tried);
-      if (candidates.length === 0) return refusalResponse(judgeNothingLeft(call, lost));
+      if (candidates.length === 0) return refusalResponse(refusalWithoutTargets(call, lost));
       const address = choose(candidates);
       tried.add(address);
       const startedAt = clock.now();
-      const sent = await attemptAt(call, address, signal);
+      const sent = await sendTo(call, address, signal);
       const failure = sent.swap().toMaybe().extract();
       if (failure) {
         // One attempt that may have run decides: later ones cannot make it "not run" again.
@@ -95,34 +95,42 @@
         const ended = { name: address, address };
         // A further target that the call ends would take all calls at work there with it.
         const mayGoOn =
-          !failure.mayHaveArrived || (await guard.mayRetryElsewhere(guarded(call), ended));
-        const refusal = judgeLoss(call, lost, mayGoOn ? attempt : mostAttempts, clock.now());
+          !failure.mayHaveArrived || (await guard.mayRetryElsewhere(guardedRequest(call), ended));
+        const refusal = refusalAfterLoss(call, lost, mayGoOn ? attempt : maxAttempts, clock.now());
         if (refusal) return refusalResponse(refusal);
         continue;
       }
       const response = sent.unsafeCoerce();
-      if (!notStarted(response) || attempt >= mostAttempts) {
-        const served = () => guard.recordServed(guarded(call));
-        const lost = () => void guard.mayRetryElsewhere(guarded(call), { name: address, address });
-        return passAnswer(clock, load, { address, response, startedAt, served, lost, done });
+      if (!isNotStarted(response) || attempt >= maxAttempts) {
+        const served = () => guard.recordServed(guardedRequest(call));
+        const lost = () =>
+          void guard.mayRetryElsewhere(guardedRequest(call), { name: address, address });
+        return forwardResponse(clock, load, {
+          address,
+          response,
+          startedAt,
+          onServed: served,
+          onLost: lost,
+          onDone: done,
+        });
       }
-      await discard(response);
-      load.ended(address, undefined);
-      load.turnedAway(address, response.headers["retry-after"]);
+      await discardBody(response);
+      load.requestEnded(address, undefined);
+      load.recordRefusal(address, response.headers["retry-after"]);
     }
   };
 
   return {
     async run(call) {
-      const heldBack = guard.refusal(guarded(call));
-      if (heldBack) return refusalResponse(heldBack);
+      const refusal = guard.refusal(guardedRequest(call));
+      if (refusal) return refusalResponse(refusal);
       const giveUp = new AbortController();
       const onGone = () => giveUp.abort();
-      call.gone.addEventListener("abort", onGone, { once: true });
+      call.callerGone.addEventListener("abort", onGone, { once: true });
       const cancelDeadline = clock.after(call.deadlineAt - clock.now(), onGone);
       const done = () => {
         cancelDeadline();
-        call.gone.removeEventListener("abort", onGone);
+        call.callerGone.removeEventListener("abort", onGone);
       };
       const response = await tryTargets(call, giveUp.signal, done);
       if (response.body instanceof Uint8Array) done();
--- a/packages/plain-call/src/pass-answer.ts
+++ b/packages/plain-call/src/pass-answer.ts
@@ -3,32 +3,32 @@
 import type { BodyPart, CallerResponse, TargetResponse } from "@linkfall/ports";
 import type { TargetLoad } from "@linkfall/target-load";
 import type { Milliseconds } from "@linkfall/types";
-import { passedHeaders } from "./plain-call.js";
+import { endToEndHeaders } from "./plain-call.js";
 
 const firstServerError = 500;
 const notStartedHeader = "x-not-started";
 
 /** Whether the target says that it has not run the call. */
-export function notStarted({ headers }: TargetResponse): boolean {
+export function isNotStarted({ headers }: TargetResponse): boolean {
   return headers[notStartedHeader] === "true";
 }
 
-export interface AnsweredCall {
+export interface ForwardedResponse {
   readonly address: string;
   readonly response: TargetResponse;
   readonly startedAt: Milliseconds;
   /** Called when the answer is whole and no failure of the target's. */
-  served(): void;
+  onServed(): void;
   /** Called when the answer broke off in its middle. */
-  lost(): void;
+  onLost(): void;
   /** Called when the body has ended, or its reader has gone. */
-  done(): void;
+  onDone(): void;
 }
 
-async function* passBody(
+async function* forwardBody(
   clock: Clock,
   load: TargetLoad,
-  { address, response, startedAt, served, lost, done }: AnsweredCall,
+  { address, response, startedAt, onServed: served, onLost: lost, onDone: done }: ForwardedResponse,
 ): AsyncGenerator<BodyPart> {
   let whole = false;
   try {
@@ -38,27 +38,34 @@
     }
     whole = response.status < firstServerError;
   } finally {
-    load.ended(address, whole ? { ranMs: clock.now() - startedAt, tokens: 0 } : undefined);
+    load.requestEnded(
+      address,
+      whole ? { durationMs: clock.now() - startedAt, outputTokens: 0 } : undefined,
+    );
     if (whole) served();
-    else load.failed(address);
+    else load.recordFailure(address);
     done();
   }
 }
 
 /** The answer as the caller gets it. */
-export function passAnswer(clock: Clock, load: TargetLoad, call: AnsweredCall): CallerResponse {
+export function forwardResponse(
+  clock: Clock,
+  load: TargetLoad,
+  call: ForwardedResponse,
+): CallerResponse {
   const { response } = call;
   return {
     status: response.status,
     headers: {
-      ...passedHeaders(response.headers),
-      "linkfall-outcome": notStarted(response) ? "not_run" : "answered",
+      ...endToEndHeaders(response.headers),
+      "linkfall-outcome": isNotStarted(response) ? "not_run" : "answered",
     },
-    body: passBody(clock, load, call),
+    body: forwardBody(clock, load, call),
   };
 }
 
 /** Reads a small body to its end, so that its connection can be used again. */
-export async function discard(response: TargetResponse): Promise<void> {
+export async function discardBody(response: TargetResponse): Promise<void> {
   for await (const part of response.body) if (part.isLeft()) return;
 }
--- a/packages/plain-call/src/plain-call.ts
+++ b/packages/plain-call/src/plain-call.ts
@@ -14,14 +14,21 @@
   readonly body: Uint8Array;
   readonly deadlineAt: Milliseconds;
   readonly repeatable: boolean;
-  readonly gone: AbortSignal;
+  readonly callerGone: AbortSignal;
 }
 
 /** Headers that belong to one connection, or that the box sets itself. */
-const ownHeaders = ["connection", "keep-alive", "transfer-encoding", "upgrade", "te", "trailer"];
+const hopByHopHeaders = [
+  "connection",
+  "keep-alive",
+  "transfer-encoding",
+  "upgrade",
+  "te",
+  "trailer",
+];
 
 /** The headers that are passed on, in either direction. */
-export function passedHeaders(headers: HeaderMap): HeaderMap {
-  const kept = Object.entries(headers).filter(([name]) => !ownHeaders.includes(name));
+export function endToEndHeaders(headers: HeaderMap): HeaderMap {
+  const kept = Object.entries(headers).filter(([name]) => !hopByHopHeaders.includes(name));
   return Object.fromEntries(kept);
 }
--- a/packages/platform-http/src/box-list-http.ts
+++ b/packages/platform-http/src/box-list-http.ts
@@ -1,5 +1,5 @@
 /** The platform's box list over HTTP: `GET /boxes` answers `{boxes, leaving_targets}`. */
-import { expectAnswer, type JsonCaller } from "@linkfall/json-call";
+import { parseOkResponse, type JsonCaller } from "@linkfall/json-call";
 import type { BoxListPort } from "@linkfall/ports";
 import { z } from "zod";
 
@@ -20,7 +20,7 @@
     async read() {
       const answer = await caller.call({ address, method: "GET", path: "/boxes" });
       return answer
-        .chain((value) => expectAnswer(value, listSchema))
+        .chain((value) => parseOkResponse(value, listSchema))
         .map((list) => ({ boxes: list.boxes, leavingTargets: list.leaving_targets }))
         .mapLeft((failure) => ({ kind: "log_unavailable", reason: failure.reason }));
     },
--- a/packages/platform-http/src/log-http.ts
+++ b/packages/platform-http/src/log-http.ts
@@ -4,7 +4,7 @@
  * that is kept, 429 refuses an append for load.
  */
 import type { LogFailure, TargetUnreachable } from "@linkfall/errors";
-import { expectAnswer, type JsonAnswer, type JsonCaller } from "@linkfall/json-call";
+import { parseOkResponse, type JsonResponse, type JsonCaller } from "@linkfall/json-call";
 import type { LogPort, StreamName } from "@linkfall/ports";
 import { type Either, Left } from "purify-ts";
 import { match } from "ts-pattern";
@@ -21,7 +21,7 @@
   return { kind: "log_unavailable", reason: failure.reason };
 }
 
-function toLogAnswer<T>(answer: JsonAnswer, schema: z.ZodType<T>): Either<LogFailure, T> {
+function toLogResult<T>(answer: JsonResponse, schema: z.ZodType<T>): Either<LogFailure, T> {
   return match(answer.status)
     .with(429, (): Either<LogFailure, T> => Left({ kind: "log_busy" }))
     .with(410, (): Either<LogFailure, T> => {
@@ -29,25 +29,25 @@
       if (first.success) return Left({ kind: "log_truncated", first: first.data.first });
       return Left({ kind: "log_unavailable", reason: "410 without the oldest offset" });
     })
-    .otherwise(() => expectAnswer(answer, schema).mapLeft(unavailable));
+    .otherwise(() => parseOkResponse(answer, schema).mapLeft(unavailable));
 }
 
 /** Creates the port for the log at `address`. */
 export function createLogHttp(caller: JsonCaller, address: string): LogPort {
-  const recordsOf = (stream: StreamName) => `/streams/${stream}/records`;
+  const recordsPath = (stream: StreamName) => `/streams/${stream}/records`;
   return {
     async append(stream, data) {
-      const call = { address, method: "POST", path: recordsOf(stream), body: { data } } as const;
+      const call = { address, method: "POST", path: recordsPath(stream), body: { data } } as const;
       const answer = await caller.call(call);
       return answer
         .mapLeft(unavailable)
-        .chain((value) => toLogAnswer(value, appendedSchema))
+        .chain((value) => toLogResult(value, appendedSchema))
         .map(({ offset }) => offset);
     },
     async read(stream, from, limit) {
-      const path = `${recordsOf(stream)}?from=${from}&limit=${limit}`;
+      const path = `${recordsPath(stream)}?from=${from}&limit=${limit}`;
       const answer = await caller.call({ address, method: "GET", path });
-      return answer.mapLeft(unavailable).chain((value) => toLogAnswer(value, batchSchema));
+      return answer.mapLeft(unavailable).chain((value) => toLogResult(value, batchSchema));
     },
   };
 }
--- a/packages/pool-control/src/pool-context.ts
+++ b/packages/pool-control/src/pool-context.ts
@@ -5,7 +5,7 @@
 import { clockName, type Kernel } from "@linkfall/kernel";
 import { type HeldLease, leaseHolderName } from "@linkfall/lease-holder";
 import { stateStoreName } from "@linkfall/state-store";
-import { targetWatchName, type WatchedReport } from "@linkfall/target-watch";
+import { targetWatchName, type EngineReportRecord } from "@linkfall/target-watch";
 import type { Engine, Milliseconds, Order, Pool } from "@linkfall/types";
 import { createOpenOrders, type OpenOrders } from "./open-orders.js";
 
@@ -18,7 +18,7 @@
   engines(): readonly Engine[];
   engineNamed(name: string): Engine | undefined;
   /** Returns the latest report of an engine that was requested during this session, if any. */
-  reportOf(engine: string): WatchedReport | undefined;
+  reportOf(engine: string): EngineReportRecord | undefined;
   /** Whether this session still holds the lease, according to the log as read by this box. */
   isLeaseCurrent(): boolean;
   /** Whether the lease is also unexpired by this box's clock. */
--- a/packages/pool-control/src/pool-session.ts
+++ b/packages/pool-control/src/pool-session.ts
@@ -10,7 +10,7 @@
 import { assertMemoryAvailable } from "@linkfall/ledger";
 import { loggerName } from "@linkfall/logger";
 import { type Move, type Plan, planPool } from "@linkfall/placement";
-import type { WatchedReport } from "@linkfall/target-watch";
+import type { EngineReportRecord } from "@linkfall/target-watch";
 import { createTokenBucket } from "@linkfall/token-bucket";
 import type { Milliseconds, Order } from "@linkfall/types";
 import { createFences } from "./fences.js";
@@ -37,7 +37,7 @@
   /** Runs one round: raises fences, settles and resends orders, then plans and sends new ones. */
   tick(): Promise<void>;
   /** Processes a report of one of the pool's engines. */
-  handleReport(watched: WatchedReport): void;
+  handleReport(watched: EngineReportRecord): void;
   status(): SessionStatus;
 }
 
--- a/packages/pool-control/src/pool-view.ts
+++ b/packages/pool-control/src/pool-view.ts
@@ -5,7 +5,7 @@
 import { computeLedgers } from "@linkfall/ledger";
 import type { EngineView, ModelView, PoolView } from "@linkfall/placement";
 import { stateStoreName } from "@linkfall/state-store";
-import { targetWatchName, type WatchedReport } from "@linkfall/target-watch";
+import { targetWatchName, type EngineReportRecord } from "@linkfall/target-watch";
 import type { Engine } from "@linkfall/types";
 import { usageReportsName } from "@linkfall/usage-report";
 import type { Fences } from "./fences.js";
@@ -24,7 +24,7 @@
    */
   build(demandMoveBudget: number, isCoolingDown: (model: string) => boolean): PoolView;
   /** Updates the utilisation from a report of one of the pool's engines. */
-  handleReport(watched: WatchedReport): void;
+  handleReport(watched: EngineReportRecord): void;
 }
 
 /** Creates the view builder of a session. */
--- a/packages/ports/src/exchange.ts
+++ b/packages/ports/src/exchange.ts
@@ -12,7 +12,7 @@
   readonly headers: HeaderMap;
   readonly body: Uint8Array;
   /** Aborted when the caller has gone. */
-  readonly gone: AbortSignal;
+  readonly signal: AbortSignal;
 }
 
 /** An answer: whole at once, or a stream that ends with a Left where it was cut. */
--- a/packages/ports/src/keyed-stream-port.ts
+++ b/packages/ports/src/keyed-stream-port.ts
@@ -24,9 +24,9 @@
 
 export interface KeyedStreamPort {
   /** The newest record of each key. */
-  newest(): Promise<Either<LogFailure, KeyedBatch>>;
+  readNewest(): Promise<Either<LogFailure, KeyedBatch>>;
   /** Records from `from` on; waits up to `waitMs` for one to exist. */
-  changes(from: Offset, waitMs: Milliseconds): Promise<Either<LogFailure, KeyedBatch>>;
+  readChanges(from: Offset, waitMs: Milliseconds): Promise<Either<LogFailure, KeyedBatch>>;
   /** Appends a record; with `at`, only where the stream ends there. Answers its offset. */
   put(key: string, value: string, at?: Offset): Promise<Either<LogFailure | EndMoved, Offset>>;
 }
--- a/packages/ports/src/peer-port.ts
+++ b/packages/ports/src/peer-port.ts
@@ -3,7 +3,7 @@
 import { serviceName } from "@linkfall/kernel";
 import type {
   AccountRate,
-  BlameWord,
+  BlameMessage,
   DemandSample,
   Incarnation,
   LogEntry,
@@ -28,7 +28,7 @@
 /** What two boxes tell each other of requests that end targets. */
 export interface BlameExchange {
   /** Absent where the reader knows all. */
-  readonly word?: BlameWord;
+  readonly word?: BlameMessage;
   /** The start of the reader that `followed` is about; empty where it is not known. */
   readonly of: Incarnation;
   /** How far the sender has followed the reader. */
--- a/packages/ports/src/routed-ports.ts
+++ b/packages/ports/src/routed-ports.ts
@@ -3,11 +3,11 @@
 import type {
   EngineState,
   FencedOrder,
-  LimitNotice,
+  AdvertisedLimit,
   ListedTarget,
   Milliseconds,
-  OrderAnswer,
-  RequestTerms,
+  OrderResult,
+  RequestMetadata,
   RoutedConfiguration,
 } from "@linkfall/types";
 import type { Either } from "purify-ts";
@@ -17,12 +17,12 @@
 
 /** Reads the platform's records of desired state and of targets. */
 export interface RecordCodec {
-  configuration(text: string): Either<InvalidInput, RoutedConfiguration>;
-  target(id: string, text: string): Either<InvalidInput, ListedTarget>;
+  parseConfiguration(text: string): Either<InvalidInput, RoutedConfiguration>;
+  parseTarget(id: string, text: string): Either<InvalidInput, ListedTarget>;
 }
 
 /** The target of one send, as far as the wire needs it. */
-export interface SendTerms {
+export interface AttemptMetadata {
   readonly targetId: string;
   readonly remainingMs: Milliseconds;
   /** Rank for the engine's own queue, 0 first. */
@@ -34,7 +34,7 @@
 }
 
 /** What the head of a target's answer says about the request. */
-export interface AnswerFacts {
+export interface ResponseMetadata {
   readonly requestId?: string;
   /** The target says that it did not run the request. */
   readonly notRun: boolean;
@@ -43,25 +43,25 @@
   /** Time for which the target asks for no requests; absent where it does not ask. */
   readonly retryAfterMs?: Milliseconds;
   /** What it says of the requests that the target takes. */
-  readonly limit: LimitNotice;
+  readonly limit: AdvertisedLimit;
 }
 
 /** Translates between requests on the wire and their terms. */
 export interface RequestCodec {
-  readTerms(headers: RawHeaders): RequestTerms;
+  readMetadata(headers: RawHeaders): RequestMetadata;
   /** The key of the caller's account. It is kept out of the terms, which are logged. */
-  readKey(headers: RawHeaders): string | undefined;
+  readApiKey(headers: RawHeaders): string | undefined;
   /** Why the terms cannot be read, such as one that comes with two values; such a request reaches no target. */
-  unreadable(headers: RawHeaders): string | undefined;
+  describeInvalidHeaders(headers: RawHeaders): string | undefined;
   /** The caller's end-to-end headers with those that linkfall sets itself. */
-  forSend(headers: RawHeaders, terms: SendTerms): string[];
+  toTargetHeaders(headers: RawHeaders, terms: AttemptMetadata): string[];
   /** The target's end-to-end headers. */
-  forCaller(headers: RawHeaders): string[];
-  readAnswer(status: number, headers: RawHeaders): AnswerFacts;
+  toCallerHeaders(headers: RawHeaders): string[];
+  readResponse(status: number, headers: RawHeaders): ResponseMetadata;
 }
 
 /** Asks engines for their state and gives them orders. */
 export interface RoutedEnginePort {
-  state(target: ListedTarget): Promise<Either<TargetUnreachable, EngineState>>;
-  order(target: ListedTarget, order: FencedOrder): Promise<OrderAnswer>;
+  readState(target: ListedTarget): Promise<Either<TargetUnreachable, EngineState>>;
+  order(target: ListedTarget, order: FencedOrder): Promise<OrderResult>;
 }
--- a/packages/ports/src/target-port.ts
+++ b/packages/ports/src/target-port.ts
@@ -26,7 +26,7 @@
 }
 
 /** Whether anybody takes connections at an address; `unknown` where it did not answer in time. */
-export type Listening = "listens" | "refuses" | "unknown";
+export type ListenerStatus = "listens" | "refuses" | "unknown";
 
 export interface TargetPort {
   /** Sends a request; `signal` gives it up and closes its connection. */
@@ -35,7 +35,7 @@
     signal: AbortSignal,
   ): Promise<Either<TargetUnreachable, TargetResponse>>;
   /** Tells a target that ended from one whose connection was lost. */
-  listens(address: string): Promise<Listening>;
+  probeListener(address: string): Promise<ListenerStatus>;
 }
 
 export const targetPortName = serviceName<TargetPort>("target-port");
--- a/packages/prefix-index/src/index.ts
+++ b/packages/prefix-index/src/index.ts
@@ -10,11 +10,11 @@
 
 export interface PrefixIndex {
   /** Leading tokens of the prompt that the engine probably keeps. */
-  kept(query: PrefixQuery): number;
+  cachedTokens(query: PrefixQuery): number;
   /** Notes that the engine has read the prompt. */
-  note(query: PrefixQuery): void;
+  record(query: PrefixQuery): void;
   /** Forgets everything of a model and its adapters. */
-  drop(model: string): void;
+  dropModel(model: string): void;
 }
 
 interface Entry {
@@ -23,7 +23,7 @@
 }
 
 /** Key of each leading run of parts, shortest first. */
-function chainKeys({ weights, parts }: PrefixQuery): readonly string[] {
+function prefixKeys({ weights, parts }: PrefixQuery): readonly string[] {
   let key = weights;
   return parts.map((part) => (key = `${key},${part.id}`));
 }
@@ -34,42 +34,42 @@
 export function createPrefixIndex(capacityTokens: number): PrefixIndex {
   /** In the order of last use. */
   const entries = new Map<string, Entry>();
-  let held = 0;
+  let indexedTokens = 0;
 
   const remove = (key: string, entry: Entry) => {
     entries.delete(key);
-    held -= entry.tokens;
+    indexedTokens -= entry.tokens;
   };
 
   const evict = () => {
     for (const [key, entry] of entries) {
-      if (held <= capacityTokens) return;
+      if (indexedTokens <= capacityTokens) return;
       remove(key, entry);
     }
   };
 
   return {
-    kept(query) {
+    cachedTokens(query) {
       let tokens = 0;
-      for (const key of chainKeys(query)) {
+      for (const key of prefixKeys(query)) {
         const entry = entries.get(key);
         if (!entry) break;
         tokens += entry.tokens;
       }
       return tokens;
     },
-    note(query) {
-      const keys = chainKeys(query);
+    record(query) {
+      const keys = prefixKeys(query);
       for (const [index, key] of keys.entries()) {
         const old = entries.get(key);
         if (old) remove(key, old);
         const entry = { model: modelOf(query.weights), tokens: query.parts[index].tokens };
         entries.set(key, entry);
-        held += entry.tokens;
+        indexedTokens += entry.tokens;
       }
       evict();
     },
-    drop(model) {
+    dropModel(model) {
       for (const [key, entry] of entries) {
         if (entry.model === model) remove(key, entry);
       }
--- a/packages/prefix-index/src/prefix-index.steps.ts
+++ b/packages/prefix-index/src/prefix-index.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { createPrefixIndex, type PrefixIndex, type PrefixQuery } from "./index.js";
 
 /** From `model/adapter: id:tokens id:tokens`. */
@@ -13,25 +13,25 @@
   return { weights, parts };
 }
 
-const indexOf = (world: object) => notes(world).get<PrefixIndex>("index");
+const indexOf = (world: object) => scenarioState(world).get<PrefixIndex>("index");
 
 Given(
   "an index of {int} tokens that has seen {string}",
   function (this: object, tokens: number, text: string) {
     const index = createPrefixIndex(tokens);
-    index.note(query(text));
-    notes(this).set("index", index);
+    index.record(query(text));
+    scenarioState(this).set("index", index);
   },
 );
 
 When("{string} is seen", function (this: object, text: string) {
-  indexOf(this).note(query(text));
+  indexOf(this).record(query(text));
 });
 
 When("the model {string} is dropped", function (this: object, model: string) {
-  indexOf(this).drop(model);
+  indexOf(this).dropModel(model);
 });
 
 Then("{string} is kept for {int} tokens", function (this: object, text: string, tokens: number) {
-  assert.equal(indexOf(this).kept(query(text)), tokens);
+  assert.equal(indexOf(this).cachedTokens(query(text)), tokens);
 });
--- a/packages/process-soak/src/process-soak.steps.ts
+++ b/packages/process-soak/src/invariant-checks.steps.ts
@@ -3,17 +3,17 @@
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import { seededRandom } from "@linkfall/kernel";
 import {
-  type ArrivedOrder,
-  type Begun,
-  checkAccounts,
+  type ReceivedOrder,
+  type TargetRun,
+  checkAccountsOfRuns,
   checkAllAnswered,
   checkAtMostOnce,
   checkDraining,
-  checkNoForgery,
-  checkNoReversal,
-  checkNotRun,
-  checkOneHolder,
-  checkWholeAndOwn,
+  checkNoForgedHeaders,
+  checkNoConfigurationRollback,
+  checkRejectedNotRun,
+  checkOneHolderPerEpoch,
+  checkCompleteAnswers,
   drawFaults,
   type Finding,
   type Link,
@@ -22,122 +22,122 @@
   type RouteProbe,
 } from "./index.js";
 
-interface Scene {
+interface ScenarioState {
   readonly outcomes: Outcome[];
-  readonly begun: Begun[];
-  readonly orders: ArrivedOrder[];
+  readonly runs: TargetRun[];
+  readonly orders: ReceivedOrder[];
   readonly probes: RouteProbe[];
 }
 
-const scenes = new WeakMap<object, Scene>();
+const states = new WeakMap<object, ScenarioState>();
 
-function sceneOf(world: object): Scene {
-  const scene = scenes.get(world) ?? { outcomes: [], begun: [], orders: [], probes: [] };
-  scenes.set(world, scene);
+function stateOf(world: object): ScenarioState {
+  const scene = states.get(world) ?? { outcomes: [], runs: [], orders: [], probes: [] };
+  states.set(world, scene);
   return scene;
 }
 
-const answered = { sentAt: 0, endedAt: 1, status: 200, whole: true, own: true, box: "b1" };
+const answer = { sentAt: 0, endedAt: 1, status: 200, complete: true, matchesRequest: true, box: "b1" };
 
 Given(
   /^a request "(.*)" that may (not )?be repeated, answered whole with 200$/,
   function (this: object, id: string, not: string | undefined) {
-    sceneOf(this).outcomes.push({ ...answered, id, repeatable: not === undefined });
+    stateOf(this).outcomes.push({ ...answer, id, repeatable: not === undefined });
   },
 );
 
 Given(
   "a request {string} that may be repeated, refused with {int}",
   function (this: object, id: string, status: number) {
-    sceneOf(this).outcomes.push({ ...answered, id, repeatable: true, status, own: false });
+    stateOf(this).outcomes.push({ ...answer, id, repeatable: true, status, matchesRequest: false });
   },
 );
 
 Given("a request {string} that got another's answer as whole", function (this: object, id: string) {
-  sceneOf(this).outcomes.push({ ...answered, id, repeatable: true, own: false });
+  stateOf(this).outcomes.push({ ...answer, id, repeatable: true, matchesRequest: false });
 });
 
 Given("{string} began at {string}", function (this: object, id: string, target: string) {
-  sceneOf(this).begun.push({ id, target, at: 0 });
+  stateOf(this).runs.push({ id, target, at: 0 });
 });
 
 Given(
   "{string} began at {string} with a header of {string}",
   function (this: object, id: string, target: string, value: string) {
-    sceneOf(this).begun.push({ id, target, at: 0, headerValues: [value] });
+    stateOf(this).runs.push({ id, target, at: 0, headerValues: [value] });
   },
 );
 
 Given(
   "a request {string} of the account {string}",
   function (this: object, id: string, account: string) {
-    sceneOf(this).outcomes.push({ ...answeredWhole, id, account });
+    stateOf(this).outcomes.push({ ...completeAnswer, id, account });
   },
 );
 
 Given("a request {string} with a key that nobody holds", function (this: object, id: string) {
-  sceneOf(this).outcomes.push({ ...answeredWhole, id });
+  stateOf(this).outcomes.push({ ...completeAnswer, id });
 });
 
 Given(
   "{string} began at {string} as a request of {string}, with a header of {string}",
   function (this: object, id: string, target: string, account: string, value: string) {
-    sceneOf(this).begun.push({ id, target, at: 0, account, headerValues: [value] });
+    stateOf(this).runs.push({ id, target, at: 0, account, headerValues: [value] });
   },
 );
 
 When(
   "{int} ms later {string} began at {string}",
   function (this: object, ms: number, id: string, target: string) {
-    sceneOf(this).begun.push({ id, target, at: ms });
+    stateOf(this).runs.push({ id, target, at: ms });
   },
 );
 
 Given(
   "an order of {string} under epoch {int} at {string}",
   function (this: object, holder: string, epoch: number, engine: string) {
-    sceneOf(this).orders.push({ engine, holder, epoch, at: 0 });
+    stateOf(this).orders.push({ engine, holder, epoch, at: 0 });
   },
 );
 
 Given(
   /^a probe of "(.*)" in life (\d+) that (knows|does not know) version (\d+)$/,
   function (this: object, box: string, life: string, knows: string, version: string) {
-    const { probes } = sceneOf(this);
+    const { probes } = stateOf(this);
     const sentAt = probes.length * 10;
-    const probe = { box, life: Number(life), version: Number(version), known: knows === "knows" };
+    const probe = { box, incarnation: Number(life), version: Number(version), hasVersion: knows === "knows" };
     probes.push({ ...probe, sentAt, endedAt: sentAt + 1 });
   },
 );
 
-const answeredWhole = {
+const completeAnswer = {
   repeatable: true,
   sentAt: 0,
   endedAt: 1,
   status: 200,
-  whole: true,
-  own: true,
+  complete: true,
+  matchesRequest: true,
   box: "b1",
 } as const;
-const leftAt = 5;
-const checks: Readonly<Record<string, (scene: Scene) => readonly Finding[]>> = {
-  "at most once": ({ outcomes, begun }) => checkAtMostOnce(outcomes, begun),
-  "not run is true": ({ outcomes, begun }) => checkNotRun(outcomes, begun),
-  "whole and own answers": ({ outcomes }) => checkWholeAndOwn(outcomes),
-  "callers do not steer targets": ({ begun }) => checkNoForgery(begun, "forged"),
-  "requests belong to accounts": ({ outcomes, begun }) => checkAccounts(outcomes, begun, ["key"]),
-  "one order giver": ({ orders }) => checkOneHolder(orders),
-  "a configuration does not revert": ({ probes }) => checkNoReversal(probes, () => Infinity),
-  "a leaving target gets nothing new": ({ begun }) => checkDraining(begun, "p1", leftAt),
+const drainedAt = 5;
+const checks: Readonly<Record<string, (scene: ScenarioState) => readonly Finding[]>> = {
+  "at most once": ({ outcomes, runs: begun }) => checkAtMostOnce(outcomes, begun),
+  "not run is true": ({ outcomes, runs: begun }) => checkRejectedNotRun(outcomes, begun),
+  "whole and own answers": ({ outcomes }) => checkCompleteAnswers(outcomes),
+  "callers do not steer targets": ({ runs: begun }) => checkNoForgedHeaders(begun, "forged"),
+  "requests belong to accounts": ({ outcomes, runs: begun }) => checkAccountsOfRuns(outcomes, begun, ["key"]),
+  "one order giver": ({ orders }) => checkOneHolderPerEpoch(orders),
+  "a configuration does not revert": ({ probes }) => checkNoConfigurationRollback(probes, () => Infinity),
+  "a leaving target gets nothing new": ({ runs: begun }) => checkDraining(begun, "p1", drainedAt),
   "every request is answered": ({ outcomes }) => checkAllAnswered(outcomes, "in calm"),
 };
 
 Then("the check of {string} is silent", function (this: object, check: string) {
-  assert.deepEqual(checks[check](sceneOf(this)), []);
+  assert.deepEqual(checks[check](stateOf(this)), []);
 });
 
 Then("the check of {string} finds {string}", function (this: object, check: string, what: string) {
-  const findings = checks[check](sceneOf(this));
+  const findings = checks[check](stateOf(this));
   assert.equal(findings.length, 1);
   assert.ok(findings[0].detail.includes(what), findings[0].detail);
 });
@@ -152,8 +152,8 @@
     ];
     const faults = drawFaults(seededRandom(7), kinds, count, lengthMs);
     assert.deepEqual(drawFaults(seededRandom(7), kinds, count, lengthMs), faults);
-    const leastMs = 50;
-    for (const fault of faults) assert.ok(fault.atMs + fault.forMs <= lengthMs + leastMs);
+    const minDurationMs = 50;
+    for (const fault of faults) assert.ok(fault.atMs + fault.forMs <= lengthMs + minDurationMs);
     const overlaps = faults.some(
       (fault, index) => index > 0 && faults[index - 1].atMs + faults[index - 1].forMs > fault.atMs,
     );
@@ -161,22 +161,22 @@
   },
 );
 
-interface LinkScene {
+interface LinkState {
   readonly link: Link;
   readonly echo: Server;
   readonly caller: Socket;
   readonly received: string[];
 }
 
-const linkScenes = new WeakMap<object, LinkScene>();
+const linkStates = new WeakMap<object, LinkState>();
 
-function linkOf(world: object): LinkScene {
-  const scene = linkScenes.get(world);
+function linkStateOf(world: object): LinkState {
+  const scene = linkStates.get(world);
   assert.ok(scene);
   return scene;
 }
 
-const listening = (server: Server) =>
+const listenOnFreePort = (server: Server) =>
   new Promise<number>((resolve) => {
     server.listen(0, "127.0.0.1", () => {
       const address = server.address();
@@ -189,68 +189,68 @@
     socket.on("error", () => undefined);
     socket.pipe(socket);
   });
-  const port = await listening(echo);
+  const port = await listenOnFreePort(echo);
   const free = createServer();
-  const linkPort = await listening(free);
+  const linkPort = await listenOnFreePort(free);
   await new Promise((resolve) => free.close(resolve));
   const link = await openLink(`127.0.0.1:${linkPort}`, `127.0.0.1:${port}`);
   const received: string[] = [];
   const caller = connect(linkPort, "127.0.0.1");
   caller.on("data", (bytes: Buffer) => received.push(bytes.toString()));
   caller.on("error", () => undefined);
-  linkScenes.set(this, { link, echo, caller, received });
+  linkStates.set(this, { link, echo, caller, received });
 });
 
 After({ name: "link" }, function (this: object) {
-  const scene = linkScenes.get(this);
+  const scene = linkStates.get(this);
   scene?.caller.destroy();
   scene?.link.close();
   scene?.echo.close();
 });
 
 /** Waits until the caller has received the text. */
-async function receives({ caller, received }: LinkScene, text: string): Promise<void> {
+async function waitUntilReceived({ caller, received }: LinkState, text: string): Promise<void> {
   while (!received.join("").includes(text)) {
     await new Promise((resolve) => caller.once("data", resolve));
   }
 }
 
 Then("bytes come back through it", async function (this: object) {
-  const scene = linkOf(this);
+  const scene = linkStateOf(this);
   scene.caller.write("first");
-  await receives(scene, "first");
+  await waitUntilReceived(scene, "first");
 });
 
 When("the link is silent", function (this: object) {
-  linkOf(this).link.setMode({ kind: "silent" });
+  linkStateOf(this).link.setMode({ kind: "silent" });
 });
 
 Then("no bytes come back until it is open again", async function (this: object) {
-  const scene = linkOf(this);
+  const scene = linkStateOf(this);
   scene.caller.write("second");
   // Whatever time passes here, nothing may come: the order of two events, not their time, is asserted.
   await new Promise((resolve) => setTimeout(resolve, 50));
   assert.ok(!scene.received.join("").includes("second"));
   scene.link.setMode({ kind: "open" });
-  await receives(scene, "second");
+  await waitUntilReceived(scene, "second");
 });
 
 When("the link is resetting", function (this: object) {
-  linkOf(this).link.setMode({ kind: "resetting" });
+  linkStateOf(this).link.setMode({ kind: "resetting" });
 });
 
 Then("its connections are reset", async function (this: object) {
-  const { caller } = linkOf(this);
+  const { caller } = linkStateOf(this);
   if (!caller.destroyed) await new Promise((resolve) => caller.once("close", resolve));
   assert.ok(caller.destroyed);
 });
 
 When("its caller ends the connection", function (this: object) {
-  linkOf(this).caller.destroy();
+  linkStateOf(this).caller.destroy();
 });
 
 Then("the connection to the echo ends as well", async function (this: object) {
-  const { echo } = linkOf(this);
+  const { echo } = linkStateOf(this);
   const open = () =>
     new Promise<number>((resolve) => {
       echo.getConnections((_problem, count) => resolve(count));
@@ -259,17 +259,17 @@
 });
 
 When("the link is refusing", function (this: object) {
-  linkOf(this).link.setMode({ kind: "refusing" });
+  linkStateOf(this).link.setMode({ kind: "refusing" });
 });
 
-const splitPort = (address: string) => Number(address.slice(address.lastIndexOf(":") + 1));
+const portOf = (address: string) => Number(address.slice(address.lastIndexOf(":") + 1));
 
 When(
   "another process listens at its port until after the link is open again",
   async function (this: object) {
-    const { link } = linkOf(this);
+    const { link } = linkStateOf(this);
     const other = createServer();
-    const port = splitPort(link.address);
+    const port = portOf(link.address);
     await new Promise<void>((resolve) => other.listen(port, "127.0.0.1", resolve));
     link.setMode({ kind: "open" });
     await new Promise((resolve) => setTimeout(resolve, 50));
@@ -278,7 +278,7 @@
 );
 
 Then("connections through it are taken again", async function (this: object) {
-  const port = splitPort(linkOf(this).link.address);
+  const port = portOf(linkStateOf(this).link.address);
   const connected = () =>
     new Promise<boolean>((resolve) => {
       const caller = connect(port, "127.0.0.1");
--- a/packages/process-soak/src/tests/fault-series.ts
+++ b/packages/process-soak/src/tests/fault-series.ts
@@ -16,20 +16,20 @@
   readonly forMs: number;
 }
 
-const leastMs = 50;
+const minDurationMs = 50;
 
 /** Faults over `lengthMs`, in the order of their time; each ends within it. */
 export function drawFaults(
   random: Random,
   kinds: readonly FaultKind[],
   count: number,
-  lengthMs: number,
+  seriesMs: number,
 ): readonly Fault[] {
-  const able = kinds.filter((kind) => kind.subjects.length > 0);
+  const applicableKinds = kinds.filter((kind) => kind.subjects.length > 0);
   const faults = Array.from({ length: count }, (): Fault => {
-    const { kind, subjects, mostMs } = pick(random, able);
-    const atMs = random.below(lengthMs);
-    const forMs = leastMs + random.below(Math.max(1, Math.min(mostMs, lengthMs - atMs)));
+    const { kind, subjects, mostMs } = pick(random, applicableKinds);
+    const atMs = random.nextInt(seriesMs);
+    const forMs = minDurationMs + random.nextInt(Math.max(1, Math.min(mostMs, seriesMs - atMs)));
     return { atMs, kind, subject: pick(random, subjects), forMs };
   });
   return faults.sort((left, right) => left.atMs - right.atMs);
--- a/packages/process-soak/src/tests/promises.ts
+++ b/packages/process-soak/src/tests/invariant-checks.ts
@@ -9,16 +9,16 @@
   /** Absent where the connection ended without an answer. */
   readonly status?: number;
   /** The answer came to its end. */
-  readonly whole: boolean;
+  readonly complete: boolean;
   /** The answer is the one that a target made for this request. */
-  readonly own: boolean;
+  readonly matchesRequest: boolean;
   readonly box: string;
   /** Account that holds the key that was sent; absent where nobody holds it. */
   readonly account?: string;
 }
 
 /** A target has begun to work on a request. */
-export interface Begun {
+export interface TargetRun {
   readonly id: string;
   readonly target: string;
   readonly at: number;
@@ -29,7 +29,7 @@
 }
 
 /** An order that reached an engine. */
-export interface ArrivedOrder {
+export interface ReceivedOrder {
   readonly engine: string;
   readonly holder: string;
   readonly epoch: number;
@@ -39,9 +39,9 @@
 /** Whether a box had a version's route when it was asked. */
 export interface RouteProbe {
   readonly box: string;
-  readonly life: number;
+  readonly incarnation: number;
   readonly version: number;
-  readonly known: boolean;
+  readonly hasVersion: boolean;
   readonly sentAt: number;
   readonly endedAt: number;
 }
@@ -53,48 +53,48 @@
 }
 
 /** Statuses that promise that the request has not run and never will. */
-const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const rejectedStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 const okStatus = 200;
 
-function runsById(begun: readonly Begun[]): ReadonlyMap<string, readonly Begun[]> {
-  const runs = new Map<string, Begun[]>();
-  for (const run of begun) runs.set(run.id, [...(runs.get(run.id) ?? []), run]);
-  return runs;
+function groupRunsById(runs: readonly TargetRun[]): ReadonlyMap<string, readonly TargetRun[]> {
+  const runsByRequest = new Map<string, TargetRun[]>();
+  for (const run of runs) runsByRequest.set(run.id, [...(runsByRequest.get(run.id) ?? []), run]);
+  return runsByRequest;
 }
 
 /** What may not be repeated runs at most once. */
 export function checkAtMostOnce(
   outcomes: readonly Outcome[],
-  begun: readonly Begun[],
+  runs: readonly TargetRun[],
 ): readonly Finding[] {
-  const runs = runsById(begun);
+  const runsByRequest = groupRunsById(runs);
   return outcomes
-    .filter(({ id, repeatable }) => !repeatable && (runs.get(id)?.length ?? 0) > 1)
-    .map(({ id }) => ({ promise: "at most once", detail: `${id} ran at ${targetsOf(runs, id)}` }));
+    .filter(({ id, repeatable }) => !repeatable && (runsByRequest.get(id)?.length ?? 0) > 1)
+    .map(({ id }) => ({ promise: "at most once", detail: `${id} ran at ${targetsOf(runsByRequest, id)}` }));
 }
 
 /** What was refused as not run has not run. */
-export function checkNotRun(
+export function checkRejectedNotRun(
   outcomes: readonly Outcome[],
-  begun: readonly Begun[],
+  runs: readonly TargetRun[],
 ): readonly Finding[] {
-  const runs = runsById(begun);
+  const runsByRequest = groupRunsById(runs);
   return outcomes
-    .filter(({ id, status }) => notRunStatuses.has(status ?? 0) && runs.has(id))
+    .filter(({ id, status }) => rejectedStatuses.has(status ?? 0) && runsByRequest.has(id))
     .map(({ id, status }) => ({
       promise: "not run is true",
-      detail: `${id} was refused with ${status} and ran at ${targetsOf(runs, id)}`,
+      detail: `${id} was refused with ${status} and ran at ${targetsOf(runsByRequest, id)}`,
     }));
 }
 
-function targetsOf(runs: ReadonlyMap<string, readonly Begun[]>, id: string): string {
-  return (runs.get(id) ?? []).map((run) => run.target).join(", ");
+function targetsOf(runsByRequest: ReadonlyMap<string, readonly TargetRun[]>, id: string): string {
+  return (runsByRequest.get(id) ?? []).map((run) => run.target).join(", ");
 }
 
 /** Nothing that a caller forged to steer a target reaches it; forged headers carry `mark`. */
-export function checkNoForgery(begun: readonly Begun[], mark: string): readonly Finding[] {
-  return begun
-    .filter(({ headerValues }) => headerValues?.includes(mark))
+export function checkNoForgedHeaders(runs: readonly TargetRun[], forgedValue: string): readonly Finding[] {
+  return runs
+    .filter(({ headerValues }) => headerValues?.includes(forgedValue))
     .map(({ id, target }) => ({
       promise: "callers do not steer targets",
       detail: `${id} reached ${target} with a header that only linkfall may set`,
@@ -102,30 +102,30 @@
 }
 
 /** Targets get requests of accounts only, under the right name, and never a key. */
-export function checkAccounts(
+export function checkAccountsOfRuns(
   outcomes: readonly Outcome[],
-  begun: readonly Begun[],
+  runs: readonly TargetRun[],
   keys: readonly string[],
 ): readonly Finding[] {
-  const accounts = new Map(outcomes.map(({ id, account }) => [id, account]));
-  return begun
-    .filter(({ id }) => accounts.has(id))
+  const accountsById = new Map(outcomes.map(({ id, account }) => [id, account]));
+  return runs
+    .filter(({ id }) => accountsById.has(id))
     .filter(({ id, account, headerValues = [] }) => {
-      const holder = accounts.get(id);
+      const expectedAccount = accountsById.get(id);
       return (
-        holder === undefined || holder !== account || keys.some((key) => headerValues.includes(key))
+        expectedAccount === undefined || expectedAccount !== account || keys.some((key) => headerValues.includes(key))
       );
     })
     .map(({ id, target, account }) => ({
       promise: "requests belong to accounts",
-      detail: `${id} of ${accounts.get(id) ?? "nobody"} reached ${target} as ${account ?? "nobody"}'s, or with a key`,
+      detail: `${id} of ${accountsById.get(id) ?? "nobody"} reached ${target} as ${account ?? "nobody"}'s, or with a key`,
     }));
 }
 
 /** An answer that looks whole is the caller's own, to its end. */
-export function checkWholeAndOwn(outcomes: readonly Outcome[]): readonly Finding[] {
+export function checkCompleteAnswers(outcomes: readonly Outcome[]): readonly Finding[] {
   return outcomes
-    .filter(({ status, whole, own }) => status === okStatus && whole && !own)
+    .filter(({ status, complete: whole, matchesRequest: own }) => status === okStatus && whole && !own)
     .map(({ id, box }) => ({
       promise: "whole and own answers",
       detail: `${id} got another answer, or a part of its own, as whole from ${box}`,
@@ -133,35 +133,35 @@
 }
 
 /** Orders under one epoch come from one holder, and a holder's epochs only rise. */
-export function checkOneHolder(orders: readonly ArrivedOrder[]): readonly Finding[] {
-  const holders = new Map<number, string>();
+export function checkOneHolderPerEpoch(orders: readonly ReceivedOrder[]): readonly Finding[] {
+  const holdersByEpoch = new Map<number, string>();
   return orders.flatMap(({ engine, holder, epoch }) => {
-    const known = holders.get(epoch) ?? holder;
-    holders.set(epoch, known);
-    if (known === holder) return [];
+    const firstHolder = holdersByEpoch.get(epoch) ?? holder;
+    holdersByEpoch.set(epoch, firstHolder);
+    if (firstHolder === holder) return [];
     return [
       {
         promise: "one order giver",
-        detail: `${engine} got orders of ${known} and ${holder} under epoch ${epoch}`,
+        detail: `${engine} got orders of ${firstHolder} and ${holder} under epoch ${epoch}`,
       },
     ];
   });
 }
 
 /** Within one life of a box, a version that was in force stays known until a newer one is written. */
-export function checkNoReversal(
+export function checkNoConfigurationRollback(
   probes: readonly RouteProbe[],
   replacedAt: (version: number) => number,
 ): readonly Finding[] {
-  const seen = new Map<string, RouteProbe>();
+  const latestProbes = new Map<string, RouteProbe>();
   return probes.flatMap((probe) => {
-    const key = `${probe.box} ${probe.life}`;
-    const highest = seen.get(key);
-    if (probe.known && (!highest || probe.version >= highest.version)) seen.set(key, probe);
-    if (probe.known || !highest) return [];
-    const went = highest.version === probe.version && probe.endedAt < replacedAt(probe.version);
-    const later = probe.sentAt > highest.endedAt;
-    if (!went || !later) return [];
+    const key = `${probe.box} ${probe.incarnation}`;
+    const latest = latestProbes.get(key);
+    if (probe.hasVersion && (!latest || probe.version >= latest.version)) latestProbes.set(key, probe);
+    if (probe.hasVersion || !latest) return [];
+    const lostBeforeReplaced = latest.version === probe.version && probe.endedAt < replacedAt(probe.version);
+    const sentAfterLatest = probe.sentAt > latest.endedAt;
+    if (!lostBeforeReplaced || !sentAfterLatest) return [];
     return [
       {
         promise: "a configuration does not revert",
@@ -173,23 +173,23 @@
 
 /** A target that leaves gets nothing new after a while. */
 export function checkDraining(
-  begun: readonly Begun[],
+  runs: readonly TargetRun[],
   target: string,
-  from: number,
+  drainedAt: number,
 ): readonly Finding[] {
-  const late = begun.filter((run) => run.target === target && run.at > from);
-  return late.map(({ id }) => ({
+  const lateRuns = runs.filter((run) => run.target === target && run.at > drainedAt);
+  return lateRuns.map(({ id }) => ({
     promise: "a leaving target gets nothing new",
     detail: `${id} began at ${target} after that`,
   }));
 }
 
 /** In calm times every request gets a whole answer. */
-export function checkAllAnswered(outcomes: readonly Outcome[], when: string): readonly Finding[] {
+export function checkAllAnswered(outcomes: readonly Outcome[], period: string): readonly Finding[] {
   return outcomes
-    .filter(({ status, whole }) => status !== okStatus || !whole)
+    .filter(({ status, complete: whole }) => status !== okStatus || !whole)
     .map(({ id, status, box }) => ({
-      promise: `every request is answered ${when}`,
+      promise: `every request is answered ${period}`,
       detail: `${id} got ${status ?? "no answer"} from ${box}`,
     }));
 }
--- a/packages/process-soak/src/tests/link.ts
+++ b/packages/process-soak/src/tests/link.ts
@@ -25,17 +25,17 @@
 
 type Direction = "to_target" | "from_target";
 
-const open: LinkMode = { kind: "open" };
-const listenAgainMs = 100;
+const openMode: LinkMode = { kind: "open" };
+const listenRetryMs = 100;
 
-function holdsUp(mode: LinkMode, direction: Direction): boolean {
+function isBlocked(mode: LinkMode, direction: Direction): boolean {
   if (mode.kind === "silent") return true;
   return mode.kind === (direction === "to_target" ? "deaf" : "mute");
 }
 
 function splitAddress(address: string): [host: string, port: number] {
-  const mark = address.lastIndexOf(":");
-  return [address.slice(0, mark), Number(address.slice(mark + 1))];
+  const separator = address.lastIndexOf(":");
+  return [address.slice(0, separator), Number(address.slice(separator + 1))];
 }
 
 const sleep = (ms: number) =>
@@ -51,26 +51,26 @@
 
 /** Opens a link at `address` that leads to `target`. */
 export async function openLink(address: string, target: string): Promise<Link> {
-  let mode = open;
-  let changed: (() => void)[] = [];
-  const pairs = new Set<readonly [Socket, Socket]>();
+  let mode = openMode;
+  let modeChangeWaiters: (() => void)[] = [];
+  const connections = new Set<readonly [Socket, Socket]>();
 
-  const nextChange = () =>
+  const nextModeChange = () =>
     new Promise<void>((resolve) => {
-      changed.push(resolve);
+      modeChangeWaiters.push(resolve);
     });
   /** Resolves when bytes of this direction may pass. */
-  const gate = async (direction: Direction): Promise<void> => {
-    while (holdsUp(mode, direction)) await nextChange();
+  const waitUntilUnblocked = async (direction: Direction): Promise<void> => {
+    while (isBlocked(mode, direction)) await nextModeChange();
     if (mode.kind === "delayed") await sleep(mode.ms);
   };
-  const resetBoth = (pair: readonly [Socket, Socket]) => {
-    pairs.delete(pair);
+  const resetConnection = (pair: readonly [Socket, Socket]) => {
+    connections.delete(pair);
     for (const socket of pair) resetSocket(socket);
   };
-  const carry = async (from: Socket, to: Socket, direction: Direction): Promise<void> => {
+  const forwardBytes = async (from: Socket, to: Socket, direction: Direction): Promise<void> => {
     for await (const chunk of from) {
-      await gate(direction);
+      await waitUntilUnblocked(direction);
       if (to.destroyed) return;
       if (!to.write(chunk as Buffer)) {
         await new Promise<void>((resolve) => {
@@ -79,28 +79,28 @@
         });
       }
     }
-    await gate(direction);
+    await waitUntilUnblocked(direction);
     to.end();
   };
 
   const server: Server = createServer({ allowHalfOpen: true }, (caller) => {
     if (mode.kind === "resetting") return void caller.resetAndDestroy();
     const [host, port] = splitAddress(target);
-    const onward = new Socket({ allowHalfOpen: true });
-    const pair = [caller, onward] as const;
-    pairs.add(pair);
-    onward.connect(port, host);
-    for (const [socket, other] of [pair, [onward, caller] as const]) {
+    const upstream = new Socket({ allowHalfOpen: true });
+    const pair = [caller, upstream] as const;
+    connections.add(pair);
+    upstream.connect(port, host);
+    for (const [socket, other] of [pair, [upstream, caller] as const]) {
       socket.setNoDelay(true);
-      socket.on("error", () => resetBoth(pair));
+      socket.on("error", () => resetConnection(pair));
       // What one side has closed the other keeps open no longer than its last bytes take.
       socket.on("close", () => {
         other.destroySoon();
-        if (other.destroyed) pairs.delete(pair);
+        if (other.destroyed) connections.delete(pair);
       });
     }
-    carry(caller, onward, "to_target").catch(() => resetBoth(pair));
-    carry(onward, caller, "from_target").catch(() => resetBoth(pair));
+    forwardBytes(caller, upstream, "to_target").catch(() => resetConnection(pair));
+    forwardBytes(upstream, caller, "from_target").catch(() => resetConnection(pair));
   });
   const [host, port] = splitAddress(address);
   await new Promise<void>((resolve, reject) => {
@@ -108,30 +108,30 @@
     server.listen(port, host, resolve);
   });
   let closed = false;
-  const listenAgain = () => {
+  const retryListening = () => {
     if (!closed && mode.kind !== "refusing" && !server.listening) server.listen(port, host);
   };
   // While nobody listens there, another process of this machine may take the port for a while.
-  server.on("error", () => void setTimeout(listenAgain, listenAgainMs));
+  server.on("error", () => void setTimeout(retryListening, listenRetryMs));
 
   return {
     address,
     setMode(next) {
       mode = next;
       const resets = next.kind === "resetting" || next.kind === "refusing";
-      if (resets) for (const pair of [...pairs]) resetBoth(pair);
-      if (next.kind === "refusing") server.close(listenAgain);
-      else listenAgain();
-      const woken = changed;
-      changed = [];
-      for (const wake of woken) wake();
+      if (resets) for (const pair of [...connections]) resetConnection(pair);
+      if (next.kind === "refusing") server.close(retryListening);
+      else retryListening();
+      const waiters = modeChangeWaiters;
+      modeChangeWaiters = [];
+      for (const wake of waiters) wake();
     },
     close() {
       closed = true;
       server.close();
-      mode = open;
-      for (const pair of [...pairs]) resetBoth(pair);
-      for (const wake of changed.splice(0)) wake();
+      mode = openMode;
+      for (const pair of [...connections]) resetConnection(pair);
+      for (const wake of modeChangeWaiters.splice(0)) wake();
     },
   };
 }
--- a/packages/process-soak/src/tests/supervised-process.ts
+++ b/packages/process-soak/src/tests/supervised-process.ts
@@ -2,7 +2,7 @@
 import { type ChildProcess, spawn } from "node:child_process";
 import { closeSync, openSync } from "node:fs";
 
-export interface ProcessInput {
+export interface ProcessOptions {
   readonly name: string;
   readonly command: string;
   readonly args: readonly string[];
@@ -10,72 +10,72 @@
   /** Takes standard output and standard error of all its lives. */
   readonly logFile: string;
   /** Time from an end to the next start. */
-  readonly restartMs: number;
+  readonly restartDelayMs: number;
 }
 
 export interface SupervisedProcess {
   readonly name: string;
   /** Counts starts; 1 during the first. */
-  life(): number;
+  incarnation(): number;
   running(): boolean;
   /** Sends a signal to the process of now, if there is one. */
   signal(signal: NodeJS.Signals): void;
   /** Ends of its own that no signal explains: exit codes, in order. */
-  ownEnds(): readonly number[];
+  unexpectedExitCodes(): readonly number[];
   /** Ends the process for good. */
-  end(): Promise<void>;
+  stop(): Promise<void>;
 }
 
 /** Signals after which an end is no wonder. */
-const endingSignals: ReadonlySet<NodeJS.Signals> = new Set(["SIGTERM", "SIGKILL"]);
+const terminatingSignals: ReadonlySet<NodeJS.Signals> = new Set(["SIGTERM", "SIGKILL"]);
 
 /** Starts the process. */
-export function superviseProcess(input: ProcessInput): SupervisedProcess {
-  const ownEnds: number[] = [];
-  let life = 0;
-  let ended = false;
-  let asked = false;
+export function superviseProcess(options: ProcessOptions): SupervisedProcess {
+  const unexpectedExitCodes: number[] = [];
+  let incarnation = 0;
+  let stopped = false;
+  let exitExpected = false;
   let child: ChildProcess | undefined;
-  let restart: NodeJS.Timeout | undefined;
+  let restartTimer: NodeJS.Timeout | undefined;
 
   const start = () => {
-    life += 1;
-    asked = false;
-    const log = openSync(input.logFile, "a");
-    child = spawn(input.command, input.args, {
-      env: { PATH: process.env.PATH, ...input.env },
+    incarnation += 1;
+    exitExpected = false;
+    const log = openSync(options.logFile, "a");
+    child = spawn(options.command, options.args, {
+      env: { PATH: process.env.PATH, ...options.env },
       stdio: ["ignore", log, log],
     });
     closeSync(log);
     child.once("exit", (code) => {
       child = undefined;
-      if (!asked) ownEnds.push(code ?? -1);
-      if (!ended) restart = setTimeout(start, input.restartMs);
+      if (!exitExpected) unexpectedExitCodes.push(code ?? -1);
+      if (!stopped) restartTimer = setTimeout(start, options.restartDelayMs);
     });
   };
   start();
 
   return {
-    name: input.name,
-    life: () => life,
+    name: options.name,
+    incarnation: () => incarnation,
     running: () => child !== undefined,
     signal(signal) {
-      if (endingSignals.has(signal)) asked = true;
+      if (terminatingSignals.has(signal)) exitExpected = true;
       child?.kill(signal);
     },
-    ownEnds: () => ownEnds,
-    async end() {
-      ended = true;
-      clearTimeout(restart);
-      const last = child;
-      if (!last) return;
-      asked = true;
-      const gone = new Promise<void>((resolve) => {
-        last.once("exit", () => resolve());
+    unexpectedExitCodes: () => unexpectedExitCodes,
+    async stop() {
+      stopped = true;
+      clearTimeout(restartTimer);
+      const lastChild = child;
+      if (!lastChild) return;
+      exitExpected = true;
+      const exited = new Promise<void>((resolve) => {
+        lastChild.once("exit", () => resolve());
       });
-      last.kill("SIGCONT");
-      last.kill("SIGKILL");
-      await gone;
+      lastChild.kill("SIGCONT");
+      lastChild.kill("SIGKILL");
+      await exited;
     },
   };
 }
--- a/packages/raw-exchange/src/index.ts
+++ b/packages/raw-exchange/src/index.ts
@@ -18,23 +18,23 @@
   readonly headers: RawHeaders;
   readonly body: Buffer;
   /** Longest time until the connection stands. */
-  readonly connectMs: Milliseconds;
+  readonly connectTimeoutMs: Milliseconds;
   /** Awaited when the connection stands, before the first byte; the exchange may be aborted meanwhile. */
-  beforeBytes?(): Promise<void>;
+  beforeWrite?(): Promise<void>;
 }
 
 /** The head of an answer. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   readonly headers: RawHeaders;
 }
 
 /** What happens in an exchange. After `onWhole` or `onFailure` nothing more is called. */
 export interface ExchangeListener {
-  onHead(head: AnswerHead): void;
+  onHead(head: ResponseHead): void;
   onBytes(bytes: Buffer): void;
   /** The answer is whole. */
-  onWhole(): void;
+  onComplete(): void;
   /** The exchange ended before the answer was whole. */
   onFailure(failure: TargetUnreachable): void;
 }
@@ -91,7 +91,7 @@
   let done = false;
   let connected = false;
   let written = false;
-  let message: IncomingMessage | undefined;
+  let response: IncomingMessage | undefined;
   const sent = createRequest(request);
 
   const finish = (report: () => void) => {
@@ -102,17 +102,17 @@
     report();
   };
   /** A reset also drops what the system still holds of the request; a close would go out behind it. */
-  const takeBack = () => {
+  const resetConnection = () => {
     if (connected) sent.socket?.resetAndDestroy();
     sent.destroy();
   };
   const fail = (reason: string) => finish(() => listener.onFailure(failure(reason, written)));
-  const cancelConnect = clock.after(request.connectMs, () => {
+  const cancelConnect = clock.after(request.connectTimeoutMs, () => {
     if (!connected) fail("no connection in time");
   });
 
   const write = async () => {
-    await request.beforeBytes?.();
+    await request.beforeWrite?.();
     if (done) return;
     written = true;
     sent.end(request.body);
@@ -133,14 +133,14 @@
   // Also called when a reset ends an answer without a length, before its end is reported.
   sent.on("error", (problem) => fail(problem.message));
   sent.once("response", (answer) => {
-    message = answer;
+    response = answer;
     answer.on("error", (problem) => fail(problem.message));
     answer.once("aborted", () => fail("the answer was cut"));
     answer.on("data", (bytes: Buffer) => {
       if (!done) listener.onBytes(bytes);
     });
     answer.once("end", () => {
-      if (answer.complete) finish(() => listener.onWhole());
+      if (answer.complete) finish(() => listener.onComplete());
       else fail("the answer was cut");
     });
     if (!done) listener.onHead({ status: answer.statusCode ?? 0, headers: answer.rawHeaders });
@@ -152,9 +152,9 @@
       if (done) return;
       done = true;
       cancelConnect();
-      takeBack();
+      resetConnection();
     },
-    pause: () => message?.pause(),
-    resume: () => message?.resume(),
+    pause: () => response?.pause(),
+    resume: () => response?.resume(),
   };
 }
--- a/packages/raw-exchange/src/raw-exchange.steps.ts
+++ b/packages/raw-exchange/src/raw-exchange.steps.ts
@@ -3,7 +3,7 @@
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import type { TargetUnreachable } from "@linkfall/errors";
 import { systemClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { isListening, openExchange } from "./index.js";
 
 type Outcome = { bytes: number } | { failure: TargetUnreachable };
@@ -22,7 +22,7 @@
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   servers.push(server);
-  notes(world).set("port", (server.address() as AddressInfo).port);
+  scenarioState(world).set("port", (server.address() as AddressInfo).port);
 }
 
 const servers: Server[] = [];
@@ -66,7 +66,7 @@
   const outcome = await new Promise<Outcome>((resolve) => {
     let bytes = 0;
     const request = {
-      address: `127.0.0.1:${notes(this).get<number>("port")}`,
+      address: `127.0.0.1:${scenarioState(this).get<number>("port")}`,
       method: "GET",
       path: "/",
       headers: ["Host", "example"],
@@ -76,11 +76,11 @@
     openExchange(systemClock(), request, {
       onHead: () => undefined,
       onBytes: (chunk) => void (bytes += chunk.length),
-      onWhole: () => resolve({ bytes }),
+      onComplete: () => resolve({ bytes }),
       onFailure: (failure) => resolve({ failure }),
     });
   });
-  notes(this).set("outcome", outcome);
+  scenarioState(this).set("outcome", outcome);
 });
 
 /** What a target that reads late has seen of its connection. */
@@ -97,11 +97,11 @@
     socket.on("error", () => void (reader.wasReset = true));
     // A reset behind bytes that are still unread is shown as a plain end, of a connection without a peer.
     socket.on("end", () => void (reader.wasReset ||= socket.remoteAddress === undefined));
-    notes(this).set("reader", reader);
+    scenarioState(this).set("reader", reader);
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   servers.push(server);
-  notes(this).set("port", (server.address() as AddressInfo).port);
+  scenarioState(this).set("port", (server.address() as AddressInfo).port);
 });
 
 const megabyte = 1_048_576;
@@ -121,12 +121,12 @@
     const exchange = openExchange(
       systemClock(),
       {
-        address: `127.0.0.1:${notes(this).get<number>("port")}`,
+        address: `127.0.0.1:${scenarioState(this).get<number>("port")}`,
         method: "POST",
         path: "/",
         headers: ["Host", "example"],
         body: Buffer.alloc(megabytes * megabyte),
-        connectMs: 5_000,
+        connectTimeoutMs: 5_000,
       },
       silent,
     );
@@ -138,18 +138,18 @@
 );
 
 When("the target reads what has come", async function (this: object) {
-  const { socket } = notes(this).get<LateReader>("reader");
+  const { socket } = scenarioState(this).get<LateReader>("reader");
   const closed = new Promise((resolve) => socket.once("close", resolve));
   socket.resume();
   await closed;
 });
 
 Then("the target sees that the connection was reset", function (this: object) {
-  const { wasReset, bytes } = notes(this).get<LateReader>("reader");
+  const { wasReset, bytes } = scenarioState(this).get<LateReader>("reader");
   assert.ok(wasReset, `an orderly end after ${bytes} bytes`);
 });
 
-const outcomeOf = (world: object) => notes(world).get<Outcome>("outcome");
+const outcomeOf = (world: object) => scenarioState(world).get<Outcome>("outcome");
 
 Then("the answer is whole with {int} bytes", function (this: object, bytes: number) {
   assert.deepEqual(outcomeOf(this), { bytes });
@@ -174,6 +174,6 @@
 });
 
 Then(/^the address (listens|refuses)$/, async function (this: object, expected: string) {
-  const address = `127.0.0.1:${notes(this).get<number>("port")}`;
+  const address = `127.0.0.1:${scenarioState(this).get<number>("port")}`;
   assert.equal(await isListening(systemClock(), address, 1_000), expected);
 });
--- a/packages/refusals/src/index.ts
+++ b/packages/refusals/src/index.ts
@@ -5,7 +5,7 @@
 const millisecondsPerSecond = 1000;
 
 /** HTTP status of each code. */
-export const statusOfCode: Readonly<Record<RefusalCode, number>> = {
+export const statusByCode: Readonly<Record<RefusalCode, number>> = {
   bad_request: 400,
   body_too_large: 413,
   unauthenticated: 401,
@@ -63,7 +63,7 @@
     headers["retry-after"] = String(seconds);
   }
   const body = Buffer.from(`${refusalBody(refusal)}\n`);
-  return { status: statusOfCode[refusal.code], headers, body };
+  return { status: statusByCode[refusal.code], headers, body };
 }
 
 /** A whole JSON answer. */
--- a/packages/rendezvous/src/index.ts
+++ b/packages/rendezvous/src/index.ts
@@ -5,7 +5,7 @@
 import murmurhash from "murmurhash";
 
 /** Names of nodes are hashed once; this many are kept. */
-const keptNodes = 10_000;
+const maxCachedNodeHashes = 10_000;
 
 const nodeHashes = new Map<string, number>();
 
@@ -14,17 +14,17 @@
   return murmurhash.v3(text, seed);
 }
 
-function nodeHash(node: string): number {
+function cachedNodeHash(node: string): number {
   const known = nodeHashes.get(node);
   if (known !== undefined) return known;
-  if (nodeHashes.size >= keptNodes) nodeHashes.clear();
+  if (nodeHashes.size >= maxCachedNodeHashes) nodeHashes.clear();
   const hash = hash32(node);
   nodeHashes.set(node, hash);
   return hash;
 }
 
 /** Spreads the bits of a number: the last step of MurmurHash3. */
-function spread(value: number): number {
+function finalizeHash(value: number): number {
   let mixed = value ^ (value >>> 16);
   mixed = Math.imul(mixed, 0x85ebca6b);
   mixed ^= mixed >>> 13;
@@ -37,14 +37,14 @@
  *
  * @param keyHash the key's {@link hash32}
  */
-export function affinity(keyHash: number, node: string): number {
-  return spread(keyHash ^ nodeHash(node));
+export function nodeScore(keyHash: number, node: string): number {
+  return finalizeHash(keyHash ^ cachedNodeHash(node));
 }
 
 /** The nodes in the order of preference for `key`. Equal hashes are ordered by name. */
 export function rankNodes(key: string, nodes: readonly string[]): readonly string[] {
   const keyHash = hash32(key);
-  const scored = nodes.map((node) => ({ node, score: affinity(keyHash, node) }));
+  const scored = nodes.map((node) => ({ node, score: nodeScore(keyHash, node) }));
   scored.sort((a, b) => b.score - a.score || (a.node < b.node ? -1 : 1));
   return scored.map((entry) => entry.node);
 }
--- a/packages/replicas/src/index.ts
+++ b/packages/replicas/src/index.ts
@@ -1,10 +1,10 @@
 /** Finds the engines that can currently serve a model. */
 import { clockName, type Kernel, serviceName } from "@linkfall/kernel";
 import { settingsName } from "@linkfall/config";
-import { type Candidate, type EngineLoad, estimateWait, loadOf } from "@linkfall/routing";
+import { type Candidate, type EngineLoad, estimateWaitMs, loadPerSlot } from "@linkfall/routing";
 import { stateStoreName } from "@linkfall/state-store";
 import { targetLoadName } from "@linkfall/target-load";
-import { targetWatchName, type WatchedReport } from "@linkfall/target-watch";
+import { targetWatchName, type EngineReportRecord } from "@linkfall/target-watch";
 import {
   type Adapter,
   adapterArtifact,
@@ -36,7 +36,7 @@
 /** An engine that can serve a request, with the artifacts it would use. */
 interface ServingEngine {
   readonly engine: Engine;
-  readonly watched: WatchedReport;
+  readonly watched: EngineReportRecord;
   readonly artifact: string;
   readonly adapterArtifact?: string;
   readonly isCurrent: boolean;
@@ -102,14 +102,14 @@
       running: watched.report.running,
       queued: watched.report.queued,
       concurrency: engine.concurrency,
-      sentSince: targetLoad.sentSince(engine.name, watched.requestedAt),
-      serviceMs: targetLoad.serviceMs(engine.name),
+      unreportedRequests: targetLoad.unreportedRequests(engine.name, watched.requestedAt),
+      meanServiceMs: targetLoad.meanServiceMs(engine.name),
     };
     return {
       target: engine.name,
       address: engine.address,
-      load: loadOf(engineLoad),
-      waitMs: estimateWait(engineLoad),
+      load: loadPerSlot(engineLoad),
+      waitMs: estimateWaitMs(engineLoad),
       artifact: candidate.artifact,
       adapterArtifact: candidate.adapterArtifact,
     };
@@ -135,7 +135,7 @@
       const preferred = prefer(candidates, (candidate) => candidate.isCurrent);
       const healthy = targetLoad
         .ejection()
-        .keep(preferred, (candidate) => candidate.engine.name, now);
+        .selectAvailable(preferred, (candidate) => candidate.engine.name, now);
       return healthy.map(toReplica);
     },
     isLoading(model, adapter) {
--- a/packages/report-relay/src/outgoing.ts
+++ b/packages/report-relay/src/outgoing.ts
@@ -1,6 +1,6 @@
 /** Reports sent to other boxes, for the engines that this box polls itself. */
 import type { RelayedReport, ReportsRequest } from "@linkfall/ports";
-import type { WatchedReport } from "@linkfall/target-watch";
+import type { EngineReportRecord } from "@linkfall/target-watch";
 import type { Milliseconds, ReportLoad, ReportPlacement } from "@linkfall/types";
 
 /** The newest placement of an engine; the version grows with each change. */
@@ -13,13 +13,16 @@
 export interface OutgoingReports {
   /** Prepares reports for a box, omitting placements that it holds in their current version. */
   answer(
-    reports: readonly WatchedReport[],
+    reports: readonly EngineReportRecord[],
     held: ReportsRequest["held"],
     now: Milliseconds,
   ): readonly RelayedReport[];
 }
 
-function splitReport({ report }: WatchedReport): { load: ReportLoad; placement: ReportPlacement } {
+function splitReport({ report }: EngineReportRecord): {
+  load: ReportLoad;
+  placement: ReportPlacement;
+} {
   const { engineIncarnation, fence, role, residents, settledOrders, ...load } = report;
   return { load, placement: { engineIncarnation, fence, role, residents, settledOrders } };
 }
--- a/packages/report-relay/src/report-relay.steps.ts
+++ b/packages/report-relay/src/report-relay.steps.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { Then, When } from "@cucumber/cucumber";
 import type { RelayedReport } from "@linkfall/ports";
-import type { WatchedReport } from "@linkfall/target-watch";
-import { notes } from "@linkfall/test-support";
+import type { EngineReportRecord } from "@linkfall/target-watch";
+import { scenarioState } from "@linkfall/test-support";
 import type { EngineReport, Milliseconds } from "@linkfall/types";
 import fc from "fast-check";
 import { createIncomingReports, type IncomingReports } from "./incoming.js";
@@ -28,11 +28,11 @@
   settledOrders: [],
 });
 
-const watched = (report: EngineReport, requestedAt: Milliseconds): WatchedReport => ({
+const watched = (report: EngineReport, requestedAt: Milliseconds): EngineReportRecord => ({
   report,
   requestedAt,
   receivedAt: requestedAt,
-  way: "read",
+  source: "read",
 });
 
 /** Requests a report from another box; if `lost` is set, the reply is lost. */
@@ -40,7 +40,7 @@
   from: OutgoingReports,
   incarnation: string,
   to: IncomingReports,
-  report: WatchedReport,
+  report: EngineReportRecord,
   lost = false,
 ): readonly EngineReport[] {
   const held = to.heldFrom() === incarnation ? to.held() : [];
@@ -91,12 +91,12 @@
     const report = watched(reportOf(1, 1, 1), repliedAt - ageMs);
     const reports = createOutgoingReports().answer([report], [], repliedAt);
     const [received] = createIncomingReports().applyReply({ from: "b@1", reports }, askedAt);
-    notes(this).set("requestedAt", received.requestedAt);
+    scenarioState(this).set("requestedAt", received.requestedAt);
   },
 );
 
 Then("its request time is {int} ms", function (this: object, expected: number) {
-  assert.equal(notes(this).get("requestedAt"), expected);
+  assert.equal(scenarioState(this).get("requestedAt"), expected);
 });
 
 When(
@@ -105,12 +105,15 @@
     const outgoing = createOutgoingReports();
     const incoming = createIncomingReports();
     exchange(outgoing, "b@1", incoming, watched(reportOf(1, 1, 2), 0));
-    notes(this).set("second", outgoing.answer([watched(reportOf(2, 5, 2), 9)], incoming.held(), 9));
+    scenarioState(this).set(
+      "second",
+      outgoing.answer([watched(reportOf(2, 5, 2), 9)], incoming.held(), 9),
+    );
   },
 );
 
 Then("the second reply contains no placement", function (this: object) {
-  const [second] = notes(this).get<readonly RelayedReport[]>("second");
+  const [second] = scenarioState(this).get<readonly RelayedReport[]>("second");
   assert.equal(second.placement, undefined);
   assert.equal(second.load.running, 5);
 });
--- a/packages/report-relay/src/report-relay.ts
+++ b/packages/report-relay/src/report-relay.ts
@@ -46,7 +46,7 @@
   /** Pools whose reports this box requests from other boxes, by the name of the box. */
   const poolsByReader = (): ReadonlyMap<string, ReadonlySet<string>> => {
     const byReader = new Map<string, Set<string>>();
-    for (const engine of targetWatch.watched()) {
+    for (const engine of targetWatch.watchedEngines()) {
       for (const reader of targetWatch.readersOf(engine)) {
         const pools = byReader.get(reader) ?? new Set();
         byReader.set(reader, pools.add(engine.pool));
@@ -93,11 +93,11 @@
     answerRequest(request) {
       const pools = new Set(request.pools);
       const held = request.heldFrom === self ? request.held : [];
-      const reports = targetWatch.ownReports().filter(({ pool }) => pools.has(pool));
+      const reports = targetWatch.polledReports().filter(({ pool }) => pools.has(pool));
       return {
         from: self,
         reports: outgoing.answer(
-          reports.map(({ watched }) => watched),
+          reports.map(({ record: watched }) => watched),
           held,
           clock.now(),
         ),
--- a/packages/retry-budget/src/retry-budget.steps.ts
+++ b/packages/retry-budget/src/retry-budget.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { createRetryBudget } from "./index.js";
 
 const service = "s";
@@ -12,7 +12,7 @@
     const clock = createVirtualClock();
     const bound = { ratio: 0.2, slack, windowMs: 10_000 };
     const budgets = Array.from({ length: boxes }, () => createRetryBudget(clock, bound));
-    notes(this).set("fleet", { clock, budgets, slack });
+    scenarioState(this).set("fleet", { clock, budgets, slack });
   },
 );
 
@@ -21,7 +21,7 @@
   readonly budgets: readonly ReturnType<typeof createRetryBudget>[];
   readonly slack: number;
 }
-const fleetOf = (world: object) => notes(world).get<BudgetFleet>("fleet");
+const fleetOf = (world: object) => scenarioState(world).get<BudgetFleet>("fleet");
 
 When(
   "each box sees {int} requests a second for {int} s and retries as often as it may",
@@ -31,20 +31,20 @@
     const requests: number[] = [];
     for (let step = 0; step < rate * seconds; step++) {
       for (const budget of budgets) {
-        budget.request(service);
+        budget.recordRequest(service);
         requests.push(clock.now());
-        while (budget.take(service, budgets.length)) retries.push(clock.now());
+        while (budget.tryTake(service, budgets.length)) retries.push(clock.now());
       }
       await clock.runUntil(clock.now() + 1_000 / rate);
     }
-    notes(this).set("seen", { retries, requests });
+    scenarioState(this).set("seen", { retries, requests });
   },
 );
 
 Then(
   "no window of 10 s has more than 54 retries and a fifth of its requests",
   function (this: object) {
-    const { retries, requests } = notes(this).get<Record<string, number[]>>("seen");
+    const { retries, requests } = scenarioState(this).get<Record<string, number[]>>("seen");
     const { slack } = fleetOf(this);
     const within = (times: number[], from: number) =>
       times.filter((time) => time >= from && time < from + 10_000).length;
@@ -57,6 +57,6 @@
 Then("one box may retry at most {int} times at once", function (this: object, most: number) {
   const { budgets } = fleetOf(this);
   let taken = 0;
-  while (budgets[0].take(service, budgets.length)) taken += 1;
+  while (budgets[0].tryTake(service, budgets.length)) taken += 1;
   assert.ok(taken >= 1 && taken <= most);
 });
--- a/packages/route-table/src/route-table.steps.ts
+++ b/packages/route-table/src/route-table.steps.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import type { Route } from "@linkfall/types";
-import { createRouteTable, type RouteTable, shareFor } from "./index.js";
+import { createRouteTable, type RouteTable, selectShare } from "./index.js";
 
 function route(name: string): Route {
   const [host, pathPrefix] = name.split(" ");
@@ -10,7 +10,7 @@
     name,
     host,
     pathPrefix,
-    shares: [{ service: "s", weight: 1 }],
+    weightedServices: [{ service: "s", weight: 1 }],
     repeatability: "repeatable",
     streaming: false,
     resumable: false,
@@ -31,33 +31,33 @@
       services: new Map(),
       limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
     });
-    notes(this).set("table", table);
+    scenarioState(this).set("table", table);
   },
 );
 
 Then(
   "a request for {string} and {string} goes to route {string}",
   function (this: object, host: string, path: string, name: string) {
-    const found = notes(this).get<RouteTable>("table").find(host, path);
+    const found = scenarioState(this).get<RouteTable>("table").find(host, path);
     assert.equal(found?.name ?? "none", name);
   },
 );
 
 Given("a route that splits 90 to 10", function (this: object) {
-  const shares = [
+  const weightedServices = [
     { service: "first", weight: 90 },
     { service: "second", weight: 10 },
   ];
-  notes(this).set("route", { ...route("a.example /"), shares });
+  scenarioState(this).set("route", { ...route("a.example /"), weightedServices: weightedServices });
 });
 
 Then(
   "of 1000 requests between 850 and 950 go to the first service, each always to the same",
   function (this: object) {
-    const split = notes(this).get<Route>("route");
+    const split = scenarioState(this).get<Route>("route");
     const ids = Array.from({ length: 1000 }, (_, index) => `request-${index}`);
-    const first = ids.filter((id) => shareFor(split, id).service === "first");
+    const first = ids.filter((id) => selectShare(split, id).service === "first");
     assert.ok(first.length > 850 && first.length < 950);
-    assert.ok(ids.every((id) => shareFor(split, id) === shareFor(split, id)));
+    assert.ok(ids.every((id) => selectShare(split, id) === selectShare(split, id)));
   },
 );
--- a/packages/routing/src/choose.ts
+++ b/packages/routing/src/choose.ts
@@ -1,6 +1,6 @@
 /** The policies by which one target is chosen. docs/design/routing.md gives their figures. */
 import { pick, type Random } from "@linkfall/kernel";
-import { affinity, hash32 } from "@linkfall/rendezvous";
+import { nodeScore, hash32 } from "@linkfall/rendezvous";
 import type { Milliseconds } from "@linkfall/types";
 import { match } from "ts-pattern";
 
@@ -39,17 +39,14 @@
 }
 
 /** Among the targets that are hardly busier than the least busy, the one the key is drawn to most. */
-function nearLeastAffinity<C extends Candidate>(
-  candidates: readonly C[],
-  context: ChoiceContext,
-): C {
-  const most = leastLoaded(candidates).load + context.affinitySlack;
-  const open = candidates.filter((candidate) => candidate.load <= most);
+function highestAffinity<C extends Candidate>(candidates: readonly C[], context: ChoiceContext): C {
+  const maxLoad = leastLoaded(candidates).load + context.affinitySlack;
+  const open = candidates.filter((candidate) => candidate.load <= maxLoad);
   const keyHash = hash32(context.affinityKey);
   let best = open[0];
   let bestScore = -1;
   for (const candidate of open) {
-    const score = affinity(keyHash, candidate.target);
+    const score = nodeScore(keyHash, candidate.target);
     if (score > bestScore) [best, bestScore] = [candidate, score];
   }
   return best;
@@ -65,6 +62,6 @@
     .with("round_robin", () => candidates[context.turn % candidates.length])
     .with("least_load", () => leastLoaded(candidates))
     .with("two_choices", () => twoChoices(candidates, context.random))
-    .with("affinity", () => nearLeastAffinity(candidates, context))
+    .with("affinity", () => highestAffinity(candidates, context))
     .exhaustive();
 }
--- a/packages/routing/src/estimate.ts
+++ b/packages/routing/src/estimate.ts
@@ -9,25 +9,25 @@
   readonly queued: number;
   readonly concurrency: number;
   /** Requests that this box has sent and that the report cannot show yet. */
-  readonly sentSince: number;
+  readonly unreportedRequests: number;
   /** Smoothed time from start to end of a request there. */
-  readonly serviceMs: Milliseconds;
+  readonly meanServiceMs: Milliseconds;
 }
 
 /** Requests for each place in the batch. */
-export function loadOf(engine: EngineLoad): number {
-  return (engine.running + engine.queued + engine.sentSince) / engine.concurrency;
+export function loadPerSlot(engine: EngineLoad): number {
+  return (engine.running + engine.queued + engine.unreportedRequests) / engine.concurrency;
 }
 
 /** Time until a new request would get a place in the batch. */
-export function estimateWait(engine: EngineLoad): Milliseconds {
-  const requests = engine.running + engine.queued + engine.sentSince;
+export function estimateWaitMs(engine: EngineLoad): Milliseconds {
+  const requests = engine.running + engine.queued + engine.unreportedRequests;
   const ahead = requests + 1 - engine.concurrency;
   if (ahead <= 0) return 0;
-  return (ahead * engine.serviceMs) / engine.concurrency;
+  return (ahead * engine.meanServiceMs) / engine.concurrency;
 }
 
 /** Time to generate `tokens` in one stream. */
-export function estimateRun(tokens: number, streamTokensPerSecond: number): Milliseconds {
+export function estimateRunMs(tokens: number, streamTokensPerSecond: number): Milliseconds {
   return (tokens * millisecondsPerSecond) / streamTokensPerSecond;
 }
--- a/packages/routing/src/routing.steps.ts
+++ b/packages/routing/src/routing.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { seededRandom } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import fc from "fast-check";
 import { type Candidate, type ChoiceContext, chooseTarget } from "./choose.js";
 
@@ -19,10 +19,11 @@
   load,
   waitMs: 0,
 });
-const candidatesOf = (world: object) => notes(world).get<readonly Candidate[]>("candidates");
+const candidatesOf = (world: object) =>
+  scenarioState(world).get<readonly Candidate[]>("candidates");
 
 Given("8 idle candidates", function (this: object) {
-  notes(this).set(
+  scenarioState(this).set(
     "candidates",
     Array.from({ length: 8 }, (_, index) => candidate(`e${index}`, 0)),
   );
@@ -61,13 +62,16 @@
   const list = candidatesOf(this);
   const chosen = chooseTarget(list, context("key")).target;
   const other = list.find((entry) => entry.target !== chosen);
-  notes(this).set("chosen", chosen);
-  notes(this).set(
+  scenarioState(this).set("chosen", chosen);
+  scenarioState(this).set(
     "candidates",
     list.filter((entry) => entry !== other),
   );
 });
 
 Then("the key's target is as before", function (this: object) {
-  assert.equal(chooseTarget(candidatesOf(this), context("key")).target, notes(this).get("chosen"));
+  assert.equal(
+    chooseTarget(candidatesOf(this), context("key")).target,
+    scenarioState(this).get("chosen"),
+  );
 });
--- a/packages/settings-watch/src/changed-keys.ts
+++ b/packages/settings-watch/src/changed-keys.ts
@@ -15,8 +15,8 @@
 
 /** Names the keys whose values differ, as `section.key`, in the order of the earlier reading. */
 export function changedKeys(before: SettingsSections, after: SettingsSections): readonly string[] {
-  const old = flatten(before);
-  const now = flatten(after);
-  const keys = new Set([...old.keys(), ...now.keys()]);
-  return [...keys].filter((key) => old.get(key) !== now.get(key));
+  const previous = flatten(before);
+  const current = flatten(after);
+  const keys = new Set([...previous.keys(), ...current.keys()]);
+  return [...keys].filter((key) => previous.get(key) !== current.get(key));
 }
--- a/packages/settings-watch/src/index.ts
+++ b/packages/settings-watch/src/index.ts
@@ -1,3 +1,3 @@
 export * from "./changed-keys.js";
-export * from "./follow-settings.js";
+export * from "./watch-settings-file.js";
 export type { SettingsWatch } from "./settings-watch.js";
--- a/packages/settings-watch/src/settings-watch.steps.ts
+++ b/packages/settings-watch/src/settings-watch.steps.ts
@@ -7,7 +7,7 @@
 interface Scene {
   readonly clock: VirtualClock;
   readonly watch: SettingsWatch;
-  readonly taken: string[];
+  readonly changes: string[];
   readonly failures: string[];
   file: Either<string, string>;
 }
@@ -21,7 +21,11 @@
   return scene;
 }
 
-async function hold(world: object, file: Either<string, string>, ms: number): Promise<void> {
+async function setFileAndWait(
+  world: object,
+  file: Either<string, string>,
+  ms: number,
+): Promise<void> {
   const scene = sceneOf(world);
   scene.file = file;
   await scene.clock.runUntil(scene.clock.now() + ms);
@@ -37,27 +41,27 @@
     intervalMs,
     text,
     readText: () => sceneOf(this).file,
-    changed: (changed) => void taken.push(changed),
-    unreadable: (reason) => void failures.push(reason),
+    onChange: (changed) => void taken.push(changed),
+    onReadFailure: (reason) => void failures.push(reason),
   });
-  scenes.set(this, { clock, watch, taken, failures, file: Right(text) });
+  scenes.set(this, { clock, watch, changes: taken, failures, file: Right(text) });
   await watch.start();
 });
 
 When(
   "the file holds {string} and {int} ms pass",
   function (this: object, text: string, ms: number) {
-    return hold(this, Right(text), ms);
+    return setFileAndWait(this, Right(text), ms);
   },
 );
 
 When("the file can't be read and {int} ms pass", function (this: object, ms: number) {
-  return hold(this, Left("no such file"), ms);
+  return setFileAndWait(this, Left("no such file"), ms);
 });
 
 When("the file holds {string} and somebody says so", async function (this: object, text: string) {
-  await hold(this, Right(text), 0);
-  sceneOf(this).watch.look();
+  await setFileAndWait(this, Right(text), 0);
+  sceneOf(this).watch.checkNow();
 });
 
 When("the watch is stopped", function (this: object) {
@@ -65,7 +69,7 @@
 });
 
 Then("the texts taken are {string}", function (this: object, texts: string) {
-  assert.equal(sceneOf(this).taken.join(" "), texts);
+  assert.equal(sceneOf(this).changes.join(" "), texts);
 });
 
 Then("{int} row(s) of failed reads is/are told of", function (this: object, rows: number) {
--- a/packages/settings-watch/src/settings-watch.ts
+++ b/packages/settings-watch/src/settings-watch.ts
@@ -16,32 +16,36 @@
   /** Reads the file; Left holds why it can't be read. It must not wait. */
   readText(): Either<string, string>;
   /** Takes a text that differs from the one before it. */
-  changed(text: string): void;
+  onChange(text: string): void;
   /** Called once for each row of failed reads, with the reason of the first. */
-  unreadable(reason: string): void;
+  onReadFailure(reason: string): void;
 }
 
 export interface SettingsWatch extends Service {
   /** Looks at once, as when somebody says that the file has changed. */
-  look(): void;
+  checkNow(): void;
 }
 
 /** Creates a watch that looks from its start to its stop. */
 export function createSettingsWatch(input: SettingsWatchInput): SettingsWatch {
-  let known = input.text;
+  let lastText = input.text;
   let readable = true;
 
-  const fail = (reason: string) => {
-    if (readable) input.unreadable(reason);
+  const handleReadFailure = (reason: string) => {
+    if (readable) input.onReadFailure(reason);
     readable = false;
   };
-  const take = (text: string) => {
+  const handleText = (text: string) => {
     readable = true;
-    if (text === known) return;
-    known = text;
-    input.changed(text);
+    if (text === lastText) return;
+    lastText = text;
+    input.onChange(text);
   };
-  const look = () => void input.readText().caseOf({ Left: fail, Right: take });
+  const checkNow = () =>
+    void input.readText().caseOf({ Left: handleReadFailure, Right: handleText });
 
-  return { ...repeatEvery(input.clock, input.random, input.intervalMs, look), look };
+  return {
+    ...repeatEvery(input.clock, input.random, input.intervalMs, checkNow),
+    checkNow: checkNow,
+  };
 }
--- a/packages/settings-watch/src/follow-settings.ts
+++ b/packages/settings-watch/src/watch-settings-file.ts
@@ -7,7 +7,7 @@
 import { readSettingsFile } from "./read-settings-file.js";
 import { createSettingsWatch, type SettingsWatch } from "./settings-watch.js";
 
-export interface FollowInput<Settings> {
+export interface WatchSettingsFileInput<Settings> {
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
@@ -16,26 +16,26 @@
   readonly text: string;
   readonly intervalMs: Milliseconds;
   /** Checks a text. */
-  check(text: string): Either<InvalidInput, Settings>;
+  parse(text: string): Either<InvalidInput, Settings>;
   /** Takes settings that were read while the process runs. */
-  take(settings: Settings): void;
+  onChange(settings: Settings): void;
 }
 
 /** Creates a watch of the file; the process keeps what it has while the file has problems. */
-export function followSettings<Settings>(input: FollowInput<Settings>): SettingsWatch {
-  const { clock, random, logger, path, text, intervalMs, check, take } = input;
-  const keepOld = (reason: string) => logger.event("settingsUnusable", { reason });
+export function watchSettingsFile<Settings>(input: WatchSettingsFileInput<Settings>): SettingsWatch {
+  const { clock, random, logger, path, text, intervalMs, parse: check, onChange: take } = input;
+  const logUnusable = (reason: string) => logger.event("settingsUnusable", { reason });
   return createSettingsWatch({
     clock,
     random,
     intervalMs,
     text,
     readText: () => readSettingsFile(path),
-    changed: (changed) =>
+    onChange: (changed) =>
       check(changed).caseOf({
-        Left: (invalid) => keepOld(describeProblems(invalid)),
+        Left: (invalid) => logUnusable(describeProblems(invalid)),
         Right: take,
       }),
-    unreadable: keepOld,
+    onReadFailure: logUnusable,
   });
 }
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -14,19 +14,19 @@
 const [first, last] = values.seeds.split("..").map(Number);
 const faults = values.faults?.split(",").filter((name): name is FaultName => name in faultsByName);
 
-function add<K>(totals: Map<K, number>, key: K, count = 1): void {
+function addCount<K>(totals: Map<K, number>, key: K, count = 1): void {
   totals.set(key, (totals.get(key) ?? 0) + count);
 }
 
-function show(title: string, totals: Map<string, number>): void {
+function printCounts(title: string, totals: Map<string, number>): void {
   const parts = [...totals]
     .sort(([a], [b]) => (a < b ? -1 : 1))
     .map(([key, count]) => `${key} ${count}`);
   process.stdout.write(`${title}: ${parts.join(", ")}\n`);
 }
 
-function quantile(sorted: readonly number[], share: number): number {
-  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
+function quantile(sorted: readonly number[], fraction: number): number {
+  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? 0;
 }
 
 const results: SeedResult[] = [];
@@ -45,31 +45,33 @@
   }
 }
 
-const told = new Map<string, number>();
-const injected = new Map<string, number>();
+const outcomeCounts = new Map<string, number>();
+const faultCounts = new Map<string, number>();
 for (const result of results) {
-  for (const [word, count] of result.told) add(told, word, count);
-  for (const fault of result.faults) add(injected, fault);
+  for (const [word, count] of result.outcomes) addCount(outcomeCounts, word, count);
+  for (const fault of result.faults) addCount(faultCounts, fault);
 }
-const times = results.flatMap((result) => [...result.inForceTimes]).sort((a, b) => a - b);
+const inForceTimes = results.flatMap((result) => [...result.inForceTimes]).sort((a, b) => a - b);
 const failed = results.filter((result) => result.violations.length > 0).length;
 const writes = results.reduce((sum, result) => sum + result.acceptedWrites, 0);
 const conflicts = results.reduce((sum, result) => sum + result.conflicts, 0);
-show("requests by outcome", told);
-show("faults injected", injected);
-const appends = new Map<string, number>();
+printCounts("requests by outcome", outcomeCounts);
+printCounts("faults injected", faultCounts);
+const appendCounts = new Map<string, number>();
 for (const result of results) {
-  for (const [stream, count] of result.appends.byStream) add(appends, stream, count);
+  for (const [stream, count] of result.appends.byStream) addCount(appendCounts, stream, count);
 }
 const virtualSeconds = (results.length * endMs) / 1_000;
-const perSecond = [...appends].map(
+const appendRates = [...appendCounts].map(
   ([stream, count]) => `${stream} ${(count / virtualSeconds).toFixed(2)}`,
 );
-const busiest = Math.max(...results.map((result) => result.appends.busiestSecond));
-process.stdout.write(`appends a second: ${perSecond.join(", ")}; most in a second ${busiest}\n`);
+const peakAppendsPerSecond = Math.max(...results.map((result) => result.appends.peakPerSecond));
+process.stdout.write(
+  `appends a second: ${appendRates.join(", ")}; most in a second ${peakAppendsPerSecond}\n`,
+);
 process.stdout.write(`writes accepted ${writes}, conflicts ${conflicts}\n`);
 process.stdout.write(
-  `in force after ms: p50 ${quantile(times, 0.5)}, p99 ${quantile(times, 0.99)}, most ${times.at(-1) ?? 0}, of ${times.length}\n`,
+  `in force after ms: p50 ${quantile(inForceTimes, 0.5)}, p99 ${quantile(inForceTimes, 0.99)}, most ${inForceTimes.at(-1) ?? 0}, of ${inForceTimes.length}\n`,
 );
 process.stdout.write(`${results.length - failed} passed, ${failed} failed\n`);
 process.exitCode = failed > 0 ? 1 : 0;
--- a/packages/soak/src/scenarios/bad-input.steps.ts
+++ b/packages/soak/src/scenarios/bad-input.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Then, When } from "@cucumber/cucumber";
 import type { CallerResponse, HeaderMap } from "@linkfall/ports";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { tokenOf } from "./resources.js";
 import type { World, WorldBox } from "./world.js";
 
@@ -15,7 +15,7 @@
   JSON.stringify({ model: "m0", prompt: "never run", max_tokens: 4, ...changes });
 const notRepeatable = { "linkfall-repeatable": "false" };
 
-const inputs: Readonly<Record<string, BadInput>> = {
+const badInputs: Readonly<Record<string, BadInput>> = {
   "a body that is no JSON": { body: "{" },
   "no model": { body: completion({ model: undefined }) },
   "max_tokens of 0": { body: completion({ max_tokens: 0 }) },
@@ -39,26 +39,26 @@
 };
 
 When("{string} sends {string}", async function (this: object, account: "dispatch", input: string) {
-  const world = notes(this).get<World>("world");
+  const world = scenarioState(this).get<World>("world");
   const [box] = world.boxes;
-  const { path = "/v1/completions", body = completion({}), headers } = inputs[input];
-  const asked = box.box.callers.handle({
+  const { path = "/v1/completions", body = completion({}), headers } = badInputs[input];
+  const responsePromise = box.box.callers.handle({
     method: "POST",
     path,
     headers: { authorization: `Bearer ${tokenOf(account)}`, ...headers?.(box) },
     body: Buffer.from(body),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
   await world.clock.runUntil(world.clock.now() + 1_000);
-  notes(this).set("response", await asked);
+  scenarioState(this).set("response", await responsePromise);
 });
 
 Then(
   "it is told {int} {string} and that it did not run",
   function (this: object, status: number, code: string) {
-    const response = notes(this).get<CallerResponse>("response");
+    const response = scenarioState(this).get<CallerResponse>("response");
     const { error } = JSON.parse(Buffer.from(response.body as Uint8Array).toString("utf8"));
     assert.deepEqual([response.status, error.code, error.outcome], [status, code, "not_run"]);
-    assert.equal(notes(this).get<World>("world").runs.get("never run"), undefined);
+    assert.equal(scenarioState(this).get<World>("world").runs.get("never run"), undefined);
   },
 );
--- a/packages/soak/src/scenarios/callers.ts
+++ b/packages/soak/src/scenarios/callers.ts
@@ -1,42 +1,43 @@
 /** Callers of a run. Each checks what it is told against what the targets really did. */
 import { pick, sleep } from "@linkfall/kernel";
 import type { BodyPart, CallerRequest, CallerResponse, HeaderMap } from "@linkfall/ports";
-import { answerLength, tokenAt } from "@linkfall/stand-ins";
+import { answerTokenCount, tokenAt } from "@linkfall/stand-ins";
 import type { Milliseconds } from "@linkfall/types";
 import { type AccountName, accounts, tokenOf } from "./resources.js";
 import type { World, WorldBox } from "./world.js";
 
-const meanGapMs: Milliseconds = 60;
-const repeatGapMs: Milliseconds = 300;
-const sendings = 4;
+const meanRequestIntervalMs: Milliseconds = 60;
+const retryDelayMs: Milliseconds = 300;
+const maxAttempts = 4;
 const maxTokens = 10;
-const modelsCalled = 10;
+const calledModels = 10;
 /** The setting of 6 s, and a margin for word of peers that was under way. */
-const longestStaleMs: Milliseconds = 7_000;
+const maxStaleServingMs: Milliseconds = 7_000;
 
 /** What one sending of a request came to, in the eyes of its caller. */
-export type Told = "answered" | "not_run" | "failed" | "outcome_unknown" | "cut" | "no_connection";
+export type ReportedOutcome =
+  "answered" | "not_run" | "failed" | "outcome_unknown" | "cut" | "no_connection";
 
-interface Conversation {
+interface RequestHistory {
   readonly key: string;
   readonly repeatable: boolean;
-  readonly told: Told[];
+  readonly outcomes: ReportedOutcome[];
 }
 
-interface Directory {
+interface CachedEntries {
   entries: readonly string[];
   ticket: string;
-  until: Milliseconds;
+  validUntil: Milliseconds;
 }
 
 export interface Callers {
   /** Sends requests until the given time; resolves when all have ended. */
   run(until: Milliseconds): Promise<void>;
   /** Sends one request to a model through a box and says what came of it. */
-  probe(box: WorldBox, account: AccountName, model: string): Promise<Told>;
+  probe(box: WorldBox, account: AccountName, model: string): Promise<ReportedOutcome>;
   /** Compares what callers were told with the runs at the targets. */
   check(): void;
-  counts(): ReadonlyMap<Told, number>;
+  outcomeCounts(): ReadonlyMap<ReportedOutcome, number>;
   /** Requests that have had no answer of any kind. */
   unanswered(): readonly string[];
 }
@@ -67,9 +68,9 @@
 /** Creates the callers of a world. */
 export function createCallers(world: World): Callers {
   const { clock, random } = world;
-  const conversations: Conversation[] = [];
-  const directories = new Map<AccountName, Directory>();
-  let sent = 0;
+  const histories: RequestHistory[] = [];
+  const cachedEntries = new Map<AccountName, CachedEntries>();
+  let startedRequests = 0;
 
   const request = (
     account: AccountName,
@@ -81,12 +82,12 @@
     path,
     headers: { authorization: `Bearer ${tokenOf(account)}`, ...headers },
     body: Buffer.from(body === undefined ? "" : JSON.stringify(body)),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
 
-  const directoryOf = async (account: AccountName): Promise<Directory | undefined> => {
-    const known = directories.get(account);
-    if (known && clock.now() < known.until) return known;
+  const entriesFor = async (account: AccountName): Promise<CachedEntries | undefined> => {
+    const known = cachedEntries.get(account);
+    if (known && clock.now() < known.validUntil) return known;
     const live = world.liveBoxes();
     if (live.length === 0) return undefined;
     const response = await world.call(
@@ -96,40 +97,40 @@
     if (!response || response.status !== 200) return undefined;
     const answer = JSON.parse((await readBody(response)).text);
     if (!answer.ticket) return undefined;
-    const directory = {
+    const entries = {
       entries: answer.entries.map((entry: { box: string }) => entry.box),
       ticket: answer.ticket.id,
-      until: clock.now() + answer.lifetime_ms,
+      validUntil: clock.now() + answer.lifetime_ms,
     };
-    directories.set(account, directory);
-    return directory;
+    cachedEntries.set(account, entries);
+    return entries;
   };
 
   /** The start of the named box that an address leads to now. */
-  const boxNamed = (name: string) =>
+  const findBox = (name: string) =>
     world.boxes.find((box) => box.name === name && box.process.state() !== "dead");
 
-  const toldBy = async (
+  const outcomeOf = async (
     response: CallerResponse | undefined,
     expected: string | undefined,
     streamed: boolean,
     key: string,
-  ): Promise<Told> => {
+  ): Promise<ReportedOutcome> => {
     if (!response) return "no_connection";
     const { text, cut } = await readBody(response);
     if (cut) return "cut";
-    if (response.status !== 200) return JSON.parse(text).error.outcome as Told;
+    if (response.status !== 200) return JSON.parse(text).error.outcome as ReportedOutcome;
     const answer = streamed ? streamedText(text) : undefined;
     if (streamed && answer === undefined) {
       world.violation(`a fragment looked like a whole answer: ${key}`);
     }
-    const got = streamed
+    const received = streamed
       ? answer
       : expected === undefined
         ? text
         : JSON.parse(text).choices?.[0]?.text;
-    if (expected !== undefined && got !== expected) {
-      world.violation(`wrong answer to ${key}: ${got} instead of ${expected}`);
+    if (expected !== undefined && received !== expected) {
+      world.violation(`wrong answer to ${key}: ${received} instead of ${expected}`);
     }
     if (expected === undefined && !text.includes(key)) {
       world.violation(`someone else's answer to ${key}: ${text}`);
@@ -138,46 +139,56 @@
   };
 
   const sendCompletion = async (
-    conversation: Conversation,
+    conversation: RequestHistory,
     account: AccountName,
     boxName: string,
     model: string,
     streamed: boolean,
     headers: HeaderMap,
   ) => {
-    const box = boxNamed(boxName);
+    const box = findBox(boxName);
     const sentAt = clock.now();
     const prompt = conversation.key;
     const body = { model, prompt, max_tokens: maxTokens, stream: streamed };
     const response =
       box && (await world.call(box, request(account, "/v1/completions", body, headers)));
-    const asked = { model: `model:${model.replace("a", "m")}@`, prompt, max_tokens: maxTokens };
-    const length = answerLength(asked);
-    const expected = Array.from({ length }, (_, position) => tokenAt(asked, position)).join("");
-    const told = await toldBy(response, expected, streamed, prompt);
+    const engineRequest = {
+      model: `model:${model.replace("a", "m")}@`,
+      prompt,
+      max_tokens: maxTokens,
+    };
+    const length = answerTokenCount(engineRequest);
+    const expected = Array.from({ length }, (_, position) => tokenAt(engineRequest, position)).join(
+      "",
+    );
+    const told = await outcomeOf(response, expected, streamed, prompt);
     checkIsolation(box, sentAt, told);
-    conversation.told.push(told);
+    conversation.outcomes.push(told);
   };
 
   const sendService = async (
-    conversation: Conversation,
+    conversation: RequestHistory,
     account: AccountName,
     boxName: string,
     headers: HeaderMap,
   ) => {
-    const box = boxNamed(boxName);
+    const box = findBox(boxName);
     const path = conversation.repeatable ? "/services/feed/snippets" : "/services/feed/alerts";
     const body = { id: conversation.key };
     const response = box && (await world.call(box, request(account, path, body, headers)));
-    conversation.told.push(await toldBy(response, undefined, false, conversation.key));
+    conversation.outcomes.push(await outcomeOf(response, undefined, false, conversation.key));
   };
 
   /** A box that has been cut off for long must not answer from what it last knew. */
-  const checkIsolation = (box: WorldBox | undefined, sentAt: Milliseconds, told: Told) => {
+  const checkIsolation = (
+    box: WorldBox | undefined,
+    sentAt: Milliseconds,
+    told: ReportedOutcome,
+  ) => {
     const since = box?.isolatedSince;
     if (told !== "answered" || since === undefined) return;
     const isolatedMs = sentAt - since;
-    if (isolatedMs > longestStaleMs) {
+    if (isolatedMs > maxStaleServingMs) {
       world.violation(`${box?.name} answered although cut off for ${isolatedMs} ms`);
     }
   };
@@ -185,75 +196,84 @@
   type Send = (box: string, headers: HeaderMap) => Promise<void>;
 
   /** A not repeatable request is sent again under its identifier after a broken connection. */
-  const converseOnce = async (directory: Directory, conversation: Conversation, send: Send) => {
+  const sendNotRepeatable = async (
+    directory: CachedEntries,
+    conversation: RequestHistory,
+    send: Send,
+  ) => {
     const id = `${directory.ticket}/${conversation.key.replaceAll(" ", ".")}`;
     const headers = { "linkfall-repeatable": "false", "linkfall-request-id": id };
-    const twiceAtOnce = random.fraction() < 0.2;
-    if (twiceAtOnce) void send(pick(random, directory.entries), headers);
-    for (let sending = 0; sending < sendings; sending++) {
+    const sendDuplicate = random.nextFloat() < 0.2;
+    if (sendDuplicate) void send(pick(random, directory.entries), headers);
+    for (let attempt = 0; attempt < maxAttempts; attempt++) {
       await send(pick(random, directory.entries), headers);
-      const last = conversation.told.at(-1);
+      const last = conversation.outcomes.at(-1);
       if (last !== "no_connection" && last !== "cut") return;
-      await sleep(clock, repeatGapMs);
+      await sleep(clock, retryDelayMs);
     }
   };
 
-  const converse = async () => {
+  const sendRandomRequest = async () => {
     const account = pick(random, accounts);
-    const number = ++sent;
-    const directory = await directoryOf(account);
+    const number = ++startedRequests;
+    const directory = await entriesFor(account);
     if (!directory || directory.entries.length === 0) return;
-    const kind = random.fraction();
-    const index = accounts.indexOf(account) + 2 * random.below(modelsCalled / 2);
-    const withAdapter = index < 3 && random.fraction() < 0.3;
+    const kind = random.nextFloat();
+    const index = accounts.indexOf(account) + 2 * random.nextInt(calledModels / 2);
+    const withAdapter = index < 3 && random.nextFloat() < 0.3;
     const model = withAdapter ? `a${index}` : `m${index}`;
-    const streamed = random.fraction() < 0.5;
+    const streamed = random.nextFloat() < 0.5;
     const isService = kind > 0.75;
     const repeatable = isService ? kind > 0.9 : kind > 0.35;
     const key = `request ${number}`;
-    const conversation: Conversation = { key, repeatable, told: [] };
-    conversations.push(conversation);
+    const conversation: RequestHistory = { key, repeatable, outcomes: [] };
+    histories.push(conversation);
     const send: Send = (box, headers) =>
       isService
         ? sendService(conversation, account, box, headers)
         : sendCompletion(conversation, account, box, model, streamed, headers);
     if (repeatable) await send(pick(random, directory.entries), {});
-    else await converseOnce(directory, conversation, send);
+    else await sendNotRepeatable(directory, conversation, send);
   };
 
   const runsOf = (key: string) => {
-    const ofService = [...world.runs].filter(([run]) => run.includes(`"${key}"`));
-    return (world.runs.get(key) ?? 0) + ofService.reduce((sum, [, count]) => sum + count, 0);
+    const serviceRuns = [...world.runs].filter(([run]) => run.includes(`"${key}"`));
+    return (world.runs.get(key) ?? 0) + serviceRuns.reduce((sum, [, count]) => sum + count, 0);
   };
 
   return {
     async run(until) {
       const open = new Set<Promise<void>>();
       while (clock.now() < until) {
-        const one: Promise<void> = converse().finally(() => open.delete(one));
-        open.add(one);
-        await sleep(clock, 2 * meanGapMs * random.fraction());
+        const pending: Promise<void> = sendRandomRequest().finally(() => open.delete(pending));
+        open.add(pending);
+        await sleep(clock, 2 * meanRequestIntervalMs * random.nextFloat());
       }
       await Promise.all(open);
     },
     async probe(box, account, model) {
-      const conversation: Conversation = { key: `probe ${++sent}`, repeatable: true, told: [] };
-      conversations.push(conversation);
+      const conversation: RequestHistory = {
+        key: `probe ${++startedRequests}`,
+        repeatable: true,
+        outcomes: [],
+      };
+      histories.push(conversation);
       await sendCompletion(conversation, account, box.name, model, false, {});
-      return conversation.told[0];
+      return conversation.outcomes[0];
     },
     check() {
-      for (const { key, repeatable, told } of conversations) {
+      for (const { key, repeatable, outcomes: told } of histories) {
         const runs = runsOf(key);
         if (!repeatable && runs > 1) world.violation(`${key} ran ${runs} times`);
         const refused = told.length > 0 && told.every((word) => word === "not_run");
         if (refused && runs > 0) world.violation(`${key} was refused as not run, yet it ran`);
       }
     },
-    unanswered: () => conversations.filter(({ told }) => told.length === 0).map(({ key }) => key),
-    counts() {
-      const counts = new Map<Told, number>();
-      for (const { told } of conversations) {
+    unanswered: () =>
+      histories.filter(({ outcomes: told }) => told.length === 0).map(({ key }) => key),
+    outcomeCounts() {
+      const counts = new Map<ReportedOutcome, number>();
+      for (const { outcomes: told } of histories) {
         const last = told.includes("answered") ? "answered" : told.at(-1);
         if (last) counts.set(last, (counts.get(last) ?? 0) + 1);
       }
--- a/packages/soak/src/scenarios/crashing-requests.steps.ts
+++ b/packages/soak/src/scenarios/crashing-requests.steps.ts
@@ -1,18 +1,20 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import type { CallerResponse } from "@linkfall/ports";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { tokenOf } from "./resources.js";
-import { worldOf } from "./rest.js";
+import { worldOf } from "./idle-deployment.js";
 import type { World, WorldBox } from "./world.js";
 
 /** Between two returns of a caller, where the answer does not take longer. */
-const returnMs = 1_500;
+const returnIntervalMs = 1_500;
 
 /** In which boxes that start have read the log and placed what is missing. */
-const settledMs = 20_000;
+const settleMs = 20_000;
 
-export const bodies: Readonly<Record<string, (text: string) => { path: string; body: string }>> = {
+export const requestsByKind: Readonly<
+  Record<string, (text: string) => { path: string; body: string }>
+> = {
   "a completion": (text) => ({
     path: "/v1/completions",
     body: JSON.stringify({ model: "m0", prompt: text, max_tokens: 4 }),
@@ -21,18 +23,18 @@
 };
 
 Given("{string} ends each target that runs it", function (this: object, text: string) {
-  worldOf(this).crashesOn = text;
+  worldOf(this).crashTrigger = text;
 });
 
 /** Sends one request through a box and lets time pass until the caller would come again. */
-export async function sendOnce(
+export async function sendAndWait(
   world: World,
   box: WorldBox,
   account: "dispatch",
   { path, body }: { path: string; body: string },
-  waitMs = returnMs,
+  waitMs = returnIntervalMs,
 ): Promise<CallerResponse> {
-  const asked = box.box.callers.handle({
+  const responsePromise = box.box.callers.handle({
     method: "POST",
     path,
     headers: {
@@ -40,13 +42,13 @@
       "linkfall-repeatable": "true",
     },
     body: Buffer.from(body),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
   let answered = false;
-  void asked.then(() => (answered = true));
+  void responsePromise.then(() => (answered = true));
   do await world.clock.runUntil(world.clock.now() + waitMs);
   while (!answered);
-  return asked;
+  return responsePromise;
 }
 
 When(
@@ -55,7 +57,10 @@
     const world = worldOf(this);
     for (let time = 0; time < Number(times); time++) {
       const box = world.boxes[time % world.boxes.length];
-      notes(this).set("last", await sendOnce(world, box, account, bodies[what](text)));
+      scenarioState(this).set(
+        "last",
+        await sendAndWait(world, box, account, requestsByKind[what](text)),
+      );
     }
   },
 );
@@ -65,7 +70,7 @@
   const names = world.boxes.map(({ name }) => name);
   for (const box of [...world.boxes]) world.removeBox(box);
   for (const name of names) await world.startBox(name);
-  await world.clock.runUntil(world.clock.now() + settledMs);
+  await world.clock.runUntil(world.clock.now() + settleMs);
 });
 
 Then("no more than {int} targets have ended", function (this: object, most: number) {
@@ -76,7 +81,7 @@
 Then(
   "the last one is told {string} and that it did not run",
   function (this: object, code: string) {
-    const { status, body } = notes(this).get<CallerResponse>("last");
+    const { status, body } = scenarioState(this).get<CallerResponse>("last");
     const { error } = JSON.parse(Buffer.from(body as Uint8Array).toString("utf8"));
     assert.deepEqual([status, error.code, error.outcome], [503, code, "not_run"]);
   },
--- a/packages/soak/src/scenarios/engine-checks.ts
+++ b/packages/soak/src/scenarios/engine-checks.ts
@@ -24,30 +24,30 @@
 }
 
 /** Checks that an unload does not take the last copy that serves a model. */
-export function checkUnload(world: World, from: string, artifact: string): void {
-  const anyVersion = artifact.slice(0, artifact.lastIndexOf("@") + 1);
-  const serves = world.engines.some(({ core, down }) => {
-    const copies = core.residents().filter((copy) => copy.state === "ready");
-    const sameModel = copies.filter((copy) => copy.artifact.startsWith(anyVersion));
-    const others = sameModel.filter(
-      (copy) => core.engine.name !== from || copy.artifact !== artifact,
+export function checkUnload(world: World, engineName: string, artifact: string): void {
+  const modelPrefix = artifact.slice(0, artifact.lastIndexOf("@") + 1);
+  const servedElsewhere = world.engines.some(({ core, down }) => {
+    const replicas = core.residents().filter((copy) => copy.state === "ready");
+    const sameModel = replicas.filter((copy) => copy.artifact.startsWith(modelPrefix));
+    const otherReplicas = sameModel.filter(
+      (copy) => core.engine.name !== engineName || copy.artifact !== artifact,
     );
-    return !down && others.length > 0;
+    return !down && otherReplicas.length > 0;
   });
   const recentLoss = world.clock.now() - world.engineLostAt < unloadGraceMs;
-  if (!serves && !recentLoss && artifact.startsWith("model:")) {
-    world.violation(`the last ready copy of ${artifact} was unloaded from ${from}`);
+  if (!servedElsewhere && !recentLoss && artifact.startsWith("model:")) {
+    world.violation(`the last ready copy of ${artifact} was unloaded from ${engineName}`);
   }
 }
 
 /** Creates the check that a fence, once an order of its epoch was taken, keeps out earlier ones. */
 export function createEpochCheck(violation: World["violation"]) {
-  const taken = new Map<string, number>();
+  const highestEpochs = new Map<string, number>();
   return (engine: Engine, order: Order) => {
-    const highest = taken.get(engine.name) ?? 0;
+    const highest = highestEpochs.get(engine.name) ?? 0;
     if (engine.fenced && order.epoch < highest) {
       violation(`${engine.name} took an order of epoch ${order.epoch} after one of ${highest}`);
     }
-    taken.set(engine.name, Math.max(highest, order.epoch));
+    highestEpochs.set(engine.name, Math.max(highest, order.epoch));
   };
 }
--- a/packages/soak/src/scenarios/faults.ts
+++ b/packages/soak/src/scenarios/faults.ts
@@ -5,14 +5,14 @@
 import {
   cutFrom,
   cutOneWay,
-  disturb,
+  markDisturbed,
   drainBox,
-  type End,
-  type Fault,
+  type EndFault,
+  type InjectFault,
   isolateBox,
   killBox,
   killHolder,
-  nothing,
+  nothingToEnd,
   pauseBox,
   pauseHolder,
   replaceBoxes,
@@ -20,44 +20,44 @@
 import { domains } from "./resources.js";
 import type { World, WorldEngine } from "./world.js";
 
-const shortest: Milliseconds = 1_500;
-const longest: Milliseconds = 12_000;
+const minFaultMs: Milliseconds = 1_500;
+const maxFaultMs: Milliseconds = 12_000;
 
 /** The engine's process ends; what it held is gone. */
-function stopNow(world: World, engine: WorldEngine): void {
+function restartWithEmptyMemory(world: World, engine: WorldEngine): void {
   engine.core.restart();
   world.engineLostAt = world.clock.now();
 }
 
-function restartEngine(world: World): End {
-  stopNow(world, pick(world.random, world.engines));
-  return nothing;
+function restartEngine(world: World): EndFault {
+  restartWithEmptyMemory(world, pick(world.random, world.engines));
+  return nothingToEnd;
 }
 
-function stopEngine(world: World): End {
+function stopEngine(world: World): EndFault {
   const engine = pick(world.random, world.engines);
   engine.down = true;
-  stopNow(world, engine);
+  restartWithEmptyMemory(world, engine);
   return () => {
     engine.down = false;
   };
 }
 
-function loseDomain(world: World): End {
+function loseDomain(world: World): EndFault {
   const domain = pick(world.random, domains);
-  const lost = world.engines.filter((engine) => engine.core.engine.domain === domain);
-  for (const engine of lost) {
+  const lostEngines = world.engines.filter((engine) => engine.core.engine.domain === domain);
+  for (const engine of lostEngines) {
     engine.down = true;
-    stopNow(world, engine);
+    restartWithEmptyMemory(world, engine);
   }
   return () => {
-    for (const engine of lost) engine.down = false;
+    for (const engine of lostEngines) engine.down = false;
   };
 }
 
-function engineLeaves(world: World): End {
+function engineLeaves(world: World): EndFault {
   const engine = pick(world.random, world.engines);
-  if (engine.leavingSince !== undefined) return nothing;
+  if (engine.leavingSince !== undefined) return nothingToEnd;
   engine.core.leaving = true;
   engine.leavingSince = world.clock.now();
   world.engineLostAt = world.clock.now();
@@ -67,61 +67,61 @@
   };
 }
 
-function logDown(world: World): End {
+function logDown(world: World): EndFault {
   world.log.faults.down = true;
   return () => {
     world.log.faults.down = false;
   };
 }
 
-function logSlow(world: World): End {
+function logSlow(world: World): EndFault {
   world.log.faults.slowMs = 800;
   return () => {
     world.log.faults.slowMs = 0;
   };
 }
 
-function logLosesReplies(world: World): End {
+function logLosesReplies(world: World): EndFault {
   world.log.faults.loseReplies = 0.4;
   return () => {
     world.log.faults.loseReplies = 0;
   };
 }
 
-function logForgets(world: World): End {
+function logForgets(world: World): EndFault {
   world.log.truncate(streams.state, 80);
-  return nothing;
+  return nothingToEnd;
 }
 
-function badRecords(world: World): End {
+function badRecords(world: World): EndFault {
   for (const data of ["", "{}", '{"type":"write"}', '{"type":"claim","id":"x#1","pool":3}']) {
     world.log.inject(streams.state, data);
   }
-  return nothing;
+  return nothingToEnd;
 }
 
-function weightsSlow(world: World): End {
-  world.weights.slow(3);
-  return () => world.weights.slow(1);
+function weightsSlow(world: World): EndFault {
+  world.weights.setSlowdown(3);
+  return () => world.weights.setSlowdown(1);
 }
 
-function listDown(world: World): End {
+function listDown(world: World): EndFault {
   world.list.down = true;
   return () => {
     world.list.down = false;
   };
 }
 
-function poorLinks(world: World): End {
+function poorLinks(world: World): EndFault {
   Object.assign(world.network.faults, { loss: 0.08, cutStreams: 0.15 });
-  const settled = disturb(world, ...world.boxes);
+  const endDisturbance = markDisturbed(world, ...world.boxes);
   return () => {
     Object.assign(world.network.faults, { loss: 0, cutStreams: 0 });
-    settled();
+    endDisturbance();
   };
 }
 
-function lateOrders(world: World): End {
+function lateOrders(world: World): EndFault {
   Object.assign(world.network.faults, { lateOrders: 0.3, repeatedOrders: 0.3 });
   return () => {
     Object.assign(world.network.faults, { lateOrders: 0, repeatedOrders: 0 });
@@ -154,7 +154,7 @@
   weightsSlow,
   poorLinks,
   lateOrders,
-} satisfies Record<string, Fault>;
+} satisfies Record<string, InjectFault>;
 export type FaultName = keyof typeof faultsByName;
 
 /** Injects faults until the given time, then ends those that go on; answers with their names. */
@@ -165,23 +165,23 @@
 ): Promise<readonly FaultName[]> {
   const { clock, random } = world;
   const injected: FaultName[] = [];
-  const ends = new Set<End>();
+  const activeFaults = new Set<EndFault>();
   const inject = () => {
     const name = pick(random, names);
     injected.push(name);
     const end = faultsByName[name](world);
-    const once: End = () => {
-      if (ends.delete(once)) end();
+    const endOnce: EndFault = () => {
+      if (activeFaults.delete(endOnce)) end();
     };
-    ends.add(once);
-    clock.after(shortest + random.fraction() * (longest - shortest), once);
+    activeFaults.add(endOnce);
+    clock.after(minFaultMs + random.nextFloat() * (maxFaultMs - minFaultMs), endOnce);
   };
   while (clock.now() < until) {
     inject();
-    if (random.fraction() < 0.5) inject();
-    await sleep(clock, 1_000 + random.fraction() * 6_000);
+    if (random.nextFloat() < 0.5) inject();
+    await sleep(clock, 1_000 + random.nextFloat() * 6_000);
   }
-  for (const end of [...ends]) end();
+  for (const end of [...activeFaults]) end();
   world.network.healAll();
   return injected;
 }
--- a/packages/soak/src/scenarios/fleet.steps.ts
+++ b/packages/soak/src/scenarios/fleet.steps.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { membershipName } from "@linkfall/membership";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { createOperators } from "./operators.js";
 import { soakModel } from "./resources.js";
 import { operatorToken } from "./settings.js";
-import { worldOf } from "./rest.js";
+import { worldOf } from "./idle-deployment.js";
 import { createWorld, type World, type WorldBox } from "./world.js";
 
 const fleetWarmUpMs = 30_000;
@@ -16,9 +16,9 @@
     const membership = { fanout: 1, suspect_ms: 4_000, forget_ms: 60_000 };
     const world = createWorld(3, { settings: { membership } });
     for (let index = 1; index <= count; index++) await world.startBox(`b${index}`);
-    void createOperators(world).begin();
+    void createOperators(world).writeInitialState();
     await world.clock.runUntil(fleetWarmUpMs);
-    notes(this).set("world", world);
+    scenarioState(this).set("world", world);
   },
 );
 
@@ -52,7 +52,7 @@
     const world = worldOf(this);
     world.log.faults.down = true;
     await world.clock.runUntil(world.clock.now() + seconds * 1_000);
-    notes(this).set("box", await world.startBox("b4"));
+    scenarioState(this).set("box", await world.startBox("b4"));
   },
 );
 
@@ -61,7 +61,7 @@
   async function (this: object, after: number, seconds: number) {
     const world = worldOf(this);
     await world.clock.runUntil(world.clock.now() + after * 1_000);
-    const { name } = notes(this).get<WorldBox>("box");
+    const { name } = scenarioState(this).get<WorldBox>("box");
     for (const other of [...world.boxes.map((box) => box.name), "log", "list"]) {
       world.network.cut(name, other);
       world.network.cut(other, name);
@@ -71,19 +71,19 @@
 );
 
 Then("it refuses and the others serve", function (this: object) {
-  assert.deepEqual(isolatedBoxes(worldOf(this)), [notes(this).get<WorldBox>("box")]);
+  assert.deepEqual(findIsolatedBoxes(worldOf(this)), [scenarioState(this).get<WorldBox>("box")]);
 });
 
-const isolatedBoxes = (world: World) =>
+const findIsolatedBoxes = (world: World) =>
   world.boxes.filter(({ box }) => box.kernel.find(membershipName).isolated());
 
 Then("every box still serves", function (this: object) {
-  assert.equal(isolatedBoxes(worldOf(this)).length, 0);
+  assert.equal(findIsolatedBoxes(worldOf(this)).length, 0);
 });
 
 Then("those {int} refuse and the others serve", function (this: object, count: number) {
   const world = worldOf(this);
-  assert.deepEqual(isolatedBoxes(world), world.boxes.slice(0, count));
+  assert.deepEqual(findIsolatedBoxes(world), world.boxes.slice(0, count));
 });
 
 When("the list goes out and every box is replaced", async function (this: object) {
@@ -110,12 +110,12 @@
     const resource = { ...soakModel(9), kind: "model", name: "m99" } as const;
     const body = Buffer.from(JSON.stringify({ changes: [{ action: "put", resource, base: 0 }] }));
     const told: string[] = [];
-    notes(this).set("told", told);
+    scenarioState(this).set("told", told);
     for (const { box } of world.boxes) {
       const headers = { authorization: `Bearer ${operatorToken}` };
       const { signal: gone } = new AbortController();
       void box.operators
-        .handle({ method: "POST", path: "/v1/writes", headers, body, gone })
+        .handle({ method: "POST", path: "/v1/writes", headers, body, signal: gone })
         .then((answer) => told.push(Buffer.from(answer.body as Uint8Array).toString("utf8")));
     }
   },
@@ -126,7 +126,7 @@
   async function (this: object, seconds: number) {
     const world = worldOf(this);
     await world.clock.runUntil(world.clock.now() + seconds * 1_000);
-    const kinds = notes(this)
+    const kinds = scenarioState(this)
       .get<string[]>("told")
       .map((text) => JSON.parse(text).kind);
     assert.deepEqual(kinds, Array(world.boxes.length).fill("unknown"));
--- a/packages/soak/src/scenarios/bodies.ts
+++ b/packages/soak/src/scenarios/interruptible-bodies.ts
@@ -3,19 +3,19 @@
 import type { BodyPart } from "@linkfall/ports";
 import type { Milliseconds } from "@linkfall/types";
 import { Left } from "purify-ts";
-import type { GatedProcess } from "./gated-process.js";
+import type { PausableProcess } from "./pausable-process.js";
 import { targetLost } from "./network.js";
 
-const deathCheckMs: Milliseconds = 50;
+const killPollMs: Milliseconds = 50;
 
 /** The result, or undefined once the process that should give it is dead. */
-export function raceDeath<T>(clock: VirtualClock, process: GatedProcess, result: Promise<T>) {
+export function resolveUnlessKilled<T>(clock: VirtualClock, process: PausableProcess, result: Promise<T>) {
   return new Promise<T | undefined>((resolve, reject) => {
     let settled = false;
     const check = () => {
       if (settled) return;
       if (process.state() === "dead") resolve(undefined);
-      else clock.after(deathCheckMs, check);
+      else clock.after(killPollMs, check);
     };
     check();
     result.then(
@@ -32,15 +32,15 @@
 }
 
 /** A body that breaks off when the process that gives it dies. */
-export async function* untilDead(
+export async function* bodyUntilKilled(
   clock: VirtualClock,
-  process: GatedProcess,
+  process: PausableProcess,
   body: AsyncIterable<BodyPart>,
 ) {
   const parts = body[Symbol.asyncIterator]();
   try {
     for (;;) {
-      const read = await raceDeath(clock, process, process.gate(parts.next()));
+      const read = await resolveUnlessKilled(clock, process, process.deliver(parts.next()));
       if (read === undefined) {
         yield Left(targetLost(true));
         return;
@@ -54,7 +54,7 @@
 }
 
 /** A body that ends like a cut one when its reader gives it up. */
-export async function* untilAborted(body: AsyncIterable<BodyPart>, signal: AbortSignal) {
+export async function* bodyUntilAborted(body: AsyncIterable<BodyPart>, signal: AbortSignal) {
   const parts = body[Symbol.asyncIterator]();
   const aborted = new Promise<undefined>((resolve) => {
     if (signal.aborted) resolve(undefined);
--- a/packages/soak/src/scenarios/network.ts
+++ b/packages/soak/src/scenarios/network.ts
@@ -24,24 +24,24 @@
   healAll(): void;
   isCut(from: string, to: string): boolean;
   /** Time for which a link has been whole; 0 while it is cut. */
-  wholeFor(from: string, to: string): Milliseconds;
+  connectedForMs(from: string, to: string): Milliseconds;
   /** Sends a request and brings back its answer, as far as the links let it. */
   exchange<F, T>(
     from: string,
     to: string,
-    lost: (mayHaveArrived: boolean) => F,
-    act: () => Promise<Either<F, T>>,
+    createLoss: (mayHaveArrived: boolean) => F,
+    perform: () => Promise<Either<F, T>>,
   ): Promise<Either<F, T>>;
   /** A body that may be cut on its way. */
-  carry(from: string, to: string, body: AsyncIterable<BodyPart>): AsyncIterable<BodyPart>;
+  transferBody(from: string, to: string, body: AsyncIterable<BodyPart>): AsyncIterable<BodyPart>;
   /** Delivers a message later, and perhaps once more, without an answer. */
   deliverLate(act: () => void): void;
 }
 
-const shortestDelay: Milliseconds = 0.5;
-const delaySpread: Milliseconds = 3;
-const answerLimit: Milliseconds = 1_500;
-const latestOrder: Milliseconds = 12_000;
+const minDelayMs: Milliseconds = 0.5;
+const delaySpreadMs: Milliseconds = 3;
+const lossTimeoutMs: Milliseconds = 1_500;
+const maxLateDeliveryMs: Milliseconds = 12_000;
 
 export function targetLost(mayHaveArrived: boolean): TargetUnreachable {
   return { kind: "target_unreachable", reason: "lost on the way", mayHaveArrived };
@@ -54,46 +54,47 @@
 /** Creates a network without faults. */
 export function createNetwork(clock: Clock, random: Random): Network {
   /** How many faults cut a link; it is whole again when the last of them ends. */
-  const cuts = new Map<string, number>();
+  const cutCounts = new Map<string, number>();
   const faults: LinkFaults = { loss: 0, lateOrders: 0, repeatedOrders: 0, cutStreams: 0 };
-  const key = (from: string, to: string) => `${from}>${to}`;
-  const isCut = (from: string, to: string) => cuts.has(key(from, to));
+  const linkKey = (from: string, to: string) => `${from}>${to}`;
+  const isCut = (from: string, to: string) => cutCounts.has(linkKey(from, to));
   const healedAt = new Map<string, Milliseconds>();
-  const makeWhole = (link: string) => {
-    cuts.delete(link);
+  const restoreLink = (link: string) => {
+    cutCounts.delete(link);
     healedAt.set(link, clock.now());
   };
-  const delay = () => sleep(clock, shortestDelay + random.fraction() * delaySpread);
-  const isLost = () => random.fraction() < faults.loss;
+  const delay = () => sleep(clock, minDelayMs + random.nextFloat() * delaySpreadMs);
+  const isLost = () => random.nextFloat() < faults.loss;
   return {
     faults,
-    cut: (from, to) => void cuts.set(key(from, to), (cuts.get(key(from, to)) ?? 0) + 1),
+    cut: (from, to) =>
+      void cutCounts.set(linkKey(from, to), (cutCounts.get(linkKey(from, to)) ?? 0) + 1),
     heal(from, to) {
-      const left = (cuts.get(key(from, to)) ?? 0) - 1;
-      if (left > 0) cuts.set(key(from, to), left);
-      else makeWhole(key(from, to));
+      const remainingCuts = (cutCounts.get(linkKey(from, to)) ?? 0) - 1;
+      if (remainingCuts > 0) cutCounts.set(linkKey(from, to), remainingCuts);
+      else restoreLink(linkKey(from, to));
     },
     healAll() {
-      for (const link of [...cuts.keys()]) makeWhole(link);
+      for (const link of [...cutCounts.keys()]) restoreLink(link);
     },
     isCut,
-    wholeFor: (from, to) =>
-      isCut(from, to) ? 0 : clock.now() - (healedAt.get(key(from, to)) ?? -Infinity),
-    async exchange(from, to, lost, act) {
+    connectedForMs: (from, to) =>
+      isCut(from, to) ? 0 : clock.now() - (healedAt.get(linkKey(from, to)) ?? -Infinity),
+    async exchange(from, to, createLoss, perform) {
       await delay();
-      if (isCut(from, to)) return Left(lost(false));
+      if (isCut(from, to)) return Left(createLoss(false));
       if (isLost()) {
-        await sleep(clock, answerLimit);
-        return Left(lost(true));
+        await sleep(clock, lossTimeoutMs);
+        return Left(createLoss(true));
       }
-      const answer = await act();
+      const answer = await perform();
       await delay();
       if (!isCut(to, from) && !isLost()) return answer;
-      await sleep(clock, answerLimit);
-      return Left(lost(true));
+      await sleep(clock, lossTimeoutMs);
+      return Left(createLoss(true));
     },
-    async *carry(from, to, body) {
-      const cutAfter = random.fraction() < faults.cutStreams ? random.below(8) : Infinity;
+    async *transferBody(from, to, body) {
+      const cutAfter = random.nextFloat() < faults.cutStreams ? random.nextInt(8) : Infinity;
       let count = 0;
       for await (const part of body) {
         if (count++ >= cutAfter || isCut(from, to)) {
@@ -104,7 +105,7 @@
       }
     },
     deliverLate(act) {
-      clock.after(random.fraction() * latestOrder, act);
+      clock.after(random.nextFloat() * maxLateDeliveryMs, act);
     },
   };
 }
--- a/packages/soak/src/scenarios/operators.ts
+++ b/packages/soak/src/scenarios/operators.ts
@@ -12,13 +12,13 @@
 import { operatorToken } from "./settings.js";
 import type { World, WorldBox } from "./world.js";
 
-const gapMs: Milliseconds = 1_800;
-const inForceLimitMs: Milliseconds = 5_000;
-const sampleMs: Milliseconds = 100;
+const writeIntervalMs: Milliseconds = 1_800;
+const inForceDeadlineMs: Milliseconds = 5_000;
+const pollIntervalMs: Milliseconds = 100;
 
 export interface Operators {
   /** Writes the first desired state; resolves when it is accepted. */
-  begin(): Promise<void>;
+  writeInitialState(): Promise<void>;
   run(until: Milliseconds): Promise<void>;
   accepted(): number;
   conflicts(): number;
@@ -32,7 +32,7 @@
 /** Creates the operators of a world. */
 export function createOperators(world: World): Operators {
   const { clock, random } = world;
-  const wonBases = new Map<string, Revision>();
+  const acceptedRevisions = new Map<string, Revision>();
   let accepted = 0;
   let conflicts = 0;
   let version = 1;
@@ -43,24 +43,24 @@
       path: "/v1/writes",
       headers: { authorization: `Bearer ${operatorToken}` },
       body: Buffer.from(JSON.stringify({ changes })),
-      gone: new AbortController().signal,
+      signal: new AbortController().signal,
     };
-    const response = await box.process.gate(box.box.operators.handle(request));
+    const response = await box.process.deliver(box.box.operators.handle(request));
     const result = JSON.parse(Buffer.from(response.body as Uint8Array).toString("utf8"));
-    if (result.kind === "accepted") noteAccepted(changes, result.revision);
+    if (result.kind === "accepted") recordAccepted(changes, result.revision);
     if (result.kind === "revision_conflict") conflicts += 1;
     return result;
   };
 
-  const noteAccepted = (changes: readonly Change[], revision: Revision) => {
+  const recordAccepted = (changes: readonly Change[], revision: Revision) => {
     accepted += 1;
     for (const change of changes) {
       const key = resourceKey(change.action === "put" ? change.resource : change.name);
-      const won = `${key} based on ${change.base}`;
-      if (wonBases.has(won) && wonBases.get(won) !== revision) {
-        world.violation(`two writes of ${won} were accepted`);
+      const acceptedBase = `${key} based on ${change.base}`;
+      if (acceptedRevisions.has(acceptedBase) && acceptedRevisions.get(acceptedBase) !== revision) {
+        world.violation(`two writes of ${acceptedBase} were accepted`);
       }
-      wonBases.set(won, revision);
+      acceptedRevisions.set(acceptedBase, revision);
     }
     for (const box of world.liveBoxes()) void awaitInForce(box, revision);
   };
@@ -70,10 +70,10 @@
     const start = clock.now();
     const store = box.box.kernel.find(stateStoreName);
     while (store.state().offset < revision) {
-      await sleep(clock, sampleMs);
-      const touched = box.disturbances > 0 || box.disturbedAt > start - inForceLimitMs;
-      if (touched || box.process.state() !== "running") return;
-      if (clock.now() - start > inForceLimitMs) {
+      await sleep(clock, pollIntervalMs);
+      const disturbed = box.disturbances > 0 || box.disturbedAt > start - inForceDeadlineMs;
+      if (disturbed || box.process.state() !== "running") return;
+      if (clock.now() - start > inForceDeadlineMs) {
         world.violation(`revision ${revision} is not in force on ${box.name} after 5 s`);
         return;
       }
@@ -83,29 +83,29 @@
   const storedRevision = (box: WorldBox, resource: Resource): Revision =>
     box.box.kernel.find(stateStoreName).state().resources.get(resourceKey(resource))?.revision ?? 0;
 
-  const wished = (): Resource => {
-    const index = random.below(10);
-    const kind = random.fraction();
+  const randomResource = (): Resource => {
+    const index = random.nextInt(10);
+    const kind = random.nextFloat();
     if (kind < 0.2 && index < 3) return soakAdapter(index, String(++version));
     if (kind < 0.8) return soakModel(index, String(++version));
     const engine = soakResources().filter((resource) => resource.kind === "engine")[index % 6];
-    const role = random.fraction() < 0.5 ? "batch" : "mixed";
+    const role = random.nextFloat() < 0.5 ? "batch" : "mixed";
     return { ...engine, role } as Resource;
   };
 
   /** Two operators change the same resource from the same revision through two boxes. */
-  const race = async () => {
+  const writeConcurrently = async () => {
     const live = world.liveBoxes();
     if (live.length === 0) return;
     const [one, two] = [pick(random, live), pick(random, live)];
-    const resource = wished();
+    const resource = randomResource();
     const base = storedRevision(one, resource);
-    const rivals = random.fraction() < 0.4 ? [one, two] : [one];
+    const rivals = random.nextFloat() < 0.4 ? [one, two] : [one];
     await Promise.all(rivals.map((box) => write(box, [{ action: "put", resource, base }])));
   };
 
   return {
-    async begin() {
+    async writeInitialState() {
       const changes = soakResources().map((resource): Change => ({
         action: "put",
         resource,
@@ -114,13 +114,13 @@
       for (;;) {
         const result = await write(world.boxes[0], changes);
         if (result.kind === "accepted") return;
-        await sleep(clock, gapMs);
+        await sleep(clock, writeIntervalMs);
       }
     },
     async run(until) {
       while (clock.now() < until) {
-        void race();
-        await sleep(clock, 2 * gapMs * random.fraction());
+        void writeConcurrently();
+        await sleep(clock, 2 * writeIntervalMs * random.nextFloat());
       }
     },
     accepted: () => accepted,
--- a/packages/soak/src/scenarios/gated-process.ts
+++ b/packages/soak/src/scenarios/pausable-process.ts
@@ -2,7 +2,7 @@
 import type { Clock } from "@linkfall/kernel";
 import type { BodyPart } from "@linkfall/ports";
 
-export interface GatedProcess {
+export interface PausableProcess {
   /** The clock as the process sees it: it moves on while the process is paused. */
   readonly clock: Clock;
   readonly state: () => "running" | "paused" | "dead";
@@ -10,31 +10,31 @@
   resume(): void;
   kill(): void;
   /** Hands a result to the process once it runs; never when it is dead. */
-  gate<T>(result: Promise<T>): Promise<T>;
-  gateBody(body: AsyncIterable<BodyPart>): AsyncIterable<BodyPart>;
+  deliver<T>(result: Promise<T>): Promise<T>;
+  deliverBody(body: AsyncIterable<BodyPart>): AsyncIterable<BodyPart>;
 }
 
 /** Creates a running process on the given clock. */
-export function createGatedProcess(world: Clock): GatedProcess {
+export function createPausableProcess(clock: Clock): PausableProcess {
   let state: "running" | "paused" | "dead" = "running";
-  let waiting: (() => void)[] = [];
-  const deliver = (action: () => void) => {
+  let pendingActions: (() => void)[] = [];
+  const runWhenRunning = (action: () => void) => {
     if (state === "running") action();
-    else if (state === "paused") waiting.push(action);
+    else if (state === "paused") pendingActions.push(action);
   };
-  const gate = <T>(result: Promise<T>) =>
+  const deliver = <T>(result: Promise<T>) =>
     new Promise<T>((resolve, reject) => {
       result.then(
-        (value) => deliver(() => resolve(value)),
-        (problem) => deliver(() => reject(problem)),
+        (value) => runWhenRunning(() => resolve(value)),
+        (problem) => runWhenRunning(() => reject(problem)),
       );
     });
   return {
     clock: {
-      now: world.now,
-      elapsed: world.elapsed,
-      wallTime: world.wallTime,
-      after: (delay, action) => world.after(delay, () => deliver(action)),
+      now: clock.now,
+      elapsed: clock.elapsed,
+      wallTime: clock.wallTime,
+      after: (delay, action) => clock.after(delay, () => runWhenRunning(action)),
     },
     state: () => state,
     pause() {
@@ -43,18 +43,18 @@
     resume() {
       if (state !== "paused") return;
       state = "running";
-      for (const action of waiting.splice(0)) action();
+      for (const action of pendingActions.splice(0)) action();
     },
     kill() {
       state = "dead";
-      waiting = [];
+      pendingActions = [];
     },
-    gate,
-    async *gateBody(body) {
+    deliver: deliver,
+    async *deliverBody(body) {
       const parts = body[Symbol.asyncIterator]();
       try {
         for (;;) {
-          const read = await gate(parts.next());
+          const read = await deliver(parts.next());
           if (read.done) return;
           yield read.value;
         }
--- a/packages/soak/src/scenarios/planted-faults.ts
+++ b/packages/soak/src/scenarios/planted-faults.ts
@@ -14,7 +14,7 @@
   /** Row of docs/PROMISES.md that the guard belongs to. */
   readonly promise: string;
   /** A second guard that has to go too where one alone suffices. */
-  readonly also?: PlantedEdit;
+  readonly alsoEdit?: PlantedEdit;
   /** Faults that bring it out; all where none are named. */
   readonly faults?: readonly FaultName[];
   /** The scenario that must fail, where seeds meet the case too seldom. */
@@ -130,7 +130,7 @@
     file: "completion/dist/engine-stream.js",
     find: "if (token.position < next)",
     replace: "if (false)",
-    also: {
+    alsoEdit: {
       file: "completion/dist/attempt.js",
       find: "`?from=${input.progress.next}`",
       replace: "`?from=0`",
@@ -174,7 +174,7 @@
     file: "caller-service/dist/owner-route.js",
     find: "if (id.owner === incarnation)",
     replace: "if (true)",
-    also: {
+    alsoEdit: {
       file: "once/dist/tickets.js",
       find: "return given.length ===",
       replace: "return true ||",
--- a/packages/soak/src/scenarios/planted-loader.ts
+++ b/packages/soak/src/scenarios/planted-loader.ts
@@ -5,7 +5,7 @@
 const fault = plantedFaults.find((entry) => entry.name === process.env.LINKFALL_PLANTED);
 if (!fault) throw new Error(`no planted fault ${process.env.LINKFALL_PLANTED}`);
 
-const edits = fault.also ? [fault, fault.also] : [fault];
+const edits = fault.alsoEdit ? [fault, fault.alsoEdit] : [fault];
 
 const hooks = `
   const edits = ${JSON.stringify(edits)};
--- a/packages/soak/src/scenarios/reports.steps.ts
+++ b/packages/soak/src/scenarios/reports.steps.ts
@@ -3,12 +3,12 @@
 import { targetWatchName } from "@linkfall/target-watch";
 import { createCallers } from "./callers.js";
 import { soakModel } from "./resources.js";
-import { deploymentAtRest, modelCount, probeAll, worldOf } from "./rest.js";
+import { createIdleDeployment, modelCount, probeAllModels, worldOf } from "./idle-deployment.js";
 
 Given(
   "a deployment at rest in which one box reads each engine for all",
   async function (this: object) {
-    await deploymentAtRest(this, { targets: { report_readers: 1 } });
+    await createIdleDeployment(this, { targets: { report_readers: 1 } });
   },
 );
 
@@ -25,7 +25,7 @@
   const world = worldOf(this);
   await world.clock.runUntil(world.clock.now() + s * 1_000);
   for (const box of world.boxes.slice(1)) {
-    const told = await probeAll(world, box);
+    const told = await probeAllModels(world, box);
     assert.deepEqual(told, Array(modelCount).fill("answered"));
   }
 });
--- a/packages/soak/src/scenarios/left-alone.steps.ts
+++ b/packages/soak/src/scenarios/retry-after.steps.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import type { CallerResponse } from "@linkfall/ports";
-import { notes } from "@linkfall/test-support";
-import { bodies, sendOnce } from "./crashing-requests.steps.js";
-import { worldOf } from "./rest.js";
+import { scenarioState } from "@linkfall/test-support";
+import { requestsByKind, sendAndWait } from "./crashing-requests.steps.js";
+import { worldOf } from "./idle-deployment.js";
 
 /** Between two calls. */
-const betweenMs = 200;
+const callIntervalMs = 200;
 
 Given(
   "one target of the service asks to be left alone for {int} s",
@@ -22,20 +22,20 @@
     const answers: CallerResponse[] = [];
     for (let index = 0; index < count; index++) {
       const box = world.boxes[index % world.boxes.length];
-      const call = bodies["a call of the service"](`call ${index}`);
-      answers.push(await sendOnce(world, box, account, call, betweenMs));
+      const call = requestsByKind["a call of the service"](`call ${index}`);
+      answers.push(await sendAndWait(world, box, account, call, callIntervalMs));
     }
-    notes(this).set("answers of the service", answers);
+    scenarioState(this).set("answers of the service", answers);
   },
 );
 
 Then("that target got no more than one call from each box", function (this: object) {
   const { services, boxes } = worldOf(this);
-  const { arrivals } = services[0];
+  const { receivedCalls: arrivals } = services[0];
   assert.ok(arrivals > 0 && arrivals <= boxes.length, `${arrivals} calls`);
 });
 
 Then("every call was answered {int}", function (this: object, status: number) {
-  const answers = notes(this).get<CallerResponse[]>("answers of the service");
+  const answers = scenarioState(this).get<CallerResponse[]>("answers of the service");
   assert.deepEqual([...new Set(answers.map((answer) => answer.status))], [status]);
 });
--- a/packages/soak/src/scenarios/run-planted.ts
+++ b/packages/soak/src/scenarios/run-planted.ts
@@ -3,8 +3,8 @@
 import { fileURLToPath } from "node:url";
 import { type PlantedFault, plantedFaults } from "./planted-faults.js";
 
-const mostSeeds = 40;
-const atOnce = 6;
+const maxSeeds = 40;
+const concurrency = 6;
 const soakMain = fileURLToPath(new URL("../main.js", import.meta.url));
 const loader = new URL("./planted-loader.js", import.meta.url).href;
 
@@ -18,7 +18,7 @@
 function runSoak(fault: PlantedFault): Promise<string> {
   const args =
     fault.scenario === undefined
-      ? ["--import", loader, soakMain, "--seeds", `1..${mostSeeds}`, "--first-failure"]
+      ? ["--import", loader, soakMain, "--seeds", `1..${maxSeeds}`, "--first-failure"]
       : ["--import", loader, "scripts/run-tests.mjs", fault.scenario];
   if (fault.faults) args.push("--faults", fault.faults.join(","));
   const env = { ...process.env, LINKFALL_PLANTED: fault.name };
@@ -29,7 +29,7 @@
   return new Promise((resolve) => child.once("exit", () => resolve(text)));
 }
 
-async function tryFault(fault: PlantedFault): Promise<PlantedResult> {
+async function testFault(fault: PlantedFault): Promise<PlantedResult> {
   const text = await runSoak(fault);
   const failed = /seed (\d+) FAILED.*\n\s*(.*)/.exec(text) ?? /()^failed: (.*)$/m.exec(text);
   if (!text.includes(`planted ${fault.name}`)) {
@@ -39,19 +39,19 @@
     fault,
     caught: failed !== null,
     seed: failed?.[1] ?? "",
-    violation: failed?.[2] ?? `none in ${mostSeeds} seeds`,
+    violation: failed?.[2] ?? `none in ${maxSeeds} seeds`,
   };
 }
 
 const only = process.argv[2];
-const waiting = plantedFaults.filter((fault) => only === undefined || fault.name === only);
+const pendingFaults = plantedFaults.filter((fault) => only === undefined || fault.name === only);
 const results: PlantedResult[] = [];
-async function work(): Promise<void> {
-  for (let fault = waiting.shift(); fault; fault = waiting.shift()) {
-    results.push(await tryFault(fault));
+async function runPending(): Promise<void> {
+  for (let fault = pendingFaults.shift(); fault; fault = pendingFaults.shift()) {
+    results.push(await testFault(fault));
   }
 }
-await Promise.all(Array.from({ length: atOnce }, work));
+await Promise.all(Array.from({ length: concurrency }, runPending));
 results.sort((a, b) => (a.fault.promise < b.fault.promise ? -1 : 1));
 for (const { fault, caught, seed, violation } of results) {
   const where = seed === "" ? "by its scenario" : `at seed ${seed}`;
--- a/packages/soak/src/scenarios/run-seed.ts
+++ b/packages/soak/src/scenarios/run-seed.ts
@@ -4,16 +4,16 @@
 import { serialiseState } from "@linkfall/state-fold";
 import { stateStoreName } from "@linkfall/state-store";
 import type { Milliseconds } from "@linkfall/types";
-import { createCallers, type Told } from "./callers.js";
+import { createCallers, type ReportedOutcome } from "./callers.js";
 import { type FaultName, faultsByName, injectFaults } from "./faults.js";
 import { createOperators } from "./operators.js";
 import { accounts, boxNames, soakModel } from "./resources.js";
 import type { ExtraSettings } from "./settings.js";
 import { createWorld, type World, type WorldBox, type WorldOptions } from "./world.js";
 
-const startMs: Milliseconds = 12_000;
+const faultsFromMs: Milliseconds = 12_000;
 const faultsUntilMs: Milliseconds = 60_000;
-const quietUntilMs: Milliseconds = 95_000;
+const probeAtMs: Milliseconds = 95_000;
 /** Length of a run. */
 export const endMs: Milliseconds = 112_000;
 const modelCount = 10;
@@ -23,19 +23,19 @@
   readonly seed: number;
   readonly violations: readonly string[];
   readonly faults: readonly FaultName[];
-  readonly told: ReadonlyMap<Told, number>;
+  readonly outcomes: ReadonlyMap<ReportedOutcome, number>;
   readonly inForceTimes: readonly Milliseconds[];
   readonly acceptedWrites: number;
   readonly conflicts: number;
-  readonly appends: Appends;
+  readonly appends: LogAppends;
 }
 
 /** What the log took in a run. */
-export interface Appends {
+export interface LogAppends {
   /** Appends of each stream, over the whole run. */
   readonly byStream: ReadonlyMap<StreamName, number>;
   /** Most within any second. */
-  readonly busiestSecond: number;
+  readonly peakPerSecond: number;
 }
 
 export interface SeedOptions extends WorldOptions {
@@ -45,16 +45,16 @@
   readonly onWorld?: (world: World) => void;
 }
 
-const memberCheckMs: Milliseconds = 1_000;
-const memberGraceMs: Milliseconds = 5_000;
+const membershipCheckIntervalMs: Milliseconds = 1_000;
+const membershipGraceMs: Milliseconds = 5_000;
 /** After the end of a cut the next rounds of heartbeats bring word again. */
-const heardAgainMs: Milliseconds = 1_000;
+const reconnectGraceMs: Milliseconds = 1_000;
 /** While the list is out, boxes that start find each other by the next claim of a lease in the log. */
-const nextClaimMs: Milliseconds = 7_000;
+const nextLeaseClaimMs: Milliseconds = 7_000;
 
 /** Boxes that no fault has touched for some time, and that are not on their way out. */
-function steadyBoxes(world: World) {
-  const grace = world.list.down ? memberGraceMs + nextClaimMs : memberGraceMs;
+function undisturbedBoxes(world: World) {
+  const grace = world.list.down ? membershipGraceMs + nextLeaseClaimMs : membershipGraceMs;
   const before = world.clock.now() - grace;
   return world
     .liveBoxes()
@@ -62,40 +62,43 @@
 }
 
 /** Whether word of a box can come to another, directly or through a third. */
-function canHear(world: World, box: WorldBox, other: WorldBox): boolean {
-  const { wholeFor } = world.network;
-  const joined = (a: WorldBox, b: WorldBox) =>
-    Math.min(wholeFor(a.name, b.name), wholeFor(b.name, a.name)) >= heardAgainMs;
-  const thirds = steadyBoxes(world).filter((third) => third !== box && third !== other);
-  return joined(box, other) || thirds.some((third) => joined(box, third) && joined(third, other));
+function canReceiveFrom(world: World, box: WorldBox, other: WorldBox): boolean {
+  const { connectedForMs: wholeFor } = world.network;
+  const connected = (a: WorldBox, b: WorldBox) =>
+    Math.min(wholeFor(a.name, b.name), wholeFor(b.name, a.name)) >= reconnectGraceMs;
+  const relays = undisturbedBoxes(world).filter((third) => third !== box && third !== other);
+  return (
+    connected(box, other) ||
+    relays.some((third) => connected(box, third) && connected(third, other))
+  );
 }
 
 /** Boxes in good order must not suspect each other, whatever happens to others. */
-function checkMembers(world: World): void {
-  const steady = steadyBoxes(world);
-  for (const box of steady) {
+function checkMembership(world: World): void {
+  const boxes = undisturbedBoxes(world);
+  for (const box of boxes) {
     const alive = new Set(
       box.box.kernel
         .find(membershipName)
         .alive()
         .map((entry) => entry.incarnation),
     );
-    const missed = steady.find(
-      (other) => !alive.has(other.box.incarnation) && canHear(world, box, other),
+    const suspected = boxes.find(
+      (other) => !alive.has(other.box.incarnation) && canReceiveFrom(world, box, other),
     );
-    if (missed) world.violation(`${box.name} suspects ${missed.name} without a reason`);
+    if (suspected) world.violation(`${box.name} suspects ${suspected.name} without a reason`);
   }
-  world.clock.after(memberCheckMs, () => checkMembers(world));
+  world.clock.after(membershipCheckIntervalMs, () => checkMembership(world));
 }
 
 /** Boxes that have read as far hold the same state. */
-function checkAgreement(world: World): void {
+function checkStatesAgree(world: World): void {
   const byOffset = new Map<number, string>();
   for (const box of world.liveBoxes()) {
     const state = box.box.kernel.find(stateStoreName).state();
     const text = serialiseState(state);
-    const known = byOffset.get(state.offset);
-    if (known !== undefined && known !== text) {
+    const sameOffsetText = byOffset.get(state.offset);
+    if (sameOffsetText !== undefined && sameOffsetText !== text) {
       world.violation(`boxes disagree at offset ${state.offset}`);
     }
     byOffset.set(state.offset, text);
@@ -118,8 +121,9 @@
 }
 
 /** The boxes keep their own limits, so that the log never has to refuse them. */
-function checkAppends({ log, violation }: World): void {
-  if (log.refusedBusy() > 0) violation(`the log refused ${log.refusedBusy()} appends as too many`);
+function checkAppendLimit({ log, violation }: World): void {
+  if (log.refusedAppends() > 0)
+    violation(`the log refused ${log.refusedAppends()} appends as too many`);
 }
 
 /** In every second seed the boxes divide the reading of reports among themselves. */
@@ -137,9 +141,9 @@
   let injected: readonly FaultName[] = [];
 
   const scenario = async () => {
-    await operators.begin();
-    const untilStart = new Promise<void>((resolve) => world.clock.after(startMs, resolve));
-    await untilStart;
+    await operators.writeInitialState();
+    const faultsStart = new Promise<void>((resolve) => world.clock.after(faultsFromMs, resolve));
+    await faultsStart;
     const faults = injectFaults(world, names, faultsUntilMs).then((list) => (injected = list));
     await Promise.all([faults, callers.run(faultsUntilMs + 5_000), operators.run(faultsUntilMs)]);
   };
@@ -148,8 +152,8 @@
   try {
     for (const name of boxNames) await world.startBox(name);
     const finished = scenario().catch(defect);
-    world.clock.after(startMs, () => checkMembers(world));
-    await world.clock.runUntil(quietUntilMs);
+    world.clock.after(faultsFromMs, () => checkMembership(world));
+    await world.clock.runUntil(probeAtMs);
     const probed = checkReachability(world, callers).catch(defect);
     await world.clock.runUntil(endMs);
     let ended = false;
@@ -161,15 +165,15 @@
   } finally {
     process.off("unhandledRejection", defect);
   }
-  checkAgreement(world);
+  checkStatesAgree(world);
   world.checkWeights();
-  checkAppends(world);
+  checkAppendLimit(world);
   callers.check();
   return {
     seed,
     violations: world.violations,
     faults: injected,
-    told: callers.counts(),
+    outcomes: callers.outcomeCounts(),
     inForceTimes: world.inForceTimes,
     acceptedWrites: operators.accepted(),
     conflicts: operators.conflicts(),
@@ -177,11 +181,11 @@
   };
 }
 
-function appendsOf({ log }: World): Appends {
+function appendsOf({ log }: World): LogAppends {
   const names = Object.values(streams);
   return {
-    byStream: new Map(names.map((stream) => [stream, log.appended(stream)])),
-    busiestSecond: log.busiestSecond(),
+    byStream: new Map(names.map((stream) => [stream, log.appendCount(stream)])),
+    peakPerSecond: log.peakAppendsPerSecond(),
   };
 }
 
--- a/packages/soak/src/scenarios/session.ts
+++ b/packages/soak/src/scenarios/session.ts
@@ -4,10 +4,10 @@
 import { tokenOf } from "./resources.js";
 import { createWorld, type World } from "./world.js";
 
-const settledMs = 12_000;
-const recordsShown = 60;
+const settleMs = 12_000;
+const maxTraceLines = 60;
 /** Time for one answer; all asking together ends before the ticket does. */
-const askMs = 1_000;
+const answerWaitMs = 1_000;
 
 async function bodyText(response: CallerResponse): Promise<string> {
   if (response.body instanceof Uint8Array) return Buffer.from(response.body).toString("utf8");
@@ -22,7 +22,7 @@
 }
 
 /** Random identifiers by order of appearance, and clock readings left out. */
-function normalise(lines: readonly string[]): string {
+function replaceVolatileText(lines: readonly string[]): string {
   const names = new Map<string, string>();
   const nameOf = (id: string) => {
     const name = names.get(id) ?? `<id${names.size + 1}>`;
@@ -39,22 +39,22 @@
 /** Plays the session and answers with its trace. */
 export async function playSession(): Promise<string> {
   const lines: string[] = [];
-  const noteworthy = (line: string) => !line.includes("/report") && !/linkfall-audit/.test(line);
+  const isRecorded = (line: string) => !line.includes("/report") && !/linkfall-audit/.test(line);
   const world: World = createWorld(42, {
-    trace: (line) => noteworthy(line) && lines.length < recordsShown && lines.push(line),
+    trace: (line) => isRecorded(line) && lines.length < maxTraceLines && lines.push(line),
   });
   const operators = createOperators(world);
   for (const name of ["b1", "b2"]) await world.startBox(name);
-  void operators.begin();
-  await world.clock.runUntil(settledMs);
+  void operators.writeInitialState();
+  await world.clock.runUntil(settleMs);
 
-  const ask = async (index: number, path: string, body?: unknown, headers = {}) => {
+  const sendRequest = async (index: number, path: string, body?: unknown, headers = {}) => {
     const request: CallerRequest = {
       method: body === undefined ? "GET" : "POST",
       path,
       headers: { authorization: `Bearer ${tokenOf("dispatch")}`, ...headers },
       body: Buffer.from(body === undefined ? "" : JSON.stringify(body)),
-      gone: new AbortController().signal,
+      signal: new AbortController().signal,
     };
     lines.push(
       `caller to b${index + 1}: ${request.method} ${path} ${JSON.stringify(headers)} ${JSON.stringify(body ?? null)}`,
@@ -65,24 +65,24 @@
       answer = response;
       text = response ? await bodyText(response) : "";
     });
-    await world.clock.runUntil(world.clock.now() + askMs);
+    await world.clock.runUntil(world.clock.now() + answerWaitMs);
     lines.push(
       `b${index + 1} to caller: ${answer?.status} ${answer?.headers["linkfall-outcome"]} ${text.trim()}`,
     );
     return text;
   };
 
-  const directory = JSON.parse(await ask(0, "/v1/entries"));
+  const directory = JSON.parse(await sendRequest(0, "/v1/entries"));
   const prompt = "Station log, Garching";
-  await ask(0, "/v1/completions", { model: "m0", prompt, max_tokens: 4 });
-  await ask(1, "/v1/completions", { model: "a2", prompt, max_tokens: 3, stream: true });
+  await sendRequest(0, "/v1/completions", { model: "m0", prompt, max_tokens: 4 });
+  await sendRequest(1, "/v1/completions", { model: "a2", prompt, max_tokens: 3, stream: true });
   const id = `${directory.ticket.id}/notice-1`;
-  const once = { "linkfall-repeatable": "false", "linkfall-request-id": id };
-  await ask(0, "/v1/completions", { model: "m2", prompt, max_tokens: 2 }, once);
-  await ask(1, "/v1/completions", { model: "m2", prompt, max_tokens: 2 }, once);
-  await ask(1, "/services/feed/alerts", { town: "Murnau" });
-  await ask(0, "/services/feed/snippets/17");
-  await ask(0, "/v1/completions", { model: "m1", prompt, max_tokens: 2 });
+  const notRepeatable = { "linkfall-repeatable": "false", "linkfall-request-id": id };
+  await sendRequest(0, "/v1/completions", { model: "m2", prompt, max_tokens: 2 }, notRepeatable);
+  await sendRequest(1, "/v1/completions", { model: "m2", prompt, max_tokens: 2 }, notRepeatable);
+  await sendRequest(1, "/services/feed/alerts", { town: "Murnau" });
+  await sendRequest(0, "/services/feed/snippets/17");
+  await sendRequest(0, "/v1/completions", { model: "m1", prompt, max_tokens: 2 });
   lines.push(`violations: ${world.violations.length}`);
-  return normalise(lines);
+  return replaceVolatileText(lines);
 }
--- a/packages/soak/src/scenarios/settings.ts
+++ b/packages/soak/src/scenarios/settings.ts
@@ -1,15 +1,15 @@
 /** Settings of boxes and engines in a run: shorter times, so that more happens in it. */
 import { readSettings, type Settings } from "@linkfall/config";
-import type { BatchSpeeds } from "@linkfall/stand-ins";
+import type { BatchOptions } from "@linkfall/stand-ins";
 import { stringify } from "ini";
 
 export const operatorToken = "operator-of-the-soak";
 
-export const soakSpeeds: Omit<BatchSpeeds, "concurrency"> = {
+export const soakBatchOptions: Omit<BatchOptions, "concurrency"> = {
   stepMs: 40,
   stepPerRequestMs: 2,
   prefillMsPerCharacter: 0.05,
-  cachedPrefixes: 16,
+  maxCachedPrefixes: 16,
   prefixCharacters: 64,
 };
 
--- a/packages/soak/src/scenarios/soak.steps.ts
+++ b/packages/soak/src/scenarios/soak.steps.ts
@@ -3,12 +3,12 @@
 import { Given, setDefaultTimeout, Then, When } from "@cucumber/cucumber";
 import { streams } from "@linkfall/ports";
 import { stateStoreName } from "@linkfall/state-store";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import type { FaultName } from "./faults.js";
 import { type Account, type Resource, resourceKey } from "@linkfall/types";
 import { type AccountName, domains, soakResources, tokenOf } from "./resources.js";
 import { operatorToken } from "./settings.js";
-import { deploymentAtRest, modelCount, probeAll, worldOf } from "./rest.js";
+import { createIdleDeployment, modelCount, probeAllModels, worldOf } from "./idle-deployment.js";
 import { runSeed } from "./run-seed.js";
 import { playSession } from "./session.js";
 import type { World, WorldBox } from "./world.js";
@@ -16,40 +16,40 @@
 const goldenFile = "packages/soak/src/scenarios/session.golden.txt";
 setDefaultTimeout(180_000);
 
-const repeatWith = (seed: number) => `repeat with: npm run soak -- --seeds ${seed}..${seed}`;
+const reproduceCommand = (seed: number) => `repeat with: npm run soak -- --seeds ${seed}..${seed}`;
 
 Then("a run with seed {int} and all faults breaks no promise", async (seed: number) => {
   const result = await runSeed(seed);
-  assert.deepEqual(result.violations, [], repeatWith(seed));
+  assert.deepEqual(result.violations, [], reproduceCommand(seed));
 });
 
 Then(
   "a run with seed {int} and the fault {string} breaks no promise",
   async (seed: number, fault: string) => {
     const result = await runSeed(seed, { faults: [fault as FaultName] });
-    assert.deepEqual(result.violations, [], `${repeatWith(seed)} --faults ${fault}`);
+    assert.deepEqual(result.violations, [], `${reproduceCommand(seed)} --faults ${fault}`);
   },
 );
 
 Given("a deployment at rest", async function (this: object) {
-  await deploymentAtRest(this);
+  await createIdleDeployment(this);
 });
 
 Given("a deployment at rest that writes no snapshots", async function (this: object) {
   const platform = { snapshot_every_records: 1_000_000, snapshot_every_ms: 86_400_000 };
-  await deploymentAtRest(this, { platform });
+  await createIdleDeployment(this, { platform });
 });
 
 When("the log goes down and a box joins", async function (this: object) {
   const world = worldOf(this);
   world.log.faults.down = true;
-  notes(this).set("box", await world.startBox("b4"));
+  scenarioState(this).set("box", await world.startBox("b4"));
 });
 
 Then("the new box serves every model within 5 s", async function (this: object) {
   const world = worldOf(this);
   await world.clock.runUntil(world.clock.now() + 5_000);
-  const told = await probeAll(world, notes(this).get<WorldBox>("box"));
+  const told = await probeAllModels(world, scenarioState(this).get<WorldBox>("box"));
   assert.deepEqual(told, Array(modelCount).fill("answered"));
 });
 
@@ -59,7 +59,7 @@
     const world = worldOf(this);
     for (const box of [...world.boxes]) world.removeBox(box);
     world.log.truncate(streams.state, 3);
-    notes(this).set("box", await world.startBox("b4"));
+    scenarioState(this).set("box", await world.startBox("b4"));
     await world.clock.runUntil(world.clock.now() + 10_000);
   },
 );
@@ -67,14 +67,14 @@
 Then(
   "the new box refuses with {string} and does not take itself for ready",
   async function (this: object, code: string) {
-    const box = notes(this).get<WorldBox>("box");
+    const box = scenarioState(this).get<WorldBox>("box");
     assert.equal(box.box.kernel.find(stateStoreName).ready(), false);
     const response = await box.box.callers.handle({
       method: "GET",
       path: "/v1/entries",
       headers: {},
       body: new Uint8Array(),
-      gone: new AbortController().signal,
+      signal: new AbortController().signal,
     });
     const { error } = JSON.parse(Buffer.from(response.body as Uint8Array).toString("utf8"));
     assert.equal(error.code, code);
@@ -92,7 +92,7 @@
       engine.leavingSince = world.clock.now();
     }
     await world.clock.runUntil(world.clock.now() + 4_000);
-    const probed = probeAll(world, box);
+    const probed = probeAllModels(world, box);
     box.process.resume();
     await probed;
   },
@@ -112,22 +112,22 @@
     body: Buffer.from(
       JSON.stringify({ model: "m0", prompt: "long", max_tokens: 400, stream: true }),
     ),
-    gone: caller.signal,
+    signal: caller.signal,
   });
   await world.clock.runUntil(world.clock.now() + 1_000);
   assert.equal((await asked).status, 200);
-  assert.equal(requestsAtEngines(world), 1);
+  assert.equal(countEngineRequests(world), 1);
   caller.abort();
 });
 
 Then("no engine works on anything 1 s later", async function (this: object) {
   const world = worldOf(this);
   await world.clock.runUntil(world.clock.now() + 1_000);
-  assert.equal(requestsAtEngines(world), 0);
+  assert.equal(countEngineRequests(world), 0);
 });
 
 /** Requests that run or wait at the engines. */
-function requestsAtEngines(world: World): number {
+function countEngineRequests(world: World): number {
   const reports = world.engines.map(({ core }) => core.report());
   return reports.reduce((sum, { running, queued }) => sum + running + queued, 0);
 }
@@ -145,9 +145,9 @@
   async function (this: object) {
     const world = worldOf(this);
     await world.clock.runUntil(world.clock.now() + 30_000);
-    const told = await probeAll(world, world.boxes[0]);
+    const told = await probeAllModels(world, world.boxes[0]);
     assert.deepEqual(told, Array(modelCount).fill("answered"));
-    assert.ok(world.weights.peak() <= 8);
+    assert.ok(world.weights.peakConcurrentLoads() <= 8);
     assert.deepEqual(world.violations, []);
   },
 );
@@ -157,7 +157,7 @@
   async function (this: object, rate: number, sent: number, count: number, seconds: number) {
     const world = worldOf(this);
     const resource = { ...accountResource("dispatch"), requestsPerSecond: rate };
-    await declare(world, resource);
+    await putResource(world, resource);
     const start = world.clock.now();
     const half = start + (seconds * 1_000) / 2;
     let admitted = 0;
@@ -168,7 +168,7 @@
         path: "/services/feed/snippets",
         headers: { authorization: `Bearer ${tokenOf("dispatch")}` },
         body: new Uint8Array(),
-        gone: new AbortController().signal,
+        signal: new AbortController().signal,
       });
       if (response && !(response.body instanceof Uint8Array)) {
         for await (const part of response.body) assert.ok(part.isRight());
@@ -180,20 +180,20 @@
       void sendOne(world.boxes[index % count]);
     }
     await world.clock.runUntil(world.clock.now() + 1_000);
-    notes(this).set("admittedRate", (admitted * 2) / seconds);
+    scenarioState(this).set("admittedRate", (admitted * 2) / seconds);
   },
 );
 
 Then(
   "between {int} and {int} a second were let through in the last 15 s",
   function (this: object, least: number, most: number) {
-    const rate = notes(this).get<number>("admittedRate");
+    const rate = scenarioState(this).get<number>("admittedRate");
     assert.ok(rate >= least && rate <= most, `${rate} a second`);
   },
 );
 
 /** Declares one resource over what stands. */
-async function declare(world: World, resource: Resource): Promise<void> {
+async function putResource(world: World, resource: Resource): Promise<void> {
   const stored = world.boxes[0].box.kernel.find(stateStoreName).state().resources;
   const base = stored.get(resourceKey(resource))?.revision ?? 0;
   void world.boxes[0].box.operators.handle({
@@ -201,7 +201,7 @@
     path: "/v1/writes",
     headers: { authorization: `Bearer ${operatorToken}` },
     body: Buffer.from(JSON.stringify({ changes: [{ action: "put", resource, base }] })),
-    gone: new AbortController().signal,
+    signal: new AbortController().signal,
   });
   await world.clock.runUntil(world.clock.now() + 3_000);
 }
