--- a/packages/soak/src/scenarios/world-ports.ts
+++ b/packages/soak/src/scenarios/world-ports.ts
@@ -6,7 +6,7 @@
   BoxListPort,
   CallerResponse,
   EnginePort,
-  Listening,
+  ListenerStatus,
   LogPort,
   PeerPort,
   TargetPort,
@@ -16,44 +16,45 @@
 import type { EngineCore, EngineRequest } from "@linkfall/stand-ins";
 import type { Milliseconds } from "@linkfall/types";
 import { type Either, Left, Maybe, Right } from "purify-ts";
-import { raceDeath, untilAborted, untilDead } from "./bodies.js";
-import type { GatedProcess } from "./gated-process.js";
+import { resolveUnlessKilled, bodyUntilAborted, bodyUntilKilled } from "./interruptible-bodies.js";
+import type { PausableProcess } from "./pausable-process.js";
 import { peerLost, targetLost } from "./network.js";
 import type { World, WorldBox, WorldEngine } from "./world.js";
 
-const peerLimitMs: Milliseconds = 1_500;
+const peerTimeoutMs: Milliseconds = 1_500;
 
 /** One exchange with the outside, for golden files. */
 export type Trace = (line: string) => void;
 
 /** The place of a box in a world. */
-export interface Place {
+export interface BoxConnection {
   readonly world: World;
   readonly name: string;
-  readonly process: GatedProcess;
+  readonly process: PausableProcess;
   readonly trace: Trace;
 }
 
 /** Ports of one box to everything outside. */
-export type OutsidePorts = Pick<BoxPorts, "log" | "boxList" | "peers" | "engines" | "targets">;
+export type ExternalPorts = Pick<BoxPorts, "log" | "boxList" | "peers" | "engines" | "targets">;
 
 /** Creates the ports of one box. */
-export function createWorldPorts(place: Place): OutsidePorts {
+export function createWorldPorts(connection: BoxConnection): ExternalPorts {
   return {
-    log: createLogPort(place),
-    boxList: createListPort(place),
-    peers: createPeerPort(place),
-    engines: createEnginePort(place),
-    targets: createTargetPort(place),
+    log: createLogPort(connection),
+    boxList: createListPort(connection),
+    peers: createPeerPort(connection),
+    engines: createEnginePort(connection),
+    targets: createTargetPort(connection),
   };
 }
 
-const logLost = (): LogFailure => ({ kind: "log_unavailable", reason: "lost on the way" });
+const logLoss = (): LogFailure => ({ kind: "log_unavailable", reason: "lost on the way" });
 
-function createListPort({ world, name, process }: Place): BoxListPort {
+function createListPort({ world, name, process }: BoxConnection): BoxListPort {
   const lost = () => ({ kind: "log_unavailable", reason: "lost" }) as const;
   return {
-    read: () => process.gate(world.network.exchange(name, "list", lost, () => world.list.read())),
+    read: () =>
+      process.deliver(world.network.exchange(name, "list", lost, () => world.list.read())),
   };
 }
 
@@ -67,54 +68,58 @@
   );
 }
 
-function createLogPort({ world, name, process, trace }: Place): LogPort {
+function createLogPort({ world, name, process, trace }: BoxConnection): LogPort {
   const { network, log } = world;
   return {
     append: (stream, data) =>
-      process.gate(
-        network.exchange(name, "log", logLost, async () => {
+      process.deliver(
+        network.exchange(name, "log", logLoss, async () => {
           trace(`${name} appends to ${stream}: ${data}`);
           return log.append(stream, data);
         }),
       ),
     read: (stream, from, limit) =>
-      process.gate(network.exchange(name, "log", logLost, () => log.read(stream, from, limit))),
+      process.deliver(network.exchange(name, "log", logLoss, () => log.read(stream, from, limit))),
   };
 }
 
-function createEnginePort({ world, name, process, trace }: Place): EnginePort {
+function createEnginePort({ world, name, process, trace }: BoxConnection): EnginePort {
   const { network, random } = world;
-  const ask = <T>(address: string, act: (core: EngineCore) => T) => {
+  const call = <T>(address: string, act: (core: EngineCore) => T) => {
     const engine = engineAt(world, address);
-    return process.gate(
+    return process.deliver(
       network.exchange(name, engine?.core.engine.name ?? address, targetLost, async () =>
         engine && !engine.down ? Right(act(engine.core)) : Left(targetLost(false)),
       ),
     );
   };
   return {
-    report: (address) => ask(address, (core) => core.report()),
-    raiseFence: (address, epoch) => ask(address, (core) => core.raiseFence(epoch)),
+    report: (address) => call(address, (core) => core.report()),
+    raiseFence: (address, epoch) => call(address, (core) => core.raiseFence(epoch)),
     order(address, order) {
-      const again = () => {
+      const deliverOrder = () => {
         const engine = engineAt(world, address);
         if (engine && !engine.down) engine.core.order(order);
       };
-      if (random.fraction() < network.faults.repeatedOrders) network.deliverLate(again);
-      if (random.fraction() < network.faults.lateOrders) {
-        network.deliverLate(again);
-        return process.gate(Promise.resolve(Left(targetLost(true))));
+      if (random.nextFloat() < network.faults.repeatedOrders) network.deliverLate(deliverOrder);
+      if (random.nextFloat() < network.faults.lateOrders) {
+        network.deliverLate(deliverOrder);
+        return process.deliver(Promise.resolve(Left(targetLost(true))));
       }
-      return ask(address, (core) => {
+      return call(address, (core) => {
         trace(`${name} orders ${order.engine}: ${JSON.stringify(order)}`);
         return core.order(order);
       });
     },
-    cacheEvents: (address, after) => ask(address, (core) => core.cacheEvents(after)),
+    cacheEvents: (address, after) => call(address, (core) => core.cacheEvents(after)),
   };
 }
 
-function engineAnswer(core: EngineCore, path: string, request: TargetRequest): TargetResponse {
+function handleEngineRequest(
+  core: EngineCore,
+  path: string,
+  request: TargetRequest,
+): TargetResponse {
   const attempt = () => decodeURIComponent(path.split("/")[3].split("?")[0]);
   if (request.method === "POST") {
     const body = JSON.parse(Buffer.from(request.body).toString("utf8")) as EngineRequest;
@@ -125,78 +130,84 @@
   return core.resume("", 0);
 }
 
-function createTargetPort({ world, name, process, trace }: Place): TargetPort {
+function createTargetPort({ world, name, process, trace }: BoxConnection): TargetPort {
   const { network, services } = world;
   return {
-    async listens(address) {
+    async probeListener(address) {
       const engine = engineAt(world, address);
       const service = services.find((entry) => entry.address === address);
-      const place = engine?.core.engine.name ?? address;
-      const look = async () => Right((engine ?? service)?.down ? "refuses" : "listens");
-      const looked = await process.gate(network.exchange(name, place, targetLost, look));
-      return looked.orDefault("unknown") as Listening;
+      const endpoint = engine?.core.engine.name ?? address;
+      const readState = async () => Right((engine ?? service)?.down ? "refuses" : "listens");
+      const state = await process.deliver(network.exchange(name, endpoint, targetLost, readState));
+      return state.orDefault("unknown") as ListenerStatus;
     },
     async send(request, signal) {
       const engine = engineAt(world, request.address);
       const service = services.find((entry) => entry.address === request.address);
-      const place = engine?.core.engine.name ?? request.address;
+      const endpoint = engine?.core.engine.name ?? request.address;
       const act = async () => {
-        trace(`${name} sends ${place}: ${request.method} ${request.path}`);
+        trace(`${name} sends ${endpoint}: ${request.method} ${request.path}`);
         if (service?.down) return Left(targetLost(false));
         if (service)
           return Maybe.fromNullable(await service.call(request)).toEither(targetLost(true));
         if (!engine || engine.down) return Left(targetLost(false));
-        return Right(engineAnswer(engine.core, request.path, request));
+        return Right(handleEngineRequest(engine.core, request.path, request));
       };
-      const sent = await process.gate(network.exchange(name, place, targetLost, act));
-      return sent.map((response): TargetResponse => {
-        const carried = network.carry(place, name, response.body);
-        return { ...response, body: untilAborted(process.gateBody(carried), signal) };
+      const response = await process.deliver(network.exchange(name, endpoint, targetLost, act));
+      return response.map((response): TargetResponse => {
+        const carried = network.transferBody(endpoint, name, response.body);
+        return { ...response, body: bodyUntilAborted(process.deliverBody(carried), signal) };
       });
     },
   };
 }
 
 /** What a peer answers, or that it died before it did. */
-async function answerOf<T>(world: World, peer: WorldBox, act: (peer: WorldBox) => Promise<T>) {
-  const answer = peer.process.gate(peer.process.gate(Promise.resolve()).then(() => act(peer)));
-  const value = await raceDeath(world.clock, peer.process, answer);
+async function callPeer<T>(world: World, peer: WorldBox, act: (peer: WorldBox) => Promise<T>) {
+  const answer = peer.process.deliver(
+    peer.process.deliver(Promise.resolve()).then(() => act(peer)),
+  );
+  const value = await resolveUnlessKilled(world.clock, peer.process, answer);
   return value === undefined ? Left(peerLost(true)) : Right(value);
 }
 
-function createPeerPort({ world, name, process }: Place): PeerPort {
+function createPeerPort({ world, name, process }: BoxConnection): PeerPort {
   const { network } = world;
-  const ask = <T>(address: string, act: (peer: WorldBox) => Promise<T>) => {
+  const call = <T>(address: string, act: (peer: WorldBox) => Promise<T>) => {
     const peer = boxAt(world, address);
-    return process.gate(
+    return process.deliver(
       network.exchange(name, peer?.name ?? address, peerLost, async () =>
         peer && peer.process.state() !== "dead"
-          ? answerOf(world, peer, act)
+          ? callPeer(world, peer, act)
           : Left(peerLost(false)),
       ),
     );
   };
-  const limited = async <T>(asked: Promise<Either<PeerUnreachable, T>>) =>
-    (await withTimeout(process.clock, peerLimitMs, asked)) ?? Left(peerLost(true));
+  const withPeerTimeout = async <T>(asked: Promise<Either<PeerUnreachable, T>>) =>
+    (await withTimeout(process.clock, peerTimeoutMs, asked)) ?? Left(peerLost(true));
   return {
     heartbeat: (address, message) =>
-      limited(ask(address, async (peer) => peer.box.peerHandler.heartbeat(message))),
+      withPeerTimeout(call(address, async (peer) => peer.box.peerHandler.heartbeat(message))),
     reportUsage: (address, report) =>
-      limited(ask(address, async (peer) => peer.box.peerHandler.reportUsage(report))),
+      withPeerTimeout(call(address, async (peer) => peer.box.peerHandler.reportUsage(report))),
     readReports: (address, request) =>
-      limited(ask(address, async (peer) => peer.box.peerHandler.readReports(request))),
+      withPeerTimeout(call(address, async (peer) => peer.box.peerHandler.readReports(request))),
     fetchState: (address) =>
-      limited(ask(address, async (peer) => peer.box.peerHandler.fetchState())),
+      withPeerTimeout(call(address, async (peer) => peer.box.peerHandler.fetchState())),
     async forward(address, request) {
-      return ask(address, async (peer) => {
-        return bodyOver(world, peer, await peer.box.peerHandler.forward(request));
+      return call(address, async (peer) => {
+        return withInterruptibleBody(world, peer, await peer.box.peerHandler.forward(request));
       });
     },
   };
 }
 
 /** A body that breaks off when the box that gives it dies. */
-export function bodyOver(world: World, box: WorldBox, response: CallerResponse): CallerResponse {
+export function withInterruptibleBody(
+  world: World,
+  box: WorldBox,
+  response: CallerResponse,
+): CallerResponse {
   if (response.body instanceof Uint8Array) return response;
-  return { ...response, body: untilDead(world.clock, box.process, response.body) };
+  return { ...response, body: bodyUntilKilled(world.clock, box.process, response.body) };
 }
--- a/packages/soak/src/scenarios/world.ts
+++ b/packages/soak/src/scenarios/world.ts
@@ -4,7 +4,7 @@
 import { type EventName, recordingLogger } from "@linkfall/logger";
 import { type CallerRequest, type CallerResponse, streams } from "@linkfall/ports";
 import {
-  type BatchSpeeds,
+  type BatchOptions,
   type BoxListCore,
   createBoxListCore,
   createEngineCore,
@@ -18,31 +18,31 @@
 } from "@linkfall/stand-ins";
 import { stateStoreName } from "@linkfall/state-store";
 import type { Engine, Milliseconds } from "@linkfall/types";
-import { raceDeath } from "./bodies.js";
+import { resolveUnlessKilled } from "./interruptible-bodies.js";
 import { checkStart, checkUnload, countRun, createEpochCheck } from "./engine-checks.js";
-import { createGatedProcess, type GatedProcess } from "./gated-process.js";
+import { createPausableProcess, type PausableProcess } from "./pausable-process.js";
 import { createNetwork, type Network } from "./network.js";
 import { domains, hashOf, serviceAddresses, soakEngines } from "./resources.js";
-import { type ExtraSettings, operatorToken, soakSettings, soakSpeeds } from "./settings.js";
-import { bodyOver, createWorldPorts, type Trace } from "./world-ports.js";
+import { type ExtraSettings, operatorToken, soakSettings, soakBatchOptions } from "./settings.js";
+import { withInterruptibleBody, createWorldPorts, type Trace } from "./world-ports.js";
 
 const listLagMs: Milliseconds = 700;
 const reportLagMs: Milliseconds = 300;
 /** Boxes that a fault touched within this time before an append are left out of its times. */
-const undisturbedMs: Milliseconds = 5_000;
-const weightLoadsAtOnce = 8;
-const serviceWorkMs: Milliseconds = 30;
+const disturbanceGraceMs: Milliseconds = 5_000;
+const maxConcurrentLoads = 8;
+const serviceCallMs: Milliseconds = 30;
 /** From the start of a run to the end of its process, where it brings that about. */
-const crashAfterMs: Milliseconds = 20;
+const crashDelayMs: Milliseconds = 20;
 /** How long such a process is away. */
-const awayMs: Milliseconds = 2_000;
+const downtimeMs: Milliseconds = 2_000;
 
 /** A box with the process that it runs in. */
 export interface WorldBox {
   readonly name: string;
   readonly peerAddress: string;
   readonly box: Box;
-  readonly process: GatedProcess;
+  readonly process: PausableProcess;
   /** Whether a planned stop has begun. */
   draining: boolean;
   /** Faults that touch this box or its links now. */
@@ -73,7 +73,7 @@
   readonly services: readonly ServiceCore[];
   readonly boxes: WorldBox[];
   /** A prompt, or a body of a service's call, that ends the process which runs it; it is back after a while. */
-  crashesOn?: string;
+  crashTrigger?: string;
   /** Targets that have ended by it. */
   crashes: number;
   /** Starts of a prompt at engines, and of a body at services. */
@@ -98,7 +98,7 @@
   readonly engines: readonly Engine[];
   readonly serviceAddresses: readonly string[];
   readonly domains: readonly string[];
-  readonly speeds: Omit<BatchSpeeds, "concurrency">;
+  readonly batchOptions: Omit<BatchOptions, "concurrency">;
   /** What the weight store gives each load, in megabytes a second. */
   readonly weightMbPerSecond: number;
 }
@@ -108,7 +108,7 @@
   engines: soakEngines,
   serviceAddresses,
   domains,
-  speeds: soakSpeeds,
+  batchOptions: soakBatchOptions,
   weightMbPerSecond: 1_500,
 };
 
@@ -139,8 +139,8 @@
   };
   const checkEpoch = createEpochCheck(violation);
 
-  const crashSoon = (crash: () => void) => {
-    clock.after(crashAfterMs, () => {
+  const scheduleCrash = (crash: () => void) => {
+    clock.after(crashDelayMs, () => {
       world.crashes += 1;
       crash();
     });
@@ -149,7 +149,7 @@
     engine.down = true;
     engine.core.restart();
     world.engineLostAt = clock.now();
-    clock.after(awayMs, () => (engine.down = false));
+    clock.after(downtimeMs, () => (engine.down = false));
   };
 
   const engines: WorldEngine[] = targets.engines.map((declared) => {
@@ -160,40 +160,40 @@
         clock,
         random,
         store: weights,
-        speeds: { ...targets.speeds, concurrency: declared.concurrency },
+        batchOptions: { ...targets.batchOptions, concurrency: declared.concurrency },
         reportLagMs,
-        violation,
-        ran(request) {
+        onViolation: violation,
+        onRequestStarted(request) {
           checkStart(world, engine, request);
-          if (request.prompt === world.crashesOn) crashSoon(() => crashEngine(engine));
+          if (request.prompt === world.crashTrigger) scheduleCrash(() => crashEngine(engine));
         },
-        takes: (order) => checkEpoch(declared, order),
-        unloads: (artifact) => checkUnload(world, declared.name, artifact),
+        onOrder: (order) => checkEpoch(declared, order),
+        onUnload: (artifact) => checkUnload(world, declared.name, artifact),
       }),
     };
     return engine;
   });
   const services = targets.serviceAddresses.map((address): ServiceCore => {
-    const service = createServiceCore(address, clock, serviceWorkMs, (path, body) => {
+    const service = createServiceCore(address, clock, serviceCallMs, (path, body) => {
       countRun(world, `${path} ${body}`);
-      if (body === world.crashesOn) crashSoon(() => service.crash(awayMs));
+      if (body === world.crashTrigger) scheduleCrash(() => service.crash(downtimeMs));
     });
     return service;
   });
 
-  const noteInForceTimes = (worldBox: WorldBox) => {
+  const recordInForceTimes = (worldBox: WorldBox) => {
     const store = worldBox.box.kernel.find(stateStoreName);
     store.onFold((event) => {
       if (event.type !== "write_accepted") return;
       const appendedAt = log.appendedAt(streams.state, event.revision);
-      const touched =
-        worldBox.disturbances > 0 || worldBox.disturbedAt > appendedAt - undisturbedMs;
-      if (!touched) inForceTimes.push(clock.now() - appendedAt);
+      const disturbed =
+        worldBox.disturbances > 0 || worldBox.disturbedAt > appendedAt - disturbanceGraceMs;
+      if (!disturbed) inForceTimes.push(clock.now() - appendedAt);
     });
   };
 
   const startBox = async (name: string): Promise<WorldBox> => {
-    const process = createGatedProcess(clock);
+    const process = createPausableProcess(clock);
     const domain = targets.domains[Number(name.slice(1)) % targets.domains.length];
     const settings = soakSettings(name, domain, hashOf(operatorToken), options.settings);
     const ports: BoxPorts = {
@@ -216,7 +216,7 @@
     };
     boxes.push(worldBox);
     list.set({ box: name, peerAddress, state: "live" });
-    noteInForceTimes(worldBox);
+    recordInForceTimes(worldBox);
     void worldBox.box.start();
     return worldBox;
   };
@@ -246,14 +246,15 @@
     liveBoxes: () => boxes.filter((box) => box.process.state() === "running"),
     async call(target, request) {
       if (target.process.state() === "dead") return undefined;
-      const answered = target.process.gate(target.box.callers.handle(request));
-      const response = await raceDeath(clock, target.process, answered);
+      const responsePromise = target.process.deliver(target.box.callers.handle(request));
+      const response = await resolveUnlessKilled(clock, target.process, responsePromise);
       if (!response && target.draining)
         violation(`the planned stop of ${target.name} cut a request`);
-      return response && bodyOver(world, target, response);
+      return response && withInterruptibleBody(world, target, response);
     },
     checkWeights() {
-      if (weights.peak() > weightLoadsAtOnce) violation(`${weights.peak()} loads ran at once`);
+      if (weights.peakConcurrentLoads() > maxConcurrentLoads)
+        violation(`${weights.peakConcurrentLoads()} loads ran at once`);
     },
   };
   return world;
--- a/packages/stand-ins/src/box-list-core.ts
+++ b/packages/stand-ins/src/box-list-core.ts
@@ -15,17 +15,17 @@
 export function createBoxListCore(clock: Clock, lagMs: Milliseconds): BoxListCore {
   const boxes = new Map<string, ListedBox>();
   const leaving = new Set<string>();
-  let shown: BoxList = { boxes: [], leavingTargets: [] };
+  let visibleList: BoxList = { boxes: [], leavingTargets: [] };
   const publish = () => {
     const next = { boxes: [...boxes.values()], leavingTargets: [...leaving] };
     clock.after(lagMs, () => {
-      shown = next;
+      visibleList = next;
     });
   };
   const core: BoxListCore = {
     down: false,
     async read() {
-      return core.down ? Left({ kind: "log_unavailable", reason: "down" }) : Right(shown);
+      return core.down ? Left({ kind: "log_unavailable", reason: "down" }) : Right(visibleList);
     },
     set(box) {
       boxes.set(box.box, box);
--- a/packages/stand-ins/src/deployment-processes.ts
+++ b/packages/stand-ins/src/deployment-processes.ts
@@ -7,10 +7,10 @@
 import { createHash } from "node:crypto";
 import type { Engine } from "@linkfall/types";
 import { stringify } from "ini";
-import { freeAddresses, loopback } from "./free-addresses.js";
+import { freeAddresses, loopbackHost } from "./free-addresses.js";
 
 /** Kinds of line that a stand-in prints. */
-export interface StandInLine {
+export interface StandInOutput {
   readonly address?: string;
   readonly violation?: string;
   readonly ran?: string;
@@ -21,9 +21,9 @@
 export interface RunningProcess {
   readonly child: ChildProcess;
   /** Lines that a stand-in has printed. */
-  readonly lines: StandInLine[];
+  readonly lines: StandInOutput[];
   /** Text on standard error. */
-  errors(): string;
+  stderrText(): string;
   exited: Promise<number | null>;
 }
 
@@ -39,10 +39,10 @@
 }
 
 /** An engine as a deployment is asked for it; its address is known once it runs. */
-export type EngineShape = Omit<Engine, "address" | "kind">;
+export type EngineSpec = Omit<Engine, "address" | "kind">;
 
-const standInMain = fileURLToPath(new URL("./main.js", import.meta.url));
-const daemonMain = fileURLToPath(import.meta.resolve("@linkfall/daemon")).replace(
+const standInEntryPoint = fileURLToPath(new URL("./main.js", import.meta.url));
+const daemonEntryPoint = fileURLToPath(import.meta.resolve("@linkfall/daemon")).replace(
   /index\.js$/,
   "main.js",
 );
@@ -54,31 +54,31 @@
   return createHash("sha256").update(token).digest("hex");
 }
 
-function watchProcess(child: ChildProcess): RunningProcess {
-  const lines: StandInLine[] = [];
-  let errors = "";
-  let rest = "";
+function captureOutput(child: ChildProcess): RunningProcess {
+  const lines: StandInOutput[] = [];
+  let stderrText = "";
+  let partialLine = "";
   child.stdout?.setEncoding("utf8").on("data", (chunk: string) => {
-    const parts = (rest + chunk).split("\n");
-    rest = parts.pop() ?? "";
-    for (const line of parts) lines.push(JSON.parse(line) as StandInLine);
+    const parts = (partialLine + chunk).split("\n");
+    partialLine = parts.pop() ?? "";
+    for (const line of parts) lines.push(JSON.parse(line) as StandInOutput);
   });
   child.stderr?.setEncoding("utf8").on("data", (chunk: string) => {
-    errors += chunk;
+    stderrText += chunk;
   });
   const exited = new Promise<number | null>((resolve) => child.once("exit", resolve));
-  return { child, lines, errors: () => errors, exited };
+  return { child, lines, stderrText: () => stderrText, exited };
 }
 
 /** Waits until `test` holds; fails after `limitMs` with what `describe` says. */
-export async function until(
-  test: () => boolean | Promise<boolean>,
+export async function waitUntil(
+  condition: () => boolean | Promise<boolean>,
   describe: () => string,
-  limitMs = 30_000,
+  timeoutMs = 30_000,
 ): Promise<void> {
-  const end = performance.now() + limitMs;
-  while (!(await test())) {
-    if (performance.now() > end) throw new Error(`gave up waiting: ${describe()}`);
+  const deadline = performance.now() + timeoutMs;
+  while (!(await condition())) {
+    if (performance.now() > deadline) throw new Error(`gave up waiting: ${describe()}`);
     await new Promise((resolve) => setTimeout(resolve, 25));
   }
 }
@@ -91,19 +91,23 @@
   logAddress = "";
   listAddress = "";
   weightsAddress = "";
-  private readonly folder = mkdtempSync(join(tmpdir(), "linkfall-"));
-
-  async startStandIn(kind: string, json = "", address = `${loopback}:0`): Promise<RunningStandIn> {
-    const child = spawn(process.execPath, [standInMain, kind, address, json], {
+  private readonly directory = mkdtempSync(join(tmpdir(), "linkfall-"));
+
+  async startStandIn(
+    kind: string,
+    json = "",
+    address = `${loopbackHost}:0`,
+  ): Promise<RunningStandIn> {
+    const child = spawn(process.execPath, [standInEntryPoint, kind, address, json], {
       stdio: ["ignore", "pipe", "pipe"],
     });
-    const running = watchProcess(child);
-    const listening = () => running.lines.find((line) => line.address !== undefined);
-    await until(
-      () => listening() !== undefined,
-      () => `${kind}: ${running.errors()}`,
+    const running = captureOutput(child);
+    const addressLine = () => running.lines.find((line) => line.address !== undefined);
+    await waitUntil(
+      () => addressLine() !== undefined,
+      () => `${kind}: ${running.stderrText()}`,
     );
-    const standIn = { ...running, address: listening()?.address ?? "" };
+    const standIn = { ...running, address: addressLine()?.address ?? "" };
     this.standIns.push(standIn);
     return standIn;
   }
@@ -116,11 +120,11 @@
     this.weightsAddress = weights.address;
   }
 
-  async startEngine(shape: EngineShape, address?: string): Promise<Engine> {
-    const engine = { kind: "engine" as const, ...shape, address: "" };
+  async startEngine(spec: EngineSpec, address?: string): Promise<Engine> {
+    const engine = { kind: "engine" as const, ...spec, address: "" };
     const json = JSON.stringify({ engine, weightStore: this.weightsAddress });
     const running = await this.startStandIn("engine", json, address);
-    this.engines.set(shape.name, running);
+    this.engines.set(spec.name, running);
     return { ...engine, address: running.address };
   }
 
@@ -128,7 +132,7 @@
   async startBox(
     name: string,
     domain: string,
-    extra: Record<string, Record<string, string | number>> = {},
+    extraSettings: Record<string, Record<string, string | number>> = {},
   ): Promise<RunningBox> {
     const [callerAddress, operatorAddress, peerAddress] = await freeAddresses(3);
     const settings = {
@@ -141,21 +145,21 @@
       },
       platform: { log_url: `http://${this.logAddress}`, list_url: `http://${this.listAddress}` },
       operators: { tokens: `operator:${hashToken(operatorToken)}` },
-      ...extra,
+      ...extraSettings,
     };
-    const settingsFile = join(this.folder, `${name}-${this.boxes.length}.ini`);
+    const settingsFile = join(this.directory, `${name}-${this.boxes.length}.ini`);
     writeFileSync(settingsFile, stringify(settings));
-    const child = spawn(process.execPath, [daemonMain, "--settings", settingsFile], {
+    const child = spawn(process.execPath, [daemonEntryPoint, "--settings", settingsFile], {
       stdio: ["ignore", "ignore", "pipe"],
     });
-    const box = { ...watchProcess(child), name, callerAddress, operatorAddress, settingsFile };
+    const box = { ...captureOutput(child), name, callerAddress, operatorAddress, settingsFile };
     this.boxes.push(box);
     await this.post(this.listAddress, "/boxes", { box: name, peerAddress, state: "live" });
     return box;
   }
 
   /** Waits until a box answers that it is ready. */
-  async untilReady(box: RunningBox): Promise<void> {
+  async waitUntilReady(box: RunningBox): Promise<void> {
     const ready = async () => {
       try {
         return (await fetch(`http://${box.operatorAddress}/health/ready`)).ok;
@@ -163,7 +167,7 @@
         return false;
       }
     };
-    await until(ready, () => `${box.name}: ${box.errors().slice(-2_000)}`);
+    await waitUntil(ready, () => `${box.name}: ${box.stderrText().slice(-2_000)}`);
   }
 
   async post(address: string, path: string, body: unknown): Promise<void> {
@@ -189,6 +193,6 @@
         child.exitCode === null && child.signalCode === null ? exited : 0,
       ),
     );
-    rmSync(this.folder, { recursive: true, force: true });
+    rmSync(this.directory, { recursive: true, force: true });
   }
 }
--- a/packages/stand-ins/src/engine-batch.ts
+++ b/packages/stand-ins/src/engine-batch.ts
@@ -6,7 +6,7 @@
 import { Left, Right } from "purify-ts";
 
 /** Speeds of an engine. */
-export interface BatchSpeeds {
+export interface BatchOptions {
   readonly concurrency: number;
   /** Length of a step, in which each running request gains one token. */
   readonly stepMs: Milliseconds;
@@ -15,7 +15,7 @@
   /** Time to read one character of a prompt that is not cached. */
   readonly prefillMsPerCharacter: Milliseconds;
   /** Prefixes that the cache holds. */
-  readonly cachedPrefixes: number;
+  readonly maxCachedPrefixes: number;
   readonly prefixCharacters: number;
 }
 
@@ -35,20 +35,20 @@
   readonly attempt: string;
   readonly request: EngineRequest;
   readonly accelerator: number;
-  readonly length: number;
-  readonly first: number;
-  readonly order: number;
+  readonly answerTokens: number;
+  readonly firstPosition: number;
+  readonly arrivalNumber: number;
   /** Events of the tokens from `first` on. */
   readonly events: string[];
   state: "queued" | "running" | "done" | "cut";
-  wake: (() => void)[];
+  waiters: (() => void)[];
 }
 
-const keptDoneMs: Milliseconds = 30_000;
-const keptCacheEvents = 256;
+const finishedStreamRetentionMs: Milliseconds = 30_000;
+const maxCacheEvents = 256;
 /** Cache events are shown this late, and every so many of them is never shown. */
 const cacheEventLagMs: Milliseconds = 400;
-const cacheEventGap = 20;
+const droppedCacheEventInterval = 20;
 const millisecondsPerSecond = 1000;
 const rateSmoothing = 0.05;
 
@@ -62,14 +62,15 @@
 }
 
 /** How many tokens the whole answer has. */
-export function answerLength(
+export function answerTokenCount(
   request: Pick<EngineRequest, "model" | "prompt" | "max_tokens">,
 ): number {
   const model = request.model.slice(0, request.model.lastIndexOf("@"));
-  const most = request.max_tokens;
+  const maxTokens = request.max_tokens;
   return Math.max(
     1,
-    Math.ceil(most / 2) + (hash32(`${model}/${request.prompt}`) % Math.ceil(most / 2 + 1)),
+    Math.ceil(maxTokens / 2) +
+      (hash32(`${model}/${request.prompt}`) % Math.ceil(maxTokens / 2 + 1)),
   );
 }
 
@@ -77,9 +78,9 @@
   /** Takes a request; its stream can be read from then on. */
   start(attempt: string, request: EngineRequest, accelerator: number): void;
   /** The stream from a position on, or undefined where the attempt is not known. */
-  read(attempt: string, from: number): AsyncIterable<BodyPart> | undefined;
+  readStream(attempt: string, from: number): AsyncIterable<BodyPart> | undefined;
   cancel(attempt: string): void;
-  busy(artifact: string, accelerator: number): boolean;
+  isBusy(artifact: string, accelerator: number): boolean;
   running(): number;
   queued(): number;
   pendingTokens(): number;
@@ -92,94 +93,94 @@
 /** Creates the batch of one engine start. */
 export function createEngineBatch(
   clock: Clock,
-  speeds: BatchSpeeds,
-  changed: () => void,
+  options: BatchOptions,
+  onChange: () => void,
 ): EngineBatch {
   const streams = new Map<string, Stream>();
   const cache = new Map<string, true>();
   let cacheLog: CacheEvent[] = [];
   let cacheSequence = 0;
-  let started = 0;
+  let startedCount = 0;
   let stepping = false;
   let destroyed = false;
-  let rate = 0;
+  let smoothedTokensPerSecond = 0;
 
-  const inState = (state: Stream["state"]) =>
+  const streamsInState = (state: Stream["state"]) =>
     [...streams.values()].filter((stream) => stream.state === state);
-  const wakeAll = (stream: Stream) => {
-    for (const wake of stream.wake.splice(0)) wake();
+  const wakeReaders = (stream: Stream) => {
+    for (const wake of stream.waiters.splice(0)) wake();
   };
-  const noteCache = (kind: CacheEvent["kind"], prefixKey: string) => {
+  const recordCacheEvent = (kind: CacheEvent["kind"], prefixKey: string) => {
     const event = { sequence: ++cacheSequence, kind, prefixKey };
-    if (event.sequence % cacheEventGap === 0) return;
+    if (event.sequence % droppedCacheEventInterval === 0) return;
     clock.after(cacheEventLagMs, () => {
-      cacheLog = [...cacheLog, event].slice(-keptCacheEvents);
+      cacheLog = [...cacheLog, event].slice(-maxCacheEvents);
     });
   };
 
   /** Time to read the prompt; a cached prefix costs nothing. */
-  const prefill = (request: EngineRequest): Milliseconds => {
-    const prefix = request.prompt.slice(0, speeds.prefixCharacters);
+  const startPrefill = (request: EngineRequest): Milliseconds => {
+    const prefix = request.prompt.slice(0, options.prefixCharacters);
     const key = `${request.cache_scope}/${request.model}/${hash32(prefix)}`;
     const hit = cache.delete(key);
     cache.set(key, true);
-    if (!hit) noteCache("stored", key);
+    if (!hit) recordCacheEvent("stored", key);
     const oldest = cache.keys().next().value;
-    if (cache.size > speeds.cachedPrefixes && oldest !== undefined) {
+    if (cache.size > options.maxCachedPrefixes && oldest !== undefined) {
       cache.delete(oldest);
-      noteCache("evicted", oldest);
+      recordCacheEvent("evicted", oldest);
     }
     const characters = request.prompt.length - (hit ? prefix.length : 0);
-    return characters * speeds.prefillMsPerCharacter;
+    return characters * options.prefillMsPerCharacter;
   };
 
   const admitQueued = (): Milliseconds => {
-    const free = speeds.concurrency - inState("running").length;
-    const waiting = inState("queued").sort(
-      (a, b) => b.request.priority - a.request.priority || a.order - b.order,
+    const freeSlots = options.concurrency - streamsInState("running").length;
+    const waiting = streamsInState("queued").sort(
+      (a, b) => b.request.priority - a.request.priority || a.arrivalNumber - b.arrivalNumber,
     );
-    let cost = 0;
-    for (const stream of waiting.slice(0, free)) {
+    let prefillMs = 0;
+    for (const stream of waiting.slice(0, freeSlots)) {
       stream.state = "running";
-      cost += prefill(stream.request);
+      prefillMs += startPrefill(stream.request);
     }
-    return cost;
+    return prefillMs;
   };
 
-  const emit = (stream: Stream) => {
-    const position = stream.first + stream.events.length;
-    const last = position === stream.length - 1;
+  const emitToken = (stream: Stream) => {
+    const position = stream.firstPosition + stream.events.length;
+    const last = position === stream.answerTokens - 1;
     const text = tokenAt(stream.request, position);
     const choice = { index: 0, text, finish_reason: last ? "stop" : null };
     const data = JSON.stringify({ id: stream.attempt, choices: [choice] });
     stream.events.push(`id: ${position}\ndata: ${data}\n\n`);
     if (last) finish(stream, "done");
-    wakeAll(stream);
+    wakeReaders(stream);
   };
 
   const finish = (stream: Stream, state: "done" | "cut") => {
     stream.state = state;
-    changed();
-    clock.after(keptDoneMs, () => streams.delete(stream.attempt));
+    onChange();
+    clock.after(finishedStreamRetentionMs, () => streams.delete(stream.attempt));
   };
 
-  const step = () => {
+  const runStep = () => {
     const prefillMs = admitQueued();
-    const batch = inState("running");
+    const batch = streamsInState("running");
     stepping = batch.length > 0;
     if (!stepping) return;
-    const length = speeds.stepMs + speeds.stepPerRequestMs * batch.length + prefillMs;
+    const length = options.stepMs + options.stepPerRequestMs * batch.length + prefillMs;
     clock.after(length, () => {
       if (destroyed) return;
-      const now = (batch.length * millisecondsPerSecond) / length;
-      rate += rateSmoothing * (now - rate);
-      for (const stream of batch) if (stream.state === "running") emit(stream);
-      step();
+      const stepTokensPerSecond = (batch.length * millisecondsPerSecond) / length;
+      smoothedTokensPerSecond += rateSmoothing * (stepTokensPerSecond - smoothedTokensPerSecond);
+      for (const stream of batch) if (stream.state === "running") emitToken(stream);
+      runStep();
     });
   };
 
   async function* events(stream: Stream, from: number): AsyncGenerator<BodyPart> {
-    let next = Math.max(0, from - stream.first);
+    let next = Math.max(0, from - stream.firstPosition);
     for (;;) {
       while (next < stream.events.length) yield Right(Buffer.from(stream.events[next++]));
       if (stream.state === "done") {
@@ -194,30 +195,30 @@
         });
         return;
       }
-      await new Promise<void>((resolve) => stream.wake.push(resolve));
+      await new Promise<void>((resolve) => stream.waiters.push(resolve));
     }
   }
 
   return {
     start(attempt, request, accelerator) {
       const first = request.continue_from?.position ?? 0;
-      const length = Math.max(first + 1, answerLength(request));
+      const length = Math.max(first + 1, answerTokenCount(request));
       const stream: Stream = {
         attempt,
         request,
         accelerator,
-        length,
-        first,
-        order: started++,
+        answerTokens: length,
+        firstPosition: first,
+        arrivalNumber: startedCount++,
         events: [],
         state: "queued",
-        wake: [],
+        waiters: [],
       };
       streams.set(attempt, stream);
-      changed();
-      if (!stepping) step();
+      onChange();
+      if (!stepping) runStep();
     },
-    read(attempt, from) {
+    readStream(attempt, from) {
       const stream = streams.get(attempt);
       return stream && events(stream, from);
     },
@@ -225,29 +226,29 @@
       const stream = streams.get(attempt);
       if (!stream || stream.state === "done") return;
       finish(stream, "cut");
-      wakeAll(stream);
+      wakeReaders(stream);
     },
-    busy: (artifact, accelerator) =>
-      [...inState("running"), ...inState("queued")].some(
+    isBusy: (artifact, accelerator) =>
+      [...streamsInState("running"), ...streamsInState("queued")].some(
         (stream) =>
           stream.accelerator === accelerator &&
           (stream.request.model === artifact || stream.request.adapter === artifact),
       ),
-    running: () => inState("running").length,
-    queued: () => inState("queued").length,
+    running: () => streamsInState("running").length,
+    queued: () => streamsInState("queued").length,
     pendingTokens: () =>
-      [...inState("running"), ...inState("queued")].reduce(
+      [...streamsInState("running"), ...streamsInState("queued")].reduce(
         (sum, stream) => sum + stream.request.max_tokens - stream.events.length,
         0,
       ),
-    tokensPerSecond: () => rate,
+    tokensPerSecond: () => smoothedTokensPerSecond,
     cacheEvents: (after) => cacheLog.filter((event) => event.sequence > after),
     destroy() {
       destroyed = true;
       for (const stream of streams.values()) {
         if (stream.state === "done") continue;
         stream.state = "cut";
-        wakeAll(stream);
+        wakeReaders(stream);
       }
     },
   };
--- a/packages/stand-ins/src/engine-core.ts
+++ b/packages/stand-ins/src/engine-core.ts
@@ -10,25 +10,25 @@
   OrderReply,
   Resident,
 } from "@linkfall/types";
-import { type BatchSpeeds, createEngineBatch, type EngineRequest } from "./engine-batch.js";
+import { type BatchOptions, createEngineBatch, type EngineRequest } from "./engine-batch.js";
 import { createEngineMemory } from "./engine-memory.js";
 import type { WeightStoreCore } from "./weight-store-core.js";
 
 /** What an engine stand-in is made of. */
-export interface EngineCoreInput {
+export interface EngineCoreOptions {
   readonly engine: Engine;
   readonly clock: Clock;
   readonly random: Random;
   readonly store: Pick<WeightStoreCore, "load">;
-  readonly speeds: BatchSpeeds;
+  readonly batchOptions: BatchOptions;
   readonly reportLagMs: Milliseconds;
-  violation(text: string): void;
+  onViolation(text: string): void;
   /** Called when a request is started, for counting runs. */
-  ran(request: EngineRequest): void;
+  onRequestStarted(request: EngineRequest): void;
   /** Called with each order that is not refused. */
-  takes?(order: Order): void;
+  onOrder?(order: Order): void;
   /** Called when an artifact is about to go by order. */
-  unloads?(artifact: string): void;
+  onUnload?(artifact: string): void;
 }
 
 export interface EngineCore {
@@ -50,38 +50,38 @@
 
 const notFound = 404;
 
-function plain(status: number, notStarted: boolean): TargetResponse {
+function emptyResponse(status: number, notStarted: boolean): TargetResponse {
   async function* noBody(): AsyncGenerator<BodyPart> {}
   const headers: Record<string, string> = notStarted ? { "x-not-started": "true" } : {};
   return { status, headers, body: noBody() };
 }
 
 /** Creates an engine that has just started. */
-export function createEngineCore(input: EngineCoreInput): EngineCore {
-  const { engine, clock, random } = input;
-  const starts = { count: 0 };
+export function createEngineCore(options: EngineCoreOptions): EngineCore {
+  const { engine, clock, random } = options;
+  const restartCounter = { count: 0 };
 
-  const begin = () => {
-    starts.count += 1;
-    const incarnation = `${engine.name}-${starts.count}-${random.identifier()}`;
+  const startIncarnation = () => {
+    restartCounter.count += 1;
+    const incarnation = `${engine.name}-${restartCounter.count}-${random.identifier()}`;
     const history: { readonly at: Milliseconds; readonly report: EngineReport }[] = [];
     let sequence = 0;
     let fence: Epoch = 0;
-    const note = () => {
+    const recordReport = () => {
       const report = now();
       history.push({ at: clock.now(), report });
-      const due = clock.now() - input.reportLagMs;
-      while (history.length > 1 && history[1].at <= due) history.shift();
+      const newestVisibleAt = clock.now() - options.reportLagMs;
+      while (history.length > 1 && history[1].at <= newestVisibleAt) history.shift();
     };
-    const batch = createEngineBatch(clock, input.speeds, () => {
+    const batch = createEngineBatch(clock, options.batchOptions, () => {
       memory.releaseIdle();
-      note();
+      recordReport();
     });
-    const memory = createEngineMemory(engine, input.store, {
-      busy: batch.busy,
-      changed: () => note(),
-      violation: input.violation,
-      unloads: (artifact) => input.unloads?.(artifact),
+    const memory = createEngineMemory(engine, options.store, {
+      isBusy: batch.isBusy,
+      onChange: () => recordReport(),
+      onViolation: options.onViolation,
+      onUnload: (artifact) => options.onUnload?.(artifact),
     });
     const now = (): EngineReport => ({
       engine: engine.name,
@@ -97,37 +97,38 @@
       leaving: core.leaving,
       settledOrders: memory.settledOrders,
     });
-    note();
+    recordReport();
     return {
       incarnation,
       batch,
       memory,
-      lagged(): EngineReport {
-        const due = clock.now() - input.reportLagMs;
-        const { report } = history.filter((entry) => entry.at <= due).at(-1) ?? history[0];
+      delayedReport(): EngineReport {
+        const newestVisibleAt = clock.now() - options.reportLagMs;
+        const { report } =
+          history.filter((entry) => entry.at <= newestVisibleAt).at(-1) ?? history[0];
         // A fence and the leaving flag are no load figures; they are shown as they stand.
         return { ...report, fence, leaving: core.leaving };
       },
       fence: () => fence,
-      raise(epoch: Epoch): EngineReport {
+      raiseFence(epoch: Epoch): EngineReport {
         fence = Math.max(fence, epoch);
-        note();
+        recordReport();
         return history[history.length - 1].report;
       },
     };
   };
 
-  let life: ReturnType<typeof begin>;
+  let current: ReturnType<typeof startIncarnation>;
 
-  const holds = (artifact: string, accelerator?: number) =>
-    life.memory.residents.find(
+  const findReady = (artifact: string, accelerator?: number) =>
+    current.memory.residents.find(
       (resident) =>
         resident.artifact === artifact &&
         resident.state === "ready" &&
         (accelerator === undefined || resident.accelerator === accelerator),
     );
 
-  const streamOf = (attempt: string, body: AsyncIterable<BodyPart>): TargetResponse => ({
+  const streamResponse = (attempt: string, body: AsyncIterable<BodyPart>): TargetResponse => ({
     status: 200,
     headers: { "content-type": "text/event-stream", "x-attempt-id": attempt },
     body,
@@ -136,46 +137,47 @@
   const core: EngineCore = {
     engine,
     leaving: false,
-    report: () => life.lagged(),
-    residents: () => life.memory.residents,
+    report: () => current.delayedReport(),
+    residents: () => current.memory.residents,
     raiseFence(epoch) {
-      return life.raise(engine.fenced ? epoch : 0);
+      return current.raiseFence(engine.fenced ? epoch : 0);
     },
     order(order) {
-      if (engine.fenced && order.epoch < life.fence()) {
-        return { kind: "stale_epoch", fence: life.fence() };
+      if (engine.fenced && order.epoch < current.fence()) {
+        return { kind: "stale_epoch", fence: current.fence() };
       }
-      if (order.engineIncarnation !== life.incarnation) {
-        return life.memory.refuse(order, "for another start of this engine");
+      if (order.engineIncarnation !== current.incarnation) {
+        return current.memory.refuse(order, "for another start of this engine");
       }
-      input.takes?.(order);
-      return life.memory.order(order);
+      options.onOrder?.(order);
+      return current.memory.order(order);
     },
     complete(attempt, request) {
-      const model = holds(request.model);
-      const adapter = request.adapter === undefined || holds(request.adapter, model?.accelerator);
-      if (!model || !adapter) return plain(notFound, true);
-      input.ran(request);
-      life.batch.start(attempt, request, model.accelerator);
+      const model = findReady(request.model);
+      const adapter =
+        request.adapter === undefined || findReady(request.adapter, model?.accelerator);
+      if (!model || !adapter) return emptyResponse(notFound, true);
+      options.onRequestStarted(request);
+      current.batch.start(attempt, request, model.accelerator);
       const from = request.continue_from?.position ?? 0;
-      const body = life.batch.read(attempt, from);
-      return body ? streamOf(attempt, body) : plain(notFound, true);
+      const body = current.batch.readStream(attempt, from);
+      return body ? streamResponse(attempt, body) : emptyResponse(notFound, true);
     },
     resume(attempt, from) {
-      const body = life.batch.read(attempt, from);
-      return body ? streamOf(attempt, body) : plain(notFound, false);
+      const body = current.batch.readStream(attempt, from);
+      return body ? streamResponse(attempt, body) : emptyResponse(notFound, false);
     },
-    cancel: (attempt) => life.batch.cancel(attempt),
+    cancel: (attempt) => current.batch.cancel(attempt),
     cacheEvents: (after) => ({
-      engineIncarnation: life.incarnation,
-      events: life.batch.cacheEvents(after),
+      engineIncarnation: current.incarnation,
+      events: current.batch.cacheEvents(after),
     }),
     restart() {
-      life.batch.destroy();
-      life.memory.destroy();
-      life = begin();
+      current.batch.destroy();
+      current.memory.destroy();
+      current = startIncarnation();
     },
   };
-  life = begin();
+  current = startIncarnation();
   return core;
 }
--- a/packages/stand-ins/src/engine-memory.ts
+++ b/packages/stand-ins/src/engine-memory.ts
@@ -2,19 +2,19 @@
 import type { Engine, EngineRole, Order, OrderReply, Resident } from "@linkfall/types";
 import type { WeightStoreCore } from "./weight-store-core.js";
 
-const rememberedOrders = 1_000;
+const maxSettledOrders = 1_000;
 /** Settled orders that a report shows; a repeated order is shown anew. */
-const shownOrders = 64;
+const maxReportedOrders = 64;
 
 /** What the memory asks of the rest of the engine. */
 export interface MemoryHooks {
   /** Whether requests still run on an artifact. */
-  busy(artifact: string, accelerator: number): boolean;
-  changed(): void;
+  isBusy(artifact: string, accelerator: number): boolean;
+  onChange(): void;
   /** A promise of the system was broken. */
-  violation(text: string): void;
+  onViolation(text: string): void;
   /** An artifact is about to go by order. */
-  unloads(artifact: string): void;
+  onUnload(artifact: string): void;
 }
 
 export interface EngineMemory {
@@ -38,12 +38,12 @@
 ): EngineMemory {
   let residents: Resident[] = [];
   let role: EngineRole = "mixed";
-  let settled: string[] = [];
+  let settledIds: string[] = [];
   /** How to end the loads that are under way. */
-  const loading = new Map<Resident, () => void>();
+  const loadCancellations = new Map<Resident, () => void>();
 
-  const capacity = (accelerator: number, inRole: EngineRole) =>
-    engine.acceleratorsMb[accelerator] - (inRole === "batch" ? engine.batchReserveMb : 0);
+  const capacity = (accelerator: number, forRole: EngineRole) =>
+    engine.acceleratorsMb[accelerator] - (forRole === "batch" ? engine.batchReserveMb : 0);
   const used = (accelerator: number) =>
     residents
       .filter((resident) => resident.accelerator === accelerator)
@@ -54,58 +54,60 @@
     );
   const replace = (before: Resident, after?: Resident) => {
     residents = residents.flatMap((entry) => (entry === before ? (after ? [after] : []) : [entry]));
-    hooks.changed();
+    hooks.onChange();
   };
-  const refused = (reason: string): OrderReply => ({ kind: "refused", reason });
+  const refusal = (reason: string): OrderReply => ({ kind: "refused", reason });
   const settle = (order: Order) => {
-    const others = settled.filter((id) => id !== order.id);
-    settled = [...others, order.id].slice(-rememberedOrders);
-    hooks.changed();
+    const others = settledIds.filter((id) => id !== order.id);
+    settledIds = [...others, order.id].slice(-maxSettledOrders);
+    hooks.onChange();
   };
 
   const load = (order: Extract<Order, { kind: "load" }>): OrderReply => {
     const { artifact, accelerator, sizeMb } = order;
-    const there = find(artifact, accelerator);
-    if (there && there.state !== "unloading") return { kind: "accepted" };
+    const existing = find(artifact, accelerator);
+    if (existing && existing.state !== "unloading") return { kind: "accepted" };
     if (used(accelerator) + sizeMb > capacity(accelerator, role)) {
-      hooks.violation(`memory overcommitted on ${engine.name}/${accelerator} by ${artifact}`);
-      return refused("no memory");
+      hooks.onViolation(`memory overcommitted on ${engine.name}/${accelerator} by ${artifact}`);
+      return refusal("no memory");
     }
     const resident: Resident = { artifact, accelerator, sizeMb, state: "loading" };
     residents = [...residents, resident];
     const cancel = store.load(sizeMb, () => {
-      loading.delete(resident);
+      loadCancellations.delete(resident);
       replace(resident, { ...resident, state: "ready" });
     });
-    loading.set(resident, cancel);
+    loadCancellations.set(resident, cancel);
     return { kind: "accepted" };
   };
 
   const unload = (order: Extract<Order, { kind: "unload" }>): OrderReply => {
-    const there = find(order.artifact, order.accelerator);
-    if (!there || there.state === "unloading") return { kind: "accepted" };
-    if (there.state === "ready") hooks.unloads(there.artifact);
-    if (there.state === "ready" && hooks.busy(there.artifact, there.accelerator)) {
-      replace(there, { ...there, state: "unloading" });
+    const existing = find(order.artifact, order.accelerator);
+    if (!existing || existing.state === "unloading") return { kind: "accepted" };
+    if (existing.state === "ready") hooks.onUnload(existing.artifact);
+    if (existing.state === "ready" && hooks.isBusy(existing.artifact, existing.accelerator)) {
+      replace(existing, { ...existing, state: "unloading" });
     } else {
-      loading.get(there)?.();
-      loading.delete(there);
-      replace(there);
+      loadCancellations.get(existing)?.();
+      loadCancellations.delete(existing);
+      replace(existing);
     }
     return { kind: "accepted" };
   };
 
-  const changeRole = (wanted: EngineRole): OrderReply => {
-    const full = engine.acceleratorsMb.some((_, index) => used(index) > capacity(index, wanted));
-    if (full) {
-      hooks.violation(`memory overcommitted on ${engine.name} by role ${wanted}`);
-      return refused("no memory");
+  const changeRole = (newRole: EngineRole): OrderReply => {
+    const overcommitted = engine.acceleratorsMb.some(
+      (_, index) => used(index) > capacity(index, newRole),
+    );
+    if (overcommitted) {
+      hooks.onViolation(`memory overcommitted on ${engine.name} by role ${newRole}`);
+      return refusal("no memory");
     }
-    role = wanted;
+    role = newRole;
     return { kind: "accepted" };
   };
 
-  const carryOut = (order: Order): OrderReply => {
+  const applyOrder = (order: Order): OrderReply => {
     if (order.kind === "load") return load(order);
     if (order.kind === "unload") return unload(order);
     return changeRole(order.role);
@@ -119,30 +121,30 @@
       return role;
     },
     get settledOrders() {
-      return settled.slice(-shownOrders);
+      return settledIds.slice(-maxReportedOrders);
     },
     order(order) {
-      if (settled.includes(order.id)) {
+      if (settledIds.includes(order.id)) {
         settle(order);
         return { kind: "accepted" };
       }
-      const reply = carryOut(order);
+      const reply = applyOrder(order);
       settle(order);
       return reply;
     },
     refuse(order, reason) {
       settle(order);
-      return refused(reason);
+      return refusal(reason);
     },
     releaseIdle() {
-      const going = residents.filter((resident) => resident.state === "unloading");
-      for (const resident of going) {
-        if (!hooks.busy(resident.artifact, resident.accelerator)) replace(resident);
+      const unloading = residents.filter((resident) => resident.state === "unloading");
+      for (const resident of unloading) {
+        if (!hooks.isBusy(resident.artifact, resident.accelerator)) replace(resident);
       }
     },
     destroy() {
-      for (const cancel of loading.values()) cancel();
-      loading.clear();
+      for (const cancel of loadCancellations.values()) cancel();
+      loadCancellations.clear();
     },
   };
 }
--- a/packages/stand-ins/src/http-stand-ins.ts
+++ b/packages/stand-ins/src/http-stand-ins.ts
@@ -18,22 +18,22 @@
 
 const limits = { maxBodyBytes: 64_000_000, maxHeaderBytes: 16_384, bodyTimeoutMs: 30_000 };
 
-type Handle = (
+type RequestHandler = (
   request: CallerRequest,
   path: string,
   query: URLSearchParams,
 ) => Promise<CallerResponse>;
 
-function json(status: number, value: unknown): CallerResponse {
+function jsonResponse(status: number, value: unknown): CallerResponse {
   const headers = { "content-type": "application/json" };
   return { status, headers, body: Buffer.from(JSON.stringify(value)) };
 }
 
-function bodyOf<T>(request: CallerRequest): T {
+function parseBody<T>(request: CallerRequest): T {
   return JSON.parse(Buffer.from(request.body).toString("utf8")) as T;
 }
 
-function serve(clock: Clock, address: string, handle: Handle): HttpFront {
+function serve(clock: Clock, address: string, handle: RequestHandler): HttpFront {
   return createHttpFront({
     clock,
     address,
@@ -42,7 +42,7 @@
       const [path, query] = request.path.split("?", 2);
       return handle(request, path, new URLSearchParams(query));
     },
-    defect(problem) {
+    onDefect(problem) {
       throw problem;
     },
   });
@@ -52,22 +52,25 @@
 export function serveLog(clock: Clock, address: string, core: LogCore): HttpFront {
   return serve(clock, address, async (request, path, query) => {
     if (path === "/faults") {
-      Object.assign(core.faults, bodyOf(request));
-      return json(200, core.faults);
+      Object.assign(core.faults, parseBody(request));
+      return jsonResponse(200, core.faults);
     }
     const stream = path.split("/")[2] as StreamName;
-    const failed = (failure: { kind: string; first?: number }) =>
+    const failureResponse = (failure: { kind: string; first?: number }) =>
       match(failure.kind)
-        .with("log_truncated", () => json(410, { first: failure.first }))
-        .with("log_busy", () => json(429, {}))
-        .otherwise(() => json(503, {}));
+        .with("log_truncated", () => jsonResponse(410, { first: failure.first }))
+        .with("log_busy", () => jsonResponse(429, {}))
+        .otherwise(() => jsonResponse(503, {}));
     if (request.method === "POST") {
-      const appended = await core.append(stream, bodyOf<{ data: string }>(request).data);
-      return appended.caseOf({ Left: failed, Right: (offset) => json(200, { offset }) });
+      const appended = await core.append(stream, parseBody<{ data: string }>(request).data);
+      return appended.caseOf({
+        Left: failureResponse,
+        Right: (offset) => jsonResponse(200, { offset }),
+      });
     }
     const from = Number(query.get("from"));
     const read = await core.read(stream, from, Number(query.get("limit")));
-    return read.caseOf({ Left: failed, Right: (batch) => json(200, batch) });
+    return read.caseOf({ Left: failureResponse, Right: (batch) => jsonResponse(200, batch) });
   });
 }
 
@@ -77,26 +80,27 @@
     if (request.method === "GET") {
       const list = await core.read();
       return list.caseOf({
-        Left: () => json(503, {}),
-        Right: (shown) => json(200, { boxes: shown.boxes, leaving_targets: shown.leavingTargets }),
+        Left: () => jsonResponse(503, {}),
+        Right: (shown) =>
+          jsonResponse(200, { boxes: shown.boxes, leaving_targets: shown.leavingTargets }),
       });
     }
-    if (path === "/faults") core.down = bodyOf<{ down: boolean }>(request).down;
-    if (path === "/boxes") core.set(bodyOf<ListedBox>(request));
+    if (path === "/faults") core.down = parseBody<{ down: boolean }>(request).down;
+    if (path === "/boxes") core.set(parseBody<ListedBox>(request));
     if (path === "/leaving-targets") {
-      const change = bodyOf<{ target: string; leaving: boolean }>(request);
+      const change = parseBody<{ target: string; leaving: boolean }>(request);
       core.setTargetLeaving(change.target, change.leaving);
     }
-    return json(200, {});
+    return jsonResponse(200, {});
   });
 }
 
-function passed(response: TargetResponse): CallerResponse {
+function toCallerResponse(response: TargetResponse): CallerResponse {
   return { status: response.status, headers: response.headers, body: response.body };
 }
 
 /** Ends a response like a cut connection when the caller goes. */
-async function* untilGone(
+async function* untilDisconnected(
   body: AsyncIterable<BodyPart>,
   gone: AbortSignal,
 ): AsyncGenerator<BodyPart> {
@@ -111,29 +115,36 @@
   const attemptOf = (path: string) => decodeURIComponent(path.split("/")[3]);
   return serve(clock, address, async (request, path, query) =>
     match([request.method, path])
-      .with(["GET", "/report"], () => json(200, core.report()))
+      .with(["GET", "/report"], () => jsonResponse(200, core.report()))
       .with(["POST", "/fence"], () =>
-        json(200, core.raiseFence(bodyOf<{ epoch: number }>(request).epoch)),
+        jsonResponse(200, core.raiseFence(parseBody<{ epoch: number }>(request).epoch)),
+      )
+      .with(["POST", "/orders"], () => jsonResponse(200, core.order(parseBody<Order>(request))))
+      .with(["GET", "/cache-events"], () =>
+        jsonResponse(200, core.cacheEvents(Number(query.get("after")))),
       )
-      .with(["POST", "/orders"], () => json(200, core.order(bodyOf<Order>(request))))
-      .with(["GET", "/cache-events"], () => json(200, core.cacheEvents(Number(query.get("after")))))
       .with(["POST", "/faults"], () => {
-        const fault = bodyOf<{ restart?: boolean; leaving?: boolean }>(request);
+        const fault = parseBody<{ restart?: boolean; leaving?: boolean }>(request);
         if (fault.restart) core.restart();
         if (fault.leaving !== undefined) core.leaving = fault.leaving;
-        return json(200, {});
+        return jsonResponse(200, {});
       })
       .with(["POST", "/v1/completions"], () => {
         const attempt = request.headers["x-attempt-id"] ?? "";
-        const response = core.complete(attempt, bodyOf<EngineRequest>(request));
-        return passed({ ...response, body: untilGone(response.body, request.gone) });
+        const response = core.complete(attempt, parseBody<EngineRequest>(request));
+        return toCallerResponse({
+          ...response,
+          body: untilDisconnected(response.body, request.signal),
+        });
       })
-      .with(["GET", P._], () => passed(core.resume(attemptOf(path), Number(query.get("from")))))
+      .with(["GET", P._], () =>
+        toCallerResponse(core.resume(attemptOf(path), Number(query.get("from")))),
+      )
       .with(["DELETE", P._], () => {
         core.cancel(attemptOf(path));
-        return json(200, {});
+        return jsonResponse(200, {});
       })
-      .otherwise(() => json(404, {})),
+      .otherwise(() => jsonResponse(404, {})),
   );
 }
 
@@ -142,11 +153,11 @@
   let down = false;
   return serve(clock, address, async (request, path) => {
     if (path === "/faults") {
-      down = bodyOf<{ down: boolean }>(request).down;
-      return json(200, { down });
+      down = parseBody<{ down: boolean }>(request).down;
+      return jsonResponse(200, { down });
     }
-    if (down) return json(503, {});
-    const answered = await core.call(request);
-    return answered ? passed(answered) : json(502, {});
+    if (down) return jsonResponse(503, {});
+    const response = await core.call(request);
+    return response ? toCallerResponse(response) : jsonResponse(502, {});
   });
 }
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -8,5 +8,5 @@
 export * from "./service-core.js";
 export * from "./weight-store-core.js";
 export * from "./deployment-processes.js";
-export * from "./speeds.js";
+export * from "./default-batch-options.js";
 export * from "./weight-store-http.js";
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -11,9 +11,9 @@
 import { serveBoxList, serveEngine, serveLog, serveService } from "./http-stand-ins.js";
 import { createLogCore } from "./log-core.js";
 import { createServiceCore } from "./service-core.js";
-import { standardSpeeds } from "./speeds.js";
+import { defaultBatchOptions } from "./default-batch-options.js";
 import { createWeightStoreCore } from "./weight-store-core.js";
-import { remoteWeightStore, serveWeightStore } from "./weight-store-http.js";
+import { createRemoteWeightStore, serveWeightStore } from "./weight-store-http.js";
 
 /** Third argument of an engine. */
 export interface EngineArguments {
@@ -21,12 +21,12 @@
   readonly weightStore: string;
 }
 
-const listLagMs = 500;
+const boxListLagMs = 500;
 const reportLagMs = 200;
 const weightMbPerSecond = 20_000;
-const serviceWorkMs = 20;
+const serviceCallMs = 20;
 
-function print(value: unknown): void {
+function printLine(value: unknown): void {
   process.stdout.write(`${JSON.stringify(value)}\n`);
 }
 
@@ -34,37 +34,40 @@
 const clock = systemClock();
 const random = systemRandom();
 
-function engineFront(): HttpFront {
+function createEngineFront(): HttpFront {
   const { engine, weightStore } = JSON.parse(json) as EngineArguments;
   const core = createEngineCore({
     engine,
     clock,
     random,
-    store: remoteWeightStore(clock, weightStore),
-    speeds: { ...standardSpeeds, concurrency: engine.concurrency },
+    store: createRemoteWeightStore(clock, weightStore),
+    batchOptions: { ...defaultBatchOptions, concurrency: engine.concurrency },
     reportLagMs,
-    violation: (text) => print({ violation: text }),
-    ran: (request) => print({ ran: request.request_id, prompt: request.prompt.slice(0, 60) }),
+    onViolation: (text) => printLine({ violation: text }),
+    onRequestStarted: (request) =>
+      printLine({ ran: request.request_id, prompt: request.prompt.slice(0, 60) }),
   });
   return serveEngine(clock, address, core);
 }
 
 const front = match(kind)
   .with("log", () => serveLog(clock, address, createLogCore(clock, random)))
-  .with("list", () => serveBoxList(clock, address, createBoxListCore(clock, listLagMs)))
+  .with("list", () => serveBoxList(clock, address, createBoxListCore(clock, boxListLagMs)))
   .with("weights", () =>
     serveWeightStore(clock, address, createWeightStoreCore(clock, weightMbPerSecond)),
   )
-  .with("engine", engineFront)
+  .with("engine", createEngineFront)
   .with("service", () =>
     serveService(
       clock,
       address,
-      createServiceCore(address, clock, serviceWorkMs, (path, body) => print({ ran: path, body })),
+      createServiceCore(address, clock, serviceCallMs, (path, body) =>
+        printLine({ ran: path, body }),
+      ),
     ),
   )
   .otherwise(() => {
     throw new Error(`unknown stand-in ${kind}`);
   });
 
-print({ address: (await front.listen()).unsafeCoerce() });
+printLine({ address: (await front.listen()).unsafeCoerce() });
--- a/packages/stand-ins/src/service-core.ts
+++ b/packages/stand-ins/src/service-core.ts
@@ -10,11 +10,11 @@
   /** Seconds for which it asks to be left alone with each call, none of which it runs then. */
   retryAfter?: string;
   /** Calls that came, run or not. */
-  readonly arrivals: number;
+  readonly receivedCalls: number;
   /** Its process does not run. */
   readonly down: boolean;
   /** Its process ends, and is back after `awayMs`. */
-  crash(awayMs: Milliseconds): void;
+  crash(downtimeMs: Milliseconds): void;
   /** Runs a call; undefined where the process ended under it. */
   call(
     request: Pick<TargetRequest, "method" | "path" | "headers" | "body">,
@@ -25,47 +25,47 @@
 export function createServiceCore(
   address: string,
   clock: Clock,
-  workMs: Milliseconds,
-  ran: (path: string, body: string) => void,
+  callMs: Milliseconds,
+  onRun: (path: string, body: string) => void,
 ): ServiceCore {
-  async function* bodyOf(text: string): AsyncGenerator<BodyPart> {
+  async function* responseBody(text: string): AsyncGenerator<BodyPart> {
     yield Right(Buffer.from(text));
   }
   let down = false;
-  let lives = 1;
-  let arrivals = 0;
-  const turnAway = (retryAfter: string): TargetResponse => {
+  let incarnation = 1;
+  let receivedCalls = 0;
+  const rejectWithRetryAfter = (retryAfter: string): TargetResponse => {
     const headers = { "x-not-started": "true", "retry-after": retryAfter, "content-length": "0" };
-    return { status: 503, headers, body: bodyOf("") };
+    return { status: 503, headers, body: responseBody("") };
   };
   const core: ServiceCore = {
     address,
     leaving: false,
-    get arrivals() {
-      return arrivals;
+    get receivedCalls() {
+      return receivedCalls;
     },
     get down() {
       return down;
     },
-    crash(awayMs) {
+    crash(downtimeMs) {
       down = true;
-      lives += 1;
-      clock.after(awayMs, () => (down = false));
+      incarnation += 1;
+      clock.after(downtimeMs, () => (down = false));
     },
     async call(request) {
       const text = Buffer.from(request.body).toString("utf8");
-      const life = lives;
-      arrivals += 1;
-      if (core.retryAfter !== undefined) return turnAway(core.retryAfter);
-      ran(request.path, text);
-      await sleep(clock, workMs);
-      if (life !== lives) return undefined;
+      const startedIn = incarnation;
+      receivedCalls += 1;
+      if (core.retryAfter !== undefined) return rejectWithRetryAfter(core.retryAfter);
+      onRun(request.path, text);
+      await sleep(clock, callMs);
+      if (startedIn !== incarnation) return undefined;
       const answer = JSON.stringify({ path: request.path, echo: text });
       const headers = {
         "content-type": "application/json",
         "content-length": String(Buffer.byteLength(answer)),
       };
-      return { status: 200, headers, body: bodyOf(answer) };
+      return { status: 200, headers, body: responseBody(answer) };
     },
   };
   return core;
--- a/packages/stand-ins/src/weight-store-core.ts
+++ b/packages/stand-ins/src/weight-store-core.ts
@@ -3,8 +3,8 @@
 import { createTokenBucket } from "@linkfall/token-bucket";
 import type { Mebibytes, Milliseconds } from "@linkfall/types";
 
-const startsPerSecond = 2;
-const fullSpeedLoads = 8;
+const loadStartsPerSecond = 2;
+const maxFullSpeedLoads = 8;
 const millisecondsPerSecond = 1000;
 
 /** Ends a load whose engine no longer wants it. */
@@ -12,55 +12,59 @@
 
 export interface WeightStoreCore {
   /** Begins a load; `done` is called when the weights are there. The answer ends it early. */
-  load(sizeMb: Mebibytes, done: () => void): CancelLoad;
+  load(sizeMb: Mebibytes, onLoaded: () => void): CancelLoad;
   /** Makes loads that begin from now on take so many times as long. */
-  slow(factor: number): void;
+  setSlowdown(factor: number): void;
   /** Most loads that ran at once. */
-  peak(): number;
+  peakConcurrentLoads(): number;
   /** Loads that had to wait for their turn. */
-  waited(): number;
+  delayedLoads(): number;
 }
 
 /** Creates a store that gives `mbPerSecond` to each load. */
 export function createWeightStoreCore(clock: Clock, mbPerSecond: number): WeightStoreCore {
-  const bucket = createTokenBucket(clock, { rate: startsPerSecond, burst: startsPerSecond });
-  let active = 0;
-  let peak = 0;
-  let waited = 0;
-  let slowness = 1;
+  const bucket = createTokenBucket(clock, {
+    rate: loadStartsPerSecond,
+    burst: loadStartsPerSecond,
+  });
+  let activeLoads = 0;
+  let peakLoads = 0;
+  let delayedCount = 0;
+  let slowdownFactor = 1;
 
-  const run = (sizeMb: Mebibytes, done: () => void): CancelLoad => {
-    active += 1;
-    peak = Math.max(peak, active);
-    const slowing = Math.max(1, active / fullSpeedLoads);
-    const time: Milliseconds = (sizeMb / mbPerSecond) * millisecondsPerSecond * slowing * slowness;
+  const startLoad = (sizeMb: Mebibytes, onLoaded: () => void): CancelLoad => {
+    activeLoads += 1;
+    peakLoads = Math.max(peakLoads, activeLoads);
+    const contentionFactor = Math.max(1, activeLoads / maxFullSpeedLoads);
+    const durationMs: Milliseconds =
+      (sizeMb / mbPerSecond) * millisecondsPerSecond * contentionFactor * slowdownFactor;
     let ended = false;
     const end = () => {
       if (ended) return false;
       ended = true;
-      active -= 1;
+      activeLoads -= 1;
       return true;
     };
-    clock.after(time, () => {
-      if (end()) done();
+    clock.after(durationMs, () => {
+      if (end()) onLoaded();
     });
     return () => void end();
   };
   return {
     load(sizeMb, done) {
       let cancel: CancelLoad = () => undefined;
-      const begin = () => {
-        if (bucket.take()) cancel = run(sizeMb, done);
-        else cancel = clock.after(bucket.msUntil(), begin);
+      const tryStart = () => {
+        if (bucket.take()) cancel = startLoad(sizeMb, done);
+        else cancel = clock.after(bucket.msUntil(), tryStart);
       };
-      if (bucket.msUntil() > 0) waited += 1;
-      begin();
+      if (bucket.msUntil() > 0) delayedCount += 1;
+      tryStart();
       return () => cancel();
     },
-    slow(factor) {
-      slowness = factor;
+    setSlowdown(factor) {
+      slowdownFactor = factor;
     },
-    peak: () => peak,
-    waited: () => waited,
+    peakConcurrentLoads: () => peakLoads,
+    delayedLoads: () => delayedCount,
   };
 }
--- a/packages/stand-ins/src/weight-store-http.ts
+++ b/packages/stand-ins/src/weight-store-http.ts
@@ -17,26 +17,29 @@
     handle: (request) =>
       new Promise((resolve) => {
         if (request.path === "/faults") {
-          core.slow(JSON.parse(Buffer.from(request.body).toString("utf8")).factor);
+          core.setSlowdown(JSON.parse(Buffer.from(request.body).toString("utf8")).factor);
           return resolve({ status: 200, headers: {}, body: Buffer.from("{}") });
         }
         const { sizeMb } = JSON.parse(Buffer.from(request.body).toString("utf8"));
         const cancel = core.load(sizeMb, () =>
           resolve({ status: 200, headers: {}, body: Buffer.from("{}") }),
         );
-        request.gone.addEventListener("abort", cancel, { once: true });
+        request.signal.addEventListener("abort", cancel, { once: true });
       }),
-    defect(problem) {
+    onDefect(problem) {
       throw problem;
     },
   });
 }
 
 /** A store in another process; a load that fails is asked for again. */
-export function remoteWeightStore(clock: Clock, address: string): Pick<WeightStoreCore, "load"> {
+export function createRemoteWeightStore(
+  clock: Clock,
+  address: string,
+): Pick<WeightStoreCore, "load"> {
   const client = createHttpClient();
-  const load = async (sizeMb: number, done: () => void, giveUp: AbortController) => {
-    const sent = await client.send(
+  const load = async (sizeMb: number, onLoaded: () => void, cancellation: AbortController) => {
+    const response = await client.send(
       {
         address,
         method: "POST",
@@ -45,17 +48,18 @@
         body: Buffer.from(JSON.stringify({ sizeMb })),
         freshConnection: true,
       },
-      giveUp.signal,
+      cancellation.signal,
     );
-    const whole = sent.isRight() && (await readText(sent.unsafeCoerce().body)).isRight();
-    if (whole) return done();
-    if (!giveUp.signal.aborted) clock.after(retryMs, () => void load(sizeMb, done, giveUp));
+    const loaded = response.isRight() && (await readText(response.unsafeCoerce().body)).isRight();
+    if (loaded) return onLoaded();
+    if (!cancellation.signal.aborted)
+      clock.after(retryMs, () => void load(sizeMb, onLoaded, cancellation));
   };
   return {
     load(sizeMb, done) {
-      const giveUp = new AbortController();
-      void load(sizeMb, done, giveUp);
-      return () => giveUp.abort();
+      const cancellation = new AbortController();
+      void load(sizeMb, done, cancellation);
+      return () => cancellation.abort();
     },
   };
 }
--- a/packages/state-fold/src/agreement.steps.ts
+++ b/packages/state-fold/src/agreement.steps.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { account, model, notes, pool } from "@linkfall/test-support";
+import { account, model, scenarioState, pool } from "@linkfall/test-support";
 import type { Change, LogEntry, StateRecord } from "@linkfall/types";
 import fc from "fast-check";
 import { applyEntry, type FoldEvent } from "./apply.js";
@@ -37,11 +37,11 @@
     { action: "put", resource: pool(), base: 0 },
   ]);
   log.write("b@1#2", [change("a", 0, "1")]);
-  notes(this).set("log", log);
-  notes(this).set("before", serialiseState(log.state));
+  scenarioState(this).set("log", log);
+  scenarioState(this).set("before", serialiseState(log.state));
 });
 
-const logOf = (world: object) => notes(world).get<FoldedLog>("log");
+const logOf = (world: object) => scenarioState(world).get<FoldedLog>("log");
 const versionOfA = (state: FoldedState) => {
   const stored = state.resources.get("model/a")?.resource;
   return stored?.kind === "model" ? stored.version : undefined;
@@ -49,15 +49,15 @@
 
 When("two operators write {string} based on revision 2", function (this: object, _key: string) {
   const log = logOf(this);
-  notes(this).set("first", log.write("b@1#3", [change("a", 2, "2")]));
-  notes(this).set("second", log.write("c@1#1", [change("a", 2, "3")]));
+  scenarioState(this).set("first", log.write("b@1#3", [change("a", 2, "2")]));
+  scenarioState(this).set("second", log.write("c@1#1", [change("a", 2, "3")]));
 });
 
 Then(
   "the first write is accepted and the second is rejected with both revisions",
   function (this: object) {
-    const [first] = notes(this).get<FoldEvent[]>("first");
-    const [second] = notes(this).get<FoldEvent[]>("second");
+    const [first] = scenarioState(this).get<FoldEvent[]>("first");
+    const [second] = scenarioState(this).get<FoldEvent[]>("second");
     assert.equal(first.type, "write_accepted");
     assert.ok(second.type === "write_rejected" && second.why.kind === "revision_conflict");
     assert.deepEqual([second.why.base, second.why.current], [2, 3]);
@@ -68,15 +68,15 @@
 
 When("the last record is appended again", function (this: object) {
   const log = logOf(this);
-  notes(this).set("events", log.append(log.entries[log.entries.length - 1].data));
+  scenarioState(this).set("events", log.append(log.entries[log.entries.length - 1].data));
 });
 
 When("an earlier record of the same writer arrives late", function (this: object) {
-  notes(this).set("events", logOf(this).write("b@1#1", [change("late", 0, "1")]));
+  scenarioState(this).set("events", logOf(this).write("b@1#1", [change("late", 0, "1")]));
 });
 
 Then(/^the (?:second copy|late record) does nothing$/, function (this: object) {
-  assert.deepEqual(notes(this).get("events"), []);
+  assert.deepEqual(scenarioState(this).get("events"), []);
   assert.equal(logOf(this).state.resources.size, 3);
 });
 
@@ -84,7 +84,7 @@
   "records are appended that are not JSON, not an object, or of an unknown type",
   function (this: object) {
     const bad = ["", "{", "[]", "null", '{"type":"write"}', '{"type":"other","id":"x@1#1"}'];
-    notes(this).set(
+    scenarioState(this).set(
       "events",
       bad.flatMap((data) => [...logOf(this).append(data)]),
     );
@@ -92,13 +92,13 @@
 );
 
 Then("each is reported as a bad record and the state is unchanged", function (this: object) {
-  const events = notes(this).get<FoldEvent[]>("events");
+  const events = scenarioState(this).get<FoldEvent[]>("events");
   assert.deepEqual(
     events.map((event) => event.type),
     Array(6).fill("bad_record"),
   );
   const { state } = logOf(this);
-  assert.equal(serialiseState({ ...state, offset: 2 }), notes(this).get("before"));
+  assert.equal(serialiseState({ ...state, offset: 2 }), scenarioState(this).get("before"));
 });
 
 When(
@@ -106,14 +106,14 @@
   function (this: object, _key: string) {
     const invalid = model("b", { pool: "nowhere" });
     const changes: Change[] = [change("a", 2, "9"), { action: "put", resource: invalid, base: 0 }];
-    notes(this).set("events", logOf(this).write("b@1#3", changes));
+    scenarioState(this).set("events", logOf(this).write("b@1#3", changes));
   },
 );
 
 Then(
   "the write is rejected with the field and the reason, and {string} is unchanged",
   function (this: object, _key: string) {
-    const [event] = notes(this).get<FoldEvent[]>("events");
+    const [event] = scenarioState(this).get<FoldEvent[]>("events");
     assert.ok(event.type === "write_rejected" && event.why.kind === "invalid_input");
     assert.deepEqual(event.why.problems, [
       { field: "model/b.pool", reason: 'there is no pool "nowhere"' },
@@ -187,19 +187,19 @@
     .slice(0, -1)
     .map((entry) => collector.add(entry, 0));
   const complete = parts("complete").map((entry) => collector.add(entry, 0));
-  notes(this).set(
+  scenarioState(this).set(
     "incomplete",
     incomplete.filter((state) => state !== undefined),
   );
-  notes(this).set(
+  scenarioState(this).set(
     "complete",
     complete.filter((state) => state !== undefined),
   );
 });
 
 Then("only the complete one is used", function (this: object) {
-  assert.equal(notes(this).get<unknown[]>("incomplete").length, 0);
-  const [state] = notes(this).get<FoldedState[]>("complete");
+  assert.equal(scenarioState(this).get<unknown[]>("incomplete").length, 0);
+  const [state] = scenarioState(this).get<FoldedState[]>("complete");
   assert.equal(serialiseState(state), serialiseState(logOf(this).state));
 });
 
@@ -216,15 +216,15 @@
   const log = new FoldedLog();
   log.append(claim("b@1", 1, 0));
   log.append({ type: "renew", id: "b@1#2", holder: "b@1", epochs: [1] });
-  notes(this).set("log", log);
+  scenarioState(this).set("log", log);
 });
 
 When("the competing box claims it based on what it had read", function (this: object) {
-  notes(this).set("events", logOf(this).append(claim("c@1", 1, 1)));
+  scenarioState(this).set("events", logOf(this).append(claim("c@1", 1, 1)));
 });
 
 Then("the claim is rejected and the holder keeps its epoch", function (this: object) {
-  assert.equal(notes(this).get<FoldEvent[]>("events")[0].type, "claim_rejected");
+  assert.equal(scenarioState(this).get<FoldEvent[]>("events")[0].type, "claim_rejected");
   assert.equal(logOf(this).state.leases.get("p")?.epoch, 1);
 });
 
@@ -243,11 +243,11 @@
     sizeMb: 1,
   } as const;
   const intent = { type: "intent", id: "b@1#3", pool: "p", epoch: 1, orders: [order] } as const;
-  notes(this).set("events", log.append(intent));
+  scenarioState(this).set("events", log.append(intent));
 });
 
 Then("the intent is not accepted", function (this: object) {
-  const [event] = notes(this).get<FoldEvent[]>("events");
+  const [event] = scenarioState(this).get<FoldEvent[]>("events");
   assert.ok(event.type === "intent_recorded" && !event.accepted);
   assert.equal(logOf(this).state.intents.size, 0);
 });
--- a/packages/target-choice/src/target-choice.steps.ts
+++ b/packages/target-choice/src/target-choice.steps.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
 import { seededRandom } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
-import { type Candidate, chooseTarget, expectedMs } from "./index.js";
+import { scenarioState } from "@linkfall/test-support";
+import { type Candidate, chooseTarget, estimateStartMs } from "./index.js";
 
 const costs = { perTokenMs: 0.026, perRequestMs: 30, perAnswerMs: 1_000, crossDomainMs: 2 };
 const known = new WeakMap<object, Candidate[]>();
@@ -20,9 +20,9 @@
       id,
       slots: 64,
       inFlight,
-      queuedTokens: queued,
-      unreadTokens: unread,
-      pauseMs: 0,
+      queuedPromptTokens: queued,
+      uncachedTokens: unread,
+      streamGapMs: 0,
       sameDomain: true,
       costs,
     });
@@ -34,7 +34,7 @@
   function (this: object, id: string, pauseMs: number) {
     const list = candidates(this);
     const index = list.findIndex((candidate) => candidate.id === id);
-    list[index] = { ...list[index], pauseMs };
+    list[index] = { ...list[index], streamGapMs: pauseMs };
   },
 );
 
@@ -48,9 +48,9 @@
   "{string} is expected after more than {int} ms beyond {string}",
   function (this: object, later: string, ms: number, sooner: string) {
     const of = (id: string) =>
-      expectedMs(candidates(this).find((candidate) => candidate.id === id) as Candidate);
+      estimateStartMs(candidates(this).find((candidate) => candidate.id === id) as Candidate);
     assert.ok(of(later) > of(sooner) + ms);
-    notes(this).set("compared", true);
+    scenarioState(this).set("compared", true);
   },
 );
 
--- a/packages/target-limits/src/limit-book.steps.ts
+++ b/packages/target-limits/src/limit-book.steps.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
-import type { LimitNotice } from "@linkfall/types";
+import { scenarioState } from "@linkfall/test-support";
+import type { AdvertisedLimit } from "@linkfall/types";
 import { createLimitRegistry, type LimitRegistry } from "./index.js";
 
 interface RegistryContext {
@@ -12,13 +12,13 @@
 }
 
 const target = "t1";
-const contextOf = (world: object) => notes(world).get<RegistryContext>("limit registry");
+const contextOf = (world: object) => scenarioState(world).get<RegistryContext>("limit registry");
 
 async function recordAnswer(
   world: object,
   sentAt: number,
   receivedAt: number,
-  notice: LimitNotice,
+  notice: AdvertisedLimit,
   served = true,
 ): Promise<void> {
   const { clock, registry } = contextOf(world);
@@ -26,7 +26,7 @@
   registry.recordAnswer({ target, notice, sentMsAgo: receivedAt - sentAt, served });
 }
 
-const limited = (perSecond: number): LimitNotice => ({ kind: "limited", perSecond });
+const limited = (perSecond: number): AdvertisedLimit => ({ kind: "limited", perSecond });
 
 Given(
   "a target that announced a limit of {float} requests per second at {int} ms",
@@ -35,7 +35,11 @@
     const registry = createLimitRegistry(clock, () => undefined);
     const changes: string[] = [];
     registry.onChange((change) => changes.push(String(change.perSecond ?? "none")));
-    notes(this).set("limit registry", { clock, registry, changes } satisfies RegistryContext);
+    scenarioState(this).set("limit registry", {
+      clock,
+      registry,
+      changes,
+    } satisfies RegistryContext);
     await recordAnswer(this, at, at, limited(perSecond));
   },
 );
--- a/packages/target-limits/src/limit-book.ts
+++ b/packages/target-limits/src/limit-book.ts
@@ -4,10 +4,10 @@
 import type {
   Incarnation,
   LimitedTarget,
-  LimitNotice,
+  AdvertisedLimit,
   Milliseconds,
   TargetLimitRecord,
-  TargetLimitWord,
+  TargetLimitMessage,
 } from "@linkfall/types";
 
 /** The limit of one target. */
@@ -25,7 +25,7 @@
 /** The limit notice of one response from a target. */
 export interface ObservedAnswer {
   readonly target: string;
-  readonly notice: LimitNotice;
+  readonly notice: AdvertisedLimit;
   /** Time since the request was sent. */
   readonly sentMsAgo: Milliseconds;
   /** Whether the target served the request; error responses may lack the limit notice. */
@@ -52,9 +52,9 @@
   /** Removes a target whose incarnation has ended. */
   forget(target: string): void;
   /** Returns the changes after a sequence number of this box, for another box to apply. */
-  changesSince(sequence: number): TargetLimitWord;
+  changesSince(sequence: number): TargetLimitMessage;
   /** Applies changes from another box. */
-  applyChanges(from: Incarnation, changes: TargetLimitWord): void;
+  applyChanges(from: Incarnation, changes: TargetLimitMessage): void;
   /** Sequence number up to which the changes of another box have been applied. */
   appliedSequence(other: Incarnation): number;
   onChange(listener: (change: LimitChange) => void): void;
--- a/packages/target-limits/src/permits.steps.ts
+++ b/packages/target-limits/src/permits.steps.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { createVirtualClock, type VirtualClock } from "@linkfall/kernel";
-import { notes } from "@linkfall/test-support";
+import { scenarioState } from "@linkfall/test-support";
 import { Left } from "purify-ts";
 import {
   createTargetLimits,
@@ -28,8 +28,9 @@
 const target = "t1";
 const millisecondsPerSecond = 1000;
 const allocatorContextOf = (world: object) =>
-  notes(world).get<AllocatorContext>("permits at a target");
-const boxesContextOf = (world: object) => notes(world).get<BoxesContext>("boxes with limits");
+  scenarioState(world).get<AllocatorContext>("permits at a target");
+const boxesContextOf = (world: object) =>
+  scenarioState(world).get<BoxesContext>("boxes with limits");
 
 const noPeers: PermitPeers = {
   self: "b1",
@@ -46,7 +47,7 @@
   const clock = createVirtualClock();
   const limits = startTimes.map((startedAt) => createTargetLimits(clock, noPeers, () => startedAt));
   const boxes: BoxesContext = { clock, limits };
-  notes(world).set("boxes with limits", boxes);
+  scenarioState(world).set("boxes with limits", boxes);
   return boxes;
 }
 
@@ -66,7 +67,7 @@
   function (this: object, perSecond: number) {
     const clock = createVirtualClock();
     const allocator = createPermitAllocator(clock);
-    notes(this).set("permits at a target", {
+    scenarioState(this).set("permits at a target", {
       clock,
       allocator,
       perSecond,
--- a/packages/target-watch/src/index.ts
+++ b/packages/target-watch/src/index.ts
@@ -21,44 +21,44 @@
 import type { Engine, EngineReport, Milliseconds } from "@linkfall/types";
 
 /** Share of the time for which a report may be used, after which a box looks for itself. */
-const ownReadShare = 0.5;
+const maxRelayedAgeShare = 0.5;
 
 /** The newest report of an engine. */
-export interface WatchedReport {
+export interface EngineReportRecord {
   readonly report: EngineReport;
   /** When it was asked for, by this box's clock. */
   readonly requestedAt: Milliseconds;
   readonly receivedAt: Milliseconds;
-  readonly way: ReportWay;
+  readonly source: ReportSource;
 }
 
 /** How a report came: read from the engine by this box, or passed on by the box that read it. */
-export type ReportWay = "read" | "relayed";
+export type ReportSource = "read" | "relayed";
 
 /** A report that this box has read itself. */
-export interface OwnReport {
+export interface PolledReport {
   readonly pool: string;
-  readonly watched: WatchedReport;
+  readonly record: EngineReportRecord;
 }
 
 export interface TargetWatch {
-  reportOf(engine: string): WatchedReport | undefined;
+  reportOf(engine: string): EngineReportRecord | undefined;
   /**
    * Takes a report that came by another way, such as the answer to a raised fence.
    *
    * @param requestedAt a time by this box's clock before which it was not asked for
    */
-  ingest(report: EngineReport, requestedAt: Milliseconds, way: ReportWay): void;
+  ingest(report: EngineReport, requestedAt: Milliseconds, way: ReportSource): void;
   /** Names of the boxes that read an engine for its pool; none where every box reads every engine. */
   readersOf(engine: Engine): readonly string[];
   /** What this box may pass on: fresh reports that it has read itself. */
-  ownReports(): readonly OwnReport[];
+  polledReports(): readonly PolledReport[];
   /** Whether a target is leaving, whatever the way it was learnt by. */
   isLeaving(target: { readonly name?: string; readonly address: string }): boolean;
   /** Engines that this box watches. */
-  watched(): readonly Engine[];
+  watchedEngines(): readonly Engine[];
   /** Called for each report that was taken. */
-  onReport(listener: (report: WatchedReport) => void): void;
+  onReport(listener: (report: EngineReportRecord) => void): void;
 }
 
 export const targetWatchName = serviceName<TargetWatch>("target-watch");
@@ -73,12 +73,12 @@
   const port = kernel.find(enginePortName);
   const settings = kernel.find(settingsName).targets;
   const self = kernel.find(settingsName).box.name;
-  const reports = new Map<string, WatchedReport>();
+  const reports = new Map<string, EngineReportRecord>();
   const polling = new Set<string>();
-  const listeners: ((report: WatchedReport) => void)[] = [];
+  const listeners: ((report: EngineReportRecord) => void)[] = [];
 
   /** Whether the log says that a later report of the same start has been acted upon. */
-  const isSettledOver = (report: EngineReport) => {
+  const isSuperseded = (report: EngineReport) => {
     const settled = store.state().settledThrough.get(report.engine);
     return (
       settled?.engineIncarnation === report.engineIncarnation && settled.sequence > report.sequence
@@ -86,7 +86,7 @@
   };
 
   /** Reports come by several ways and may overtake each other; only a later one takes the place. */
-  const isLater = (report: EngineReport, requestedAt: Milliseconds) => {
+  const isNewer = (report: EngineReport, requestedAt: Milliseconds) => {
     const held = reports.get(report.engine);
     if (!held) return true;
     // Of another start of the engine: later for certain only when it was asked for after this one came.
@@ -96,7 +96,7 @@
     return requestedAt >= held.requestedAt;
   };
 
-  const noteChanges = (before: EngineReport | undefined, report: EngineReport) => {
+  const logChanges = (before: EngineReport | undefined, report: EngineReport) => {
     if (before && before.engineIncarnation !== report.engineIncarnation) {
       logger.event("engineRestarted", { engine: report.engine });
     }
@@ -104,9 +104,9 @@
       logger.event("targetLeaving", { target: report.engine });
   };
 
-  const ingest = (report: EngineReport, requestedAt: Milliseconds, way: ReportWay) => {
-    if (isSettledOver(report) || !isLater(report, requestedAt)) return;
-    noteChanges(reports.get(report.engine)?.report, report);
+  const ingest = (report: EngineReport, requestedAt: Milliseconds, way: ReportSource) => {
+    if (isSuperseded(report) || !isNewer(report, requestedAt)) return;
+    logChanges(reports.get(report.engine)?.report, report);
     const taken = { report, requestedAt, receivedAt: clock.now(), way };
     reports.set(report.engine, taken);
     for (const listener of listeners) listener(taken);
@@ -135,25 +135,25 @@
     return topNodes(name, leases.boxesServing(pool), settings.report_readers);
   };
 
-  const isFresh = (watched: WatchedReport | undefined, limit: Milliseconds) =>
+  const isFresh = (watched: EngineReportRecord | undefined, limit: Milliseconds) =>
     watched !== undefined && clock.now() - watched.requestedAt <= limit;
 
   /** Whether this box must read the engine: as one of its readers, or because no word of it comes. */
-  const mustRead = (engine: Engine) => {
+  const mustPoll = (engine: Engine) => {
     const readers = readersOf(engine);
     if (readers.length === 0 || readers.includes(self)) return true;
-    return !isFresh(reports.get(engine.name), settings.report_stale_ms * ownReadShare);
+    return !isFresh(reports.get(engine.name), settings.report_stale_ms * maxRelayedAgeShare);
   };
 
-  const forgetUndeclared = () => {
+  const dropUndeclared = () => {
     for (const name of reports.keys()) {
       if (!store.desired().engines.has(name)) reports.delete(name);
     }
   };
 
   const loop = repeatEvery(clock, kernel.find(randomName), settings.report_poll_ms, () => {
-    forgetUndeclared();
-    for (const engine of watched()) if (mustRead(engine)) void poll(engine);
+    dropUndeclared();
+    for (const engine of watched()) if (mustPoll(engine)) void poll(engine);
   });
   return {
     reportOf: (engine) => reports.get(engine),
@@ -166,12 +166,12 @@
       const reported = reports.get(target.name)?.report.leaving ?? false;
       return declared || reported || shown.has(target.name);
     },
-    watched,
+    watchedEngines: watched,
     readersOf,
-    ownReports: () =>
+    polledReports: () =>
       watched().flatMap(({ name, pool }) => {
         const known = reports.get(name);
-        const usable = known?.way === "read" && isFresh(known, settings.report_stale_ms);
+        const usable = known?.source === "read" && isFresh(known, settings.report_stale_ms);
         return usable ? [{ pool, watched: known }] : [];
       }),
     onReport: (listener) => void listeners.push(listener),
--- a/packages/test-support/src/index.ts
+++ b/packages/test-support/src/index.ts
@@ -1,3 +1,3 @@
 export * from "./tests/resources.js";
-export * from "./tests/notes.js";
+export * from "./tests/scenario-state.js";
 export * from "./tests/keyed-store.js";
--- a/packages/test-support/src/tests/keyed-store.ts
+++ b/packages/test-support/src/tests/keyed-store.ts
@@ -20,52 +20,52 @@
 }
 
 /** How often a read that waits looks again. */
-const lookMs = 20;
+const pollIntervalMs = 20;
 
 export function createKeyedStore(clock: Clock): KeyedStore {
   const records: KeyedRecord[] = [];
   const access = new Map<string, StoreAccess>();
-  let first = 0;
+  let firstOffset = 0;
   let reads = 0;
   const accessOf = (box: string) => access.get(box) ?? "serves";
-  const refused = () => Left({ kind: "log_unavailable", reason: "cut off" } as const);
+  const unavailable = () => Left({ kind: "log_unavailable", reason: "cut off" } as const);
   const append = (key: string, value: string | undefined) => {
     records.push({ key, value, offset: records.length });
     return records.length - 1;
   };
-  const after = (delay: number) =>
+  const wait = (delay: number) =>
     new Promise<void>((resolve) => {
       clock.after(delay, resolve);
     });
-  const newestOfKeys = (): KeyedBatch => {
+  const readNewest = (): KeyedBatch => {
     const newest = new Map(records.map((record) => [record.key, record]));
     const kept = [...newest.values()].filter((record) => record.value !== undefined);
     return { records: kept, end: records.length };
   };
 
   const portFor = (box: string): KeyedStreamPort => ({
-    async newest() {
+    async readNewest() {
       reads += 1;
-      await after(1);
-      return accessOf(box) === "serves" ? Right(newestOfKeys()) : refused();
+      await wait(1);
+      return accessOf(box) === "serves" ? Right(readNewest()) : unavailable();
     },
-    async changes(from, waitMs) {
+    async readChanges(from, waitMs) {
       reads += 1;
       const until = clock.now() + waitMs;
-      await after(1);
-      while (records.length <= from && clock.now() < until) await after(lookMs);
-      if (accessOf(box) !== "serves") return refused();
-      if (from < first) return Left({ kind: "log_truncated", first });
+      await wait(1);
+      while (records.length <= from && clock.now() < until) await wait(pollIntervalMs);
+      if (accessOf(box) !== "serves") return unavailable();
+      if (from < firstOffset) return Left({ kind: "log_truncated", first: firstOffset });
       return Right({ records: records.slice(from), end: Math.max(from, records.length) });
     },
     async put(key, value, at) {
-      await after(1);
-      if (accessOf(box) === "refuses") return refused();
+      await wait(1);
+      if (accessOf(box) === "refuses") return unavailable();
       if (at !== undefined && at !== records.length) {
         return Left({ kind: "end_moved", end: records.length });
       }
       const offset = append(key, value);
-      return accessOf(box) === "serves" ? Right(offset) : refused();
+      return accessOf(box) === "serves" ? Right(offset) : unavailable();
     },
   });
 
@@ -74,7 +74,7 @@
     setAccess: (box, treated) => void access.set(box, treated),
     write: (key, value) => void append(key, value),
     compact: () => {
-      first = records.length;
+      firstOffset = records.length;
     },
     reads: () => reads,
     records: () => records,
--- a/packages/test-support/src/tests/notes.ts
+++ b/packages/test-support/src/tests/scenario-state.ts
@@ -1,17 +1,17 @@
 /** Values that the steps of one scenario hand to each other, by name. */
 
-export interface Notes {
+export interface ScenarioState {
   set(name: string, value: unknown): void;
   /** @throws when nothing was noted under the name, which is a mistake in the scenario. */
   get<T>(name: string): T;
 }
 
-const notesOfWorld = new WeakMap<object, Map<string, unknown>>();
+const valuesByWorld = new WeakMap<object, Map<string, unknown>>();
 
 /** The notes of the running scenario; `world` is Cucumber's `this`. */
-export function notes(world: object): Notes {
-  const values = notesOfWorld.get(world) ?? new Map<string, unknown>();
-  notesOfWorld.set(world, values);
+export function scenarioState(world: object): ScenarioState {
+  const values = valuesByWorld.get(world) ?? new Map<string, unknown>();
+  valuesByWorld.set(world, values);
   return {
     set: (name, value) => void values.set(name, value),
     get<T>(name: string) {
--- a/packages/types/src/crash-words.ts
+++ b/packages/types/src/crash-blame.ts
@@ -35,7 +35,7 @@
   | { readonly kind: "held"; readonly word: HeldRequest };
 
 /** What one box tells another: what it has learnt since the other's last word. */
-export interface BlameWord {
+export interface BlameMessage {
   /** How far the reader has followed the sender once it has taken this. */
   readonly number: number;
   readonly records: readonly BlameRecord[];
--- a/packages/types/src/index.ts
+++ b/packages/types/src/index.ts
@@ -8,6 +8,6 @@
 export * from "./records.js";
 export * from "./routes.js";
 export * from "./routed-targets.js";
-export * from "./crash-words.js";
+export * from "./crash-blame.js";
 export * from "./target-limits.js";
 export * from "./retry-after.js";
--- a/packages/types/src/orders.ts
+++ b/packages/types/src/orders.ts
@@ -2,7 +2,7 @@
 import type { Epoch, Mebibytes } from "./identifiers.js";
 import type { EngineRole, ResourceName } from "./resources.js";
 
-interface OrderHead {
+interface OrderBase {
   /** Unique; a repeat under the same identifier has no further effect. */
   readonly id: string;
   readonly engine: string;
@@ -17,7 +17,7 @@
 }
 
 /** Load an artifact into the memory of one accelerator. */
-export interface LoadOrder extends OrderHead {
+export interface LoadOrder extends OrderBase {
   readonly kind: "load";
   readonly artifact: string;
   readonly accelerator: number;
@@ -25,7 +25,7 @@
 }
 
 /** Free an artifact's memory, after the requests that run on it. */
-export interface UnloadOrder extends OrderHead {
+export interface UnloadOrder extends OrderBase {
   readonly kind: "unload";
   readonly artifact: string;
   readonly accelerator: number;
@@ -33,7 +33,7 @@
 }
 
 /** Change the role of the engine. */
-export interface RoleOrder extends OrderHead {
+export interface RoleOrder extends OrderBase {
   readonly kind: "role";
   readonly role: EngineRole;
 }
--- a/packages/types/src/records.ts
+++ b/packages/types/src/records.ts
@@ -1,5 +1,5 @@
 /** Records of the state stream of the platform's log. Every box folds them in the order of offset. */
-import type { HeldRequest } from "./crash-words.js";
+import type { HeldRequest } from "./crash-blame.js";
 import type { Epoch, Incarnation, Milliseconds, Offset, Revision } from "./identifiers.js";
 import type { Order } from "./orders.js";
 import type { Resource, ResourceName } from "./resources.js";
@@ -9,13 +9,13 @@
   | { readonly action: "put"; readonly resource: Resource; readonly base: Revision }
   | { readonly action: "delete"; readonly name: ResourceName; readonly base: Revision };
 
-interface RecordHead {
+interface RecordBase {
   /** `<incarnation>#<sequence>`; a second record with the same id is dropped by the fold. */
   readonly id: string;
 }
 
 /** A write of desired state: all of its changes take effect, or none. */
-export interface WriteRecord extends RecordHead {
+export interface WriteRecord extends RecordBase {
   readonly type: "write";
   readonly who: string;
   /** Wall-clock time of the box that took the write, ISO 8601; for people only. */
@@ -24,7 +24,7 @@
 }
 
 /** Claims the lease of a pool; accepted when it names the newest claim or renewal. */
-export interface ClaimRecord extends RecordHead {
+export interface ClaimRecord extends RecordBase {
   readonly type: "claim";
   readonly pool: string;
   readonly holder: Incarnation;
@@ -36,21 +36,21 @@
 }
 
 /** Renews every lease that the holder names, by epoch. */
-export interface RenewRecord extends RecordHead {
+export interface RenewRecord extends RecordBase {
   readonly type: "renew";
   readonly holder: Incarnation;
   readonly epochs: readonly Epoch[];
 }
 
 /** Gives leases up at once. */
-export interface ReleaseRecord extends RecordHead {
+export interface ReleaseRecord extends RecordBase {
   readonly type: "release";
   readonly holder: Incarnation;
   readonly epochs: readonly Epoch[];
 }
 
 /** Orders to unfenced engines that may be sent once this record has been read back. */
-export interface IntentRecord extends RecordHead {
+export interface IntentRecord extends RecordBase {
   readonly type: "intent";
   readonly pool: string;
   readonly epoch: Epoch;
@@ -66,20 +66,20 @@
 }
 
 /** Orders that can no longer take effect, or whose effect is in the engine's reports. */
-export interface SettledRecord extends RecordHead {
+export interface SettledRecord extends RecordBase {
   readonly type: "settled";
   readonly pool: string;
   readonly settlements: readonly Settlement[];
 }
 
 /** A request is held back, or released: the word with the higher revision stands. */
-export interface HeldRecord extends RecordHead {
+export interface HeldRecord extends RecordBase {
   readonly type: "held";
   readonly word: HeldRequest;
 }
 
 /** A part of a snapshot of the folded state as of `asOf`. */
-export interface SnapshotPartRecord extends RecordHead {
+export interface SnapshotPartRecord extends RecordBase {
   readonly type: "snapshot";
   readonly snapshot: string;
   readonly asOf: Offset;
--- a/packages/types/src/routed-targets.ts
+++ b/packages/types/src/routed-targets.ts
@@ -1,21 +1,21 @@
 /** Targets as the platform lists them and as they report of themselves. */
 import type { Milliseconds } from "./identifiers.js";
-import type { LimitNotice } from "./target-limits.js";
+import type { AdvertisedLimit } from "./target-limits.js";
 
 /** A model that an engine holds. */
-export interface ResidentModel {
+export interface LoadedModel {
   readonly name: string;
   readonly version: number;
   readonly adapters: readonly string[];
 }
 
 /** What an engine says that it holds. */
-export interface Holdings {
+export interface EngineInventory {
   /** Start of the life that says so, in Unix milliseconds by the target's clock; absent where the platform does not tell. */
   readonly born?: Milliseconds;
   /** Orders that the engine has taken since its start. */
   readonly sequence: number;
-  readonly models: readonly ResidentModel[];
+  readonly models: readonly LoadedModel[];
 }
 
 /** A target, as the platform lists it. */
@@ -30,11 +30,11 @@
   readonly slots: number;
   readonly leaving: boolean;
   /** Models that it holds, as old as the list; absent for a target of a plain service. */
-  readonly models?: readonly ResidentModel[];
+  readonly models?: readonly LoadedModel[];
 }
 
 /** What an engine answers when it is asked for its state. */
-export interface EngineState extends Holdings {
+export interface EngineState extends EngineInventory {
   /** An order is being carried out. */
   readonly busy: boolean;
   readonly waiting: number;
@@ -47,7 +47,7 @@
   /** Adapters on their way, as `model/adapter`. */
   readonly adaptersComing: readonly string[];
   /** What the answer says of the requests that the engine takes; one without a limit may be silent of it. */
-  readonly limit: LimitNotice;
+  readonly limit: AdvertisedLimit;
 }
 
 /** Brings weights into an engine, or drops them. */
@@ -70,7 +70,7 @@
  * What an engine says to an order. `unanswered`: it may still be carried out; `gone`: another start
  * has the address.
  */
-export type OrderAnswer =
+export type OrderResult =
   "under_way" | "in_force" | "conflict" | "fenced" | "refused" | "gone" | "unanswered";
 
 /** A part of a prompt that requests may share. */
@@ -80,14 +80,14 @@
 }
 
 /** What a request says of itself beside its method, path and body. */
-export interface RequestTerms {
+export interface RequestMetadata {
   readonly id: string;
   /** Time that the caller will wait, from its sending. */
   readonly deadlineMs?: Milliseconds;
   readonly model?: string;
   readonly adapter?: string;
   /** Whether the caller told its tokens; where not, both counts are 0. */
-  readonly tokensTold: boolean;
+  readonly tokensDeclared: boolean;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
   readonly parts: readonly PromptPart[];
--- a/packages/types/src/routes.ts
+++ b/packages/types/src/routes.ts
@@ -5,7 +5,7 @@
 export type Repeatability = "repeatable" | "not_repeatable";
 
 /** A service with its share of a route's requests. */
-export interface RouteShare {
+export interface WeightedService {
   readonly service: string;
   /** Relative to the other shares of the route. */
   readonly weight: number;
@@ -17,7 +17,7 @@
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
-  readonly shares: readonly RouteShare[];
+  readonly weightedServices: readonly WeightedService[];
   readonly repeatability: Repeatability;
   /** Answers are event streams. */
   readonly streaming: boolean;
@@ -29,7 +29,7 @@
   readonly objectiveMs: Milliseconds;
   /** Longest time that callers wait for the next event of a stream, the first one included; absent
    * where they wait until their deadline. */
-  readonly patienceMs?: Milliseconds;
+  readonly eventTimeoutMs?: Milliseconds;
   /** 0 is the most urgent. */
   readonly priority: number;
   /** Most targets that one request may be sent to. */
@@ -49,7 +49,7 @@
   /** Units beside the steady rate that may come at once. */
   readonly burst: number;
   /** What a request counts that says nothing of its tokens. */
-  readonly plainTokens: number;
+  readonly defaultTokens: number;
 }
 
 /** A client account as operators declare it. */
@@ -67,16 +67,16 @@
   readonly name: string;
   readonly memoryMb: number;
   /** Time of a load from host memory. */
-  readonly fromMemoryMs: Milliseconds;
+  readonly loadFromMemoryMs: Milliseconds;
   /** Time of a load from the target's disk. */
-  readonly fromDiskMs: Milliseconds;
+  readonly loadFromDiskMs: Milliseconds;
   /** Time of a load from the weight store. */
-  readonly fromStoreMs: Milliseconds;
+  readonly loadFromStoreMs: Milliseconds;
   readonly adapterMb: number;
 }
 
 /** What the engines of a service are like. */
-export interface EngineShape {
+export interface EngineSpec {
   /** Requests that an engine runs at once. */
   readonly slots: number;
   /** Tokens of running requests and cached prefixes together. */
@@ -96,7 +96,7 @@
   /** Connections that a target takes from all callers together. */
   readonly maxConnections: number;
   /** Absent for a plain service. */
-  readonly engine?: EngineShape;
+  readonly engine?: EngineSpec;
 }
 
 /** What a caller may send. */
--- a/packages/types/src/target-limits.ts
+++ b/packages/types/src/target-limits.ts
@@ -2,7 +2,7 @@
 import type { Milliseconds } from "./identifiers.js";
 
 /** What one answer says of its target's limit. */
-export type LimitNotice =
+export type AdvertisedLimit =
   | { readonly kind: "none" }
   /** Requests a second that the target takes from all boxes together. */
   | { readonly kind: "limited"; readonly perSecond: number }
@@ -29,7 +29,7 @@
 }
 
 /** What one box tells another: limits that have changed since the other's last word. */
-export interface TargetLimitWord {
+export interface TargetLimitMessage {
   /** How far the reader has followed the sender once it has taken this. */
   readonly number: number;
   readonly records: readonly TargetLimitRecord[];
--- a/packages/usage-report/src/index.ts
+++ b/packages/usage-report/src/index.ts
@@ -50,7 +50,9 @@
 }
 
 function toRates(meter: DemandMeter): readonly AccountRate[] {
-  return meter.own().map(({ model, requestsPerSecond }) => ({ account: model, requestsPerSecond }));
+  return meter
+    .localDemand()
+    .map(({ model, requestsPerSecond }) => ({ account: model, requestsPerSecond }));
 }
 
 /** Creates the usage reports of one box, which are sent from `start` to `stop`. */
@@ -103,7 +105,8 @@
       byBox.set(box, report);
       return report;
     };
-    for (const sample of models.own()) reportTo(holderOf(sample.model) ?? self).demand.push(sample);
+    for (const sample of models.localDemand())
+      reportTo(holderOf(sample.model) ?? self).demand.push(sample);
     for (const rate of toRates(accounts)) reportTo(aggregatorOf(rate.account)).accounts.push(rate);
     return new Map([...byBox].map(([box, report]) => [box, { from: self, ...report }]));
   };
@@ -143,15 +146,15 @@
   const loop = repeatEvery(clock, kernel.find(randomName), intervalMs, sendReports);
   return {
     recordRequest(account, model, tokens = 0) {
-      accounts.note(account, 0);
-      if (model !== undefined) models.note(model, tokens);
+      accounts.recordRequest(account, 0);
+      if (model !== undefined) models.recordRequest(model, tokens);
     },
     ownRate: (account) =>
       toRates(accounts).find((entry) => entry.account === account)?.requestsPerSecond ?? 0,
     totalRate: (account) => totals.get(account)?.value,
     demand() {
       const others = [...reports].filter(([box]) => box !== self);
-      return [models.own(), ...others.map(([, report]) => report.value.demand)];
+      return [models.localDemand(), ...others.map(([, report]) => report.value.demand)];
     },
     receive,
     start: loop.start,
--- a/packages/weight-orders/src/dispatcher-context.ts
+++ b/packages/weight-orders/src/dispatcher-context.ts
@@ -7,10 +7,10 @@
 import type { OrderLease } from "@linkfall/order-lease";
 import type { RoutedEnginePort } from "@linkfall/ports";
 import type {
-  EngineShape,
+  EngineSpec,
   EngineState,
   Epoch,
-  LimitNotice,
+  AdvertisedLimit,
   Milliseconds,
   RoutedConfiguration,
 } from "@linkfall/types";
@@ -43,7 +43,7 @@
   /** Returns the rate limit of a target in requests per second; undefined if unlimited. */
   maxRequestsPerSecond(target: string): number | undefined;
   /** Called when an engine reports a limit. */
-  onLimitReported(target: string, limit: LimitNotice): void;
+  onLimitReported(target: string, limit: AdvertisedLimit): void;
   /** Called when other boxes should be notified of a change immediately. */
   notifyPeers(): void;
 }
@@ -114,7 +114,7 @@
 export function engineShapeOf(
   context: DispatcherContext,
   target: TargetView,
-): EngineShape | undefined {
+): EngineSpec | undefined {
   return context.configuration()?.services.get(target.listed.service)?.engine;
 }
 
--- a/packages/weight-orders/src/plan-service.ts
+++ b/packages/weight-orders/src/plan-service.ts
@@ -1,7 +1,7 @@
 /** Plans the moves of one service from the current state and demand, and starts them. */
 import { isEjected, type TargetView } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
-import type { EngineShape, Epoch, Milliseconds } from "@linkfall/types";
+import type { EngineSpec, Epoch, Milliseconds } from "@linkfall/types";
 import {
   type AdapterDemand,
   type EngineView,
@@ -22,7 +22,7 @@
 function createEngineView(
   context: DispatcherContext,
   target: TargetView,
-  engineShape: EngineShape,
+  engineShape: EngineSpec,
 ): EngineView | undefined {
   const activeMove = context.state.activeMoves.get(target.listed.id);
   const view = toEngineView(
@@ -42,7 +42,7 @@
 function engineViewsOf(
   context: DispatcherContext,
   service: string,
-  engineShape: EngineShape,
+  engineShape: EngineSpec,
 ): readonly EngineView[] {
   const now = context.clock.now();
   return orderableEngines(context)
@@ -55,10 +55,7 @@
  * Returns the store loads that may start, less those reserved by moves that have not ordered their
  * load yet.
  */
-function remainingStoreLoads(
-  { state, clock }: DispatcherContext,
-  engineShape: EngineShape,
-): number {
+function remainingStoreLoads({ state, clock }: DispatcherContext, engineShape: EngineSpec): number {
   const unorderedLoads = [...state.activeMoves.values()].filter(
     ({ move, lastOrder }) => move.source === "store" && lastOrder?.order.action !== "load",
   );
@@ -92,7 +89,7 @@
   context: DispatcherContext,
   views: readonly EngineView[],
   adapterDemand: readonly AdapterDemand[],
-  engineShape: EngineShape,
+  engineShape: EngineSpec,
   epoch: Epoch,
 ): void {
   const { state, fleet } = context;
@@ -122,7 +119,7 @@
 export function planService(
   context: DispatcherContext,
   service: string,
-  engineShape: EngineShape,
+  engineShape: EngineSpec,
   epoch: Epoch,
 ): void {
   const { state, clock, rules } = context;
--- a/packages/weight-orders/src/planner-views.ts
+++ b/packages/weight-orders/src/planner-views.ts
@@ -1,7 +1,7 @@
 /** Converts target states and demand into the planner's input. */
 import type { TargetView } from "@linkfall/fleet";
 import type { ModelDemand } from "@linkfall/model-demand";
-import type { EngineShape, EngineState, Milliseconds } from "@linkfall/types";
+import type { EngineSpec, EngineState, Milliseconds } from "@linkfall/types";
 import type { DemandView, EngineView } from "@linkfall/weight-plan";
 import type { ActiveMove } from "./active-move.js";
 import type { LastRequest } from "./dispatcher-context.js";
@@ -13,7 +13,7 @@
 export function toEngineView(
   target: TargetView,
   state: EngineState | undefined,
-  engineShape: EngineShape,
+  engineShape: EngineSpec,
   activeMove: ActiveMove | undefined,
   remainingMs: Milliseconds,
   maxRequestsPerSecond: number | undefined,
@@ -60,7 +60,7 @@
 export function toDemandViews(
   demand: readonly ModelDemand[],
   service: string,
-  engineShape: EngineShape,
+  engineShape: EngineSpec,
   lastRequest: (model: string) => LastRequest | undefined,
   now: Milliseconds,
 ): ReadonlyMap<string, DemandView> {
--- a/packages/weight-orders/src/poll-engines.ts
+++ b/packages/weight-orders/src/poll-engines.ts
@@ -16,7 +16,7 @@
   state.pendingPolls.add(id);
   const sentAt = clock.now();
   state.lastPolledAt.set(id, sentAt);
-  const result = await context.engines.state(target.listed);
+  const result = await context.engines.readState(target.listed);
   state.pendingPolls.delete(id);
   // Ignores the response of an earlier incarnation of the target.
   if (fleet.find(id) !== target) return;
--- a/packages/weight-orders/src/remaining-move-time.ts
+++ b/packages/weight-orders/src/remaining-move-time.ts
@@ -24,7 +24,11 @@
   const target = context.fleet.find(move.engine);
   const model = target && engineShapeOf(context, target)?.models.get(move.model);
   if (!model) return context.rules.moveTimeoutMs;
-  const { fromMemoryMs, fromDiskMs, fromStoreMs } = model;
+  const {
+    loadFromMemoryMs: fromMemoryMs,
+    loadFromDiskMs: fromDiskMs,
+    loadFromStoreMs: fromStoreMs,
+  } = model;
   const loadMs = { memory: fromMemoryMs, disk: fromDiskMs, store: fromStoreMs }[move.source];
   if (lastOrder?.order.action !== "load") return loadMs + unloadEstimateMs;
   const remainingMs = lastOrder.sentAt + loadMs * loadTimeFactor - context.clock.now();
--- a/packages/weight-orders/src/send-order.ts
+++ b/packages/weight-orders/src/send-order.ts
@@ -2,12 +2,12 @@
 import { invariant } from "@linkfall/errors";
 import type { TargetView } from "@linkfall/fleet";
 import type {
-  EngineShape,
+  EngineSpec,
   Epoch,
   FencedOrder,
   Milliseconds,
-  OrderAnswer,
-  ResidentModel,
+  OrderResult,
+  LoadedModel,
   WeightOrder,
 } from "@linkfall/types";
 import { usedAdapterSlots, usedMb } from "@linkfall/weight-plan";
@@ -31,7 +31,7 @@
 export interface PlannedOrder {
   readonly order: WeightOrder;
   readonly expectedSequence: number;
-  readonly residents: readonly ResidentModel[];
+  readonly residents: readonly LoadedModel[];
 }
 
 /** Plans an order based on the reported engine state. */
@@ -53,7 +53,7 @@
 /** Returns whether the engine has enough memory and adapter slots for the order. */
 export function fits(
   target: TargetView,
-  engineShape: EngineShape,
+  engineShape: EngineSpec,
   { order: weightOrder, residents }: PlannedOrder,
 ): boolean {
   if (weightOrder.action !== "load") return true;
@@ -113,7 +113,7 @@
   context: DispatcherContext,
   id: string,
   order: FencedOrder,
-  answer: OrderAnswer,
+  answer: OrderResult,
 ) {
   const { fleet, state } = context;
   if (answer === "gone")
@@ -165,9 +165,9 @@
 
 /** Applies an adapter order to a resident model. */
 function applyAdapterOrder(
-  held: ResidentModel,
+  held: LoadedModel,
   { action, model, adapter }: FencedOrder,
-): ResidentModel {
+): LoadedModel {
   if (held.name !== model || adapter === undefined) return held;
   const others = held.adapters.filter((name) => name !== adapter);
   return { ...held, adapters: action === "load" ? [...others, adapter] : others };
--- a/packages/weight-orders/src/weight-orders.steps.ts
+++ b/packages/weight-orders/src/weight-orders.steps.ts
@@ -19,7 +19,7 @@
   DeclaredModel,
   FencedOrder,
   ListedTarget,
-  OrderAnswer,
+  OrderResult,
   RoutedConfiguration,
 } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
@@ -87,9 +87,9 @@
   return {
     name,
     memoryMb: modelMb,
-    fromMemoryMs: loadMs,
-    fromDiskMs: loadMs,
-    fromStoreMs: loadMs,
+    loadFromMemoryMs: loadMs,
+    loadFromDiskMs: loadMs,
+    loadFromStoreMs: loadMs,
     adapterMb: 1,
   };
 }
@@ -111,7 +111,7 @@
 }
 
 /** Executes an order, unless the engine refuses it. */
-function executeOrder(scene: Scene, engine: FakeEngine, order: FencedOrder): OrderAnswer {
+function executeOrder(scene: Scene, engine: FakeEngine, order: FencedOrder): OrderResult {
   const now = scene.clock.now();
   if (order.epoch < engine.lastSeenEpoch) return "fenced";
   engine.lastSeenEpoch = order.epoch;
@@ -149,7 +149,7 @@
     });
   const find = (id: string) => scene.engines.find((engine) => engine.id === id);
   return {
-    async state({ id }) {
+    async readState({ id }) {
       await after(scene.responseMs);
       const engine = find(id);
       if (!engine) {
@@ -483,9 +483,9 @@
 });
 
 function randomOutcome(random: Random): OrderOutcome {
-  const choice = random.below(5);
+  const choice = random.nextInt(5);
   if (choice === 0) return "lost";
-  if (choice === 1) return { lateMs: 200 + random.below(6_000) };
+  if (choice === 1) return { lateMs: 200 + random.nextInt(6_000) };
   return "accepted";
 }
 
@@ -504,10 +504,10 @@
         for (let index = 0; index < 4; index++) scene.outcomes.push(randomOutcome(random));
         addWaitingRequests(
           scene,
-          scene.modelNames[random.below(scene.modelNames.length)],
-          random.below(20),
+          scene.modelNames[random.nextInt(scene.modelNames.length)],
+          random.nextInt(20),
         );
-        await runFor(scene, 500 + random.below(2_000));
+        await runFor(scene, 500 + random.nextInt(2_000));
       }
       for (const engine of scene.engines)
         assert.ok(!engine.exceededMemory, `seed ${seed} ${engine.id}`);
--- a/packages/weight-plan/src/engine-view.ts
+++ b/packages/weight-plan/src/engine-view.ts
@@ -1,5 +1,5 @@
 /** The planner's view of engines and of the demand for each model. */
-import type { DeclaredModel, Mebibytes, Milliseconds, ResidentModel } from "@linkfall/types";
+import type { DeclaredModel, Mebibytes, Milliseconds, LoadedModel } from "@linkfall/types";
 
 /** State of one engine as used for planning. */
 export interface EngineView {
@@ -7,7 +7,7 @@
   readonly domain: string;
   readonly memoryMb: Mebibytes;
   readonly adapterSlots: number;
-  readonly residents: readonly ResidentModel[];
+  readonly residents: readonly LoadedModel[];
   /** Adapters being loaded, as `model/adapter`. */
   readonly loadingAdapters: readonly string[];
   readonly cachedInMemory: ReadonlySet<string>;
@@ -55,11 +55,11 @@
 export function loadTimeMs(source: LoadSource, model: DeclaredModel): Milliseconds {
   switch (source) {
     case "memory":
-      return model.fromMemoryMs;
+      return model.loadFromMemoryMs;
     case "disk":
-      return model.fromDiskMs;
+      return model.loadFromDiskMs;
     case "store":
-      return model.fromStoreMs;
+      return model.loadFromStoreMs;
   }
 }
 
--- a/packages/weight-plan/src/eviction-cost.ts
+++ b/packages/weight-plan/src/eviction-cost.ts
@@ -60,7 +60,7 @@
   if (input.demand.size === 0) return initialLastReplicaCostMs;
   const demand = input.demand.get(name);
   const idleMs = idleTimeMs(input, demand);
-  const { fromDiskMs } = model;
+  const { loadFromDiskMs: fromDiskMs } = model;
   return (fromDiskMs * delayedRequestShare(fromDiskMs, demand) * input.rules.horizonMs) / idleMs;
 }
 
@@ -91,6 +91,7 @@
   const model = input.models.get(name);
   const idleMs = idleTimeMs(input, demand);
   return (
-    inFlight * surplusRequestCostMs + ((model?.fromDiskMs ?? 0) * extraReplicaHorizonMs) / idleMs
+    inFlight * surplusRequestCostMs +
+    ((model?.loadFromDiskMs ?? 0) * extraReplicaHorizonMs) / idleMs
   );
 }
--- a/packages/weight-plan/src/load-candidates.ts
+++ b/packages/weight-plan/src/load-candidates.ts
@@ -115,7 +115,7 @@
   if (replicas === 0 && input.demand.size === 0 && reachable.has(model.name)) {
     return { model, reason: "standby", priority: standbyWeight, targetInFlight: 0 };
   }
-  if (replicas === 0 && demand && demand.objectiveMs < model.fromDiskMs) {
+  if (replicas === 0 && demand && demand.objectiveMs < model.loadFromDiskMs) {
     return { model, reason: "standby", priority: standbyWeight, targetInFlight: 0 };
   }
   if (replicas === 0 && !reachable.has(model.name)) {
--- a/packages/weight-plan/src/placements.ts
+++ b/packages/weight-plan/src/placements.ts
@@ -192,7 +192,7 @@
   if (reason === "unreachable") return true;
   const demand = demandByModel.get(model.name);
   if (!demand) return false;
-  return demand.objectiveMs > model.fromDiskMs && demand.objectiveMs < model.fromStoreMs;
+  return demand.objectiveMs > model.loadFromDiskMs && demand.objectiveMs < model.loadFromStoreMs;
 }
 
 /**
--- a/packages/weight-plan/src/weight-plan.steps.ts
+++ b/packages/weight-plan/src/weight-plan.steps.ts
@@ -24,9 +24,9 @@
   return {
     name,
     memoryMb: modelMb,
-    fromMemoryMs: 400,
-    fromDiskMs: 800,
-    fromStoreMs: 4_000,
+    loadFromMemoryMs: 400,
+    loadFromDiskMs: 800,
+    loadFromStoreMs: 4_000,
     adapterMb: 60,
   };
 }
