--- a/packages/bench/src/capacity-peers.ts
+++ b/packages/bench/src/capacity-peers.ts
@@ -1,25 +1,31 @@
-/** What messages between boxes cost: processor time of both sides, and bytes on the wire. */
+/** Measures messages between boxes: processor time of both sides and bytes on the wire. */
 import { systemClock } from "@linkfall/kernel";
 import { createMemberTable } from "@linkfall/membership";
 import { createPeerClient, createPeerServer, type PeerGrpcClient } from "@linkfall/peer-grpc";
 import type { PeerHandler, RelayedReport } from "@linkfall/ports";
 import { jsonResponse } from "@linkfall/refusals";
 import { type MemberEntry, modelArtifact } from "@linkfall/types";
-import { openCountingLink } from "./counting-link.js";
-import { heapUsed, kb, processorTime, row, us } from "./measure.js";
+import { openCountingProxy } from "./counting-proxy.js";
+import {
+  heapUsedBytes,
+  formatKilobytes,
+  cpuMicrosecondsPerCall,
+  printRow,
+  formatMicroseconds,
+} from "./measure.js";
 
-const messages = 3_000;
+const messageCount = 3_000;
 const suspectMs = 15_000;
 const forgetMs = 60_000;
 
-/** What one message to a box that answers by `handler` costs. */
+/** Measures one kind of message, sent by `send` and answered by `handler`. */
 async function measureMessage(
   what: string,
   size: string,
   handler: Partial<PeerHandler>,
   send: (client: PeerGrpcClient, address: string) => Promise<unknown>,
 ): Promise<void> {
-  const whole: PeerHandler = {
+  const completeHandler: PeerHandler = {
     heartbeat: (message) => ({ ...message, records: [] }),
     fetchState: () => ({ offset: 0, data: "" }),
     reportUsage: () => [],
@@ -27,25 +33,25 @@
     forward: async () => jsonResponse({}),
     ...handler,
   };
-  const server = createPeerServer(whole, (problem) => {
+  const server = createPeerServer(completeHandler, (problem) => {
     throw problem;
   });
   const port = (await server.listen("127.0.0.1:0")).unsafeCoerce();
-  const link = await openCountingLink(port);
+  const proxy = await openCountingProxy(port);
   const client = createPeerClient(systemClock(), 5_000);
   const direct = `127.0.0.1:${port}`;
   await send(client, direct);
-  await send(client, link.address);
-  const before = link.bytes();
-  const counted = 100;
-  for (let index = 0; index < counted; index++) await send(client, link.address);
-  const bytes = (link.bytes() - before) / counted;
-  const time = await processorTime(messages, () => send(client, direct));
+  await send(client, proxy.address);
+  const before = proxy.totalBytes();
+  const sampleCount = 100;
+  for (let index = 0; index < sampleCount; index++) await send(client, proxy.address);
+  const bytes = (proxy.totalBytes() - before) / sampleCount;
+  const time = await cpuMicrosecondsPerCall(messageCount, () => send(client, direct));
   client.close();
   server.close();
-  await link.close();
-  row(`${what}, sent and answered (both sides, one at a time)`, size, us(time));
-  row(`${what}, on the wire in both directions`, size, kb(bytes));
+  await proxy.close();
+  printRow(`${what}, round trip (both sides, sequential)`, size, formatMicroseconds(time));
+  printRow(`${what}, bytes on the wire (both directions)`, size, formatKilobytes(bytes));
 }
 
 function member(index: number, heartbeat: number): MemberEntry {
@@ -60,10 +66,10 @@
   };
 }
 
-/** A heartbeat in a fleet of `members` that passes `entries` of them on, merged on both sides. */
+/** Measures a heartbeat that carries `entries` of the fleet's `members` and is merged on both sides. */
 export async function measureHeartbeats(members: number, entries: number): Promise<void> {
   const changes = { joined: () => undefined, gone: () => undefined };
-  const before = heapUsed();
+  const before = heapUsedBytes();
   const table = createMemberTable(
     "box-x@1",
     { suspectAfterMs: suspectMs, removeAfterMs: forgetMs },
@@ -71,15 +77,15 @@
   );
   const all = Array.from({ length: members }, (_, index) => member(index, 0));
   table.merge(all, 0);
-  const held = heapUsed() - before;
+  const heldBytes = heapUsedBytes() - before;
   let beat = 1;
   const message = () => {
     beat += 1;
-    const some = Array.from({ length: entries }, (_, at) =>
+    const sentEntries = Array.from({ length: entries }, (_, at) =>
       member((beat * entries + at) % members, beat),
     );
     const summary = { offset: 1, ready: true, logSilentMs: 100 };
-    return { from: member(0, beat), members: some, summary };
+    return { from: member(0, beat), members: sentEntries, summary };
   };
   const handler: Partial<PeerHandler> = {
     heartbeat(received) {
@@ -92,10 +98,10 @@
     const reply = await client.heartbeat(address, message());
     table.merge(reply.unsafeCoerce().members, beat);
   });
-  row("memory of the member table", size, kb(held));
+  printRow("memory of the member table", size, formatKilobytes(heldBytes));
 }
 
-/** A report of the rates of some accounts, answered with their sums. */
+/** Measures a usage report with the rates of `accounts` accounts. */
 export async function measureUsage(accounts: number): Promise<void> {
   const rates = Array.from({ length: accounts }, (_, index) => ({
     account: `account-${index}`,
@@ -107,7 +113,7 @@
   );
 }
 
-function relayed(index: number, residents: number): RelayedReport {
+function createRelayedReport(index: number, residents: number): RelayedReport {
   return {
     load: {
       engine: `engine-${index}`,
@@ -135,20 +141,22 @@
   };
 }
 
-/** An asking for the reports of some engines, with and without their placements. */
+/** Measures a read of engine reports, with and without their placements. */
 export async function measureRelayedReports(engines: number, residents: number): Promise<void> {
-  const whole = Array.from({ length: engines }, (_, index) => relayed(index, residents));
-  const loads = whole.map((report) => ({ ...report, placement: undefined }));
-  const held = whole.map(({ load }) => ({ engine: load.engine, placementVersion: 3 }));
+  const fullReports = Array.from({ length: engines }, (_, index) =>
+    createRelayedReport(index, residents),
+  );
+  const loadReports = fullReports.map((report) => ({ ...report, placement: undefined }));
+  const held = fullReports.map(({ load }) => ({ engine: load.engine, placementVersion: 3 }));
   const from = "box-1@0123456789ab";
   const request = { from, pools: ["pool-1"], heldFrom: "box-2@0123456789ab", held };
   for (const [reports, what] of [
-    [loads, "placements held"],
-    [whole, `${residents} residents each`],
+    [loadReports, "placements unchanged"],
+    [fullReports, `${residents} residents per engine`],
   ] as const) {
     const handler: Partial<PeerHandler> = { readReports: () => ({ from, reports }) };
     const size = `${engines} engines, ${what}`;
-    await measureMessage("asking for reports", size, handler, (client, address) =>
+    await measureMessage("read of engine reports", size, handler, (client, address) =>
       client.readReports(address, request),
     );
   }
--- a/packages/bench/src/deployments.ts
+++ b/packages/bench/src/deployments.ts
@@ -1,8 +1,9 @@
-/** The two deployments of the brief, at today's sizes. */
+/** Two sample deployments that the benchmarks simulate. */
 import { createHash } from "node:crypto";
 import type { WorldTargets } from "@linkfall/soak";
 import type { Adapter, Engine, Model, Resource } from "@linkfall/types";
 
+/** Targets and resources of a deployment. */
 export interface Deployment {
   readonly name: "isar" | "voltcell";
   readonly targets: WorldTargets;
@@ -10,12 +11,12 @@
   readonly models: readonly Model[];
   readonly adapters: readonly Adapter[];
   readonly resources: readonly Resource[];
-  /** Requests a second at the start. */
+  /** Requests per second without bursts or shifts. */
   readonly baseRate: number;
 }
 
-/** Sizes of one deployment. */
-interface Shape {
+/** Parameters from which a deployment is generated. */
+interface DeploymentShape {
   readonly name: Deployment["name"];
   readonly domains: readonly string[];
   readonly engines: number;
@@ -28,7 +29,7 @@
   readonly baseRate: number;
 }
 
-const shapes: readonly Shape[] = [
+const shapes: readonly DeploymentShape[] = [
   {
     name: "isar",
     domains: ["garching", "freising", "rosenheim", "murnau"],
@@ -57,14 +58,14 @@
 
 const pool = "bulletins";
 const acceleratorsMb = [40_000, 40_000];
-const smallestModelMb = 6_000;
+const minModelMb = 6_000;
 const modelStepMb = 2_000;
 const modelSizes = 6;
 const adapterMb = 200;
 export const accountName = "dispatch";
 export const accountToken = "token-of-dispatch";
 
-/** One step of the engines stands for eight tokens, so that a run stays short. */
+/** Simulated engine speeds; one step stands for eight tokens to shorten runs. */
 export const benchSpeeds = {
   stepMs: 160,
   stepPerRequestMs: 12,
@@ -73,7 +74,7 @@
   prefixCharacters: 512,
 };
 
-function enginesOf(shape: Shape): readonly Engine[] {
+function enginesOf(shape: DeploymentShape): readonly Engine[] {
   return Array.from({ length: shape.engines }, (_, index) => ({
     kind: "engine",
     name: `e${index + 1}`,
@@ -89,20 +90,20 @@
   }));
 }
 
-function modelsOf(shape: Shape): readonly Model[] {
+function modelsOf(shape: DeploymentShape): readonly Model[] {
   return Array.from({ length: shape.models }, (_, index) => ({
     kind: "model",
     name: `m${index}`,
     pool,
     version: "1",
-    sizeMb: smallestModelMb + modelStepMb * ((index * 7) % modelSizes),
+    sizeMb: minModelMb + modelStepMb * ((index * 7) % modelSizes),
     accounts: [accountName],
     priority: 5,
     minReplicas: 1,
   }));
 }
 
-function adaptersOf(shape: Shape): readonly Adapter[] {
+function adaptersOf(shape: DeploymentShape): readonly Adapter[] {
   return Array.from({ length: shape.adapters }, (_, index) => ({
     kind: "adapter",
     name: `a${index}`,
@@ -113,7 +114,7 @@
   }));
 }
 
-function toDeployment(shape: Shape): Deployment {
+function createDeployment(shape: DeploymentShape): Deployment {
   const engines = enginesOf(shape);
   const models = modelsOf(shape);
   const adapters = adaptersOf(shape);
@@ -160,9 +161,9 @@
   };
 }
 
-export const deployments: readonly Deployment[] = shapes.map(toDeployment);
+export const deployments: readonly Deployment[] = shapes.map(createDeployment);
 
-/** Accelerators of a deployment. */
+/** Total number of accelerators of a deployment's engines. */
 export function acceleratorCount(deployment: Deployment): number {
   return deployment.targets.engines.reduce((sum, each) => sum + each.acceleratorsMb.length, 0);
 }
--- a/packages/bench/src/permit-ways.ts
+++ b/packages/bench/src/permit-ways.ts
@@ -1,135 +1,145 @@
-/** Ways to keep a target's limit over many boxes, behind one interface. */
+/** Strategies for enforcing a target's limit across boxes. */
 import type { VirtualClock } from "@linkfall/kernel";
 import { createTargetLimits, type TargetLimits } from "@linkfall/target-limits";
 import { createTokenBucket, type TokenBucket } from "@linkfall/token-bucket";
 import type { Milliseconds } from "@linkfall/types";
 import { Left, Right } from "purify-ts";
-import { isCutOff, type PermitLoad } from "./permit-load.js";
+import { isIsolated, type PermitLoad } from "./permit-load.js";
 
-export interface PermitWay {
-  /** Resolves when a box may send; false where it may not. */
+/** A simulated fleet that enforces the limit of one target. */
+export interface PermitStrategy {
+  /** Waits for a permit to send from a box; resolves to false if none is granted in time. */
   takePermit(box: number): Promise<boolean>;
-  /** A box has read an answer that names the limit. */
-  hear(box: number): void;
-  /** The first boxes lose what they know. */
+  /** Handles a response, received by a box, that states the limit. */
+  observeLimit(box: number): void;
+  /** Restarts the first `boxes` boxes with empty state. */
   restart(boxes: number): void;
-  /** Messages between boxes so far. */
-  messages(): number;
+  /** Number of messages between boxes so far. */
+  messagesSent(): number;
 }
 
-export type PermitWayMaker = (load: PermitLoad, clock: VirtualClock) => PermitWay;
+export type PermitStrategyFactory = (load: PermitLoad, clock: VirtualClock) => PermitStrategy;
 
-export const target = "t1";
-/** One way between boxes. */
-const wireMs: Milliseconds = 1.4;
-/** Time between two exchanges of a box with the one that hears all. */
-const roundMs: Milliseconds = 400;
-/** A box that is cut off knows it after this time. */
-const cutOffMs: Milliseconds = 1_000;
-/** A box that is cut off is known to be silent after this time. */
-const noticedMs: Milliseconds = 1_500;
-/** Longest time that a request waits for its permit. */
-const withinMs: Milliseconds = 1_000;
+export const targetName = "t1";
+/** One-way network latency between boxes. */
+const oneWayLatencyMs: Milliseconds = 1.4;
+/** Interval between a box's exchanges with the hub, the last box. */
+const exchangeIntervalMs: Milliseconds = 400;
+/** Time until an isolated box detects that it is disconnected. */
+const selfDetectionMs: Milliseconds = 1_000;
+/** Time until other boxes detect that an isolated box is silent. */
+const silenceDetectionMs: Milliseconds = 1_500;
+const maxPermitWaitMs: Milliseconds = 1_000;
 
-const boxesOf = ({ boxes }: PermitLoad) => Array.from({ length: boxes }, (_, box) => box);
-const wait = (clock: VirtualClock, ms: Milliseconds) =>
+const boxIndexes = ({ boxes }: PermitLoad) => Array.from({ length: boxes }, (_, box) => box);
+const delay = (clock: VirtualClock, ms: Milliseconds) =>
   new Promise<void>((resolve) => void clock.after(ms, resolve));
 
-/** A bucket of its own at each box that has heard the limit. */
-function bucketWay(load: PermitLoad, clock: VirtualClock, rate: number, burst: number): PermitWay {
+/** Creates an independent bucket on each box once the box has observed the limit. */
+function createLocalBuckets(
+  load: PermitLoad,
+  clock: VirtualClock,
+  rate: number,
+  burst: number,
+): PermitStrategy {
   let buckets = new Map<number, TokenBucket>();
   return {
     takePermit: async (box) => buckets.get(box)?.take() ?? true,
-    hear(box) {
+    observeLimit(box) {
       if (!buckets.has(box)) buckets.set(box, createTokenBucket(clock, { rate, burst }, 0));
     },
     restart(boxes) {
       buckets = new Map([...buckets].filter(([box]) => box >= boxes));
     },
-    messages: () => 0,
+    messagesSent: () => 0,
   };
 }
 
-/** Each box keeps the limit as if it were its own. */
-export const eachForItself: PermitWayMaker = (load, clock) =>
-  bucketWay(load, clock, load.perSecond, Math.max(1, load.perSecond));
+/** Each box enforces the full limit on its own requests. */
+export const fullLimitPerBox: PermitStrategyFactory = (load, clock) =>
+  createLocalBuckets(load, clock, load.perSecond, Math.max(1, load.perSecond));
 
-/** Each box has an equal part of the limit. */
-export const equalParts: PermitWayMaker = (load, clock) =>
-  bucketWay(load, clock, load.perSecond / load.boxes, 1);
+/** Each box enforces an equal share of the limit. */
+export const equalShares: PermitStrategyFactory = (load, clock) =>
+  createLocalBuckets(load, clock, load.perSecond / load.boxes, 1);
 
-/** One box hands out the permits; the program's own code. */
-export const handedOutByOne: PermitWayMaker = (load, clock) => {
+/** One box grants permits to the others, by the production implementation. */
+export const singleAllocator: PermitStrategyFactory = (load, clock) => {
   let sent = 0;
-  const cutFor = (box: number, ms: Milliseconds) =>
-    isCutOff(load, box, clock.now()) && isCutOff(load, box, clock.now() - ms);
-  const isApart = (one: number, other: number) =>
-    isCutOff(load, one, clock.now()) !== isCutOff(load, other, clock.now());
+  const isIsolatedFor = (box: number, ms: Milliseconds) =>
+    isIsolated(load, box, clock.now()) && isIsolated(load, box, clock.now() - ms);
+  const isDisconnected = (one: number, other: number) =>
+    isIsolated(load, one, clock.now()) !== isIsolated(load, other, clock.now());
   const createBox = (box: number): TargetLimits =>
     createTargetLimits(
       clock,
       {
         self: String(box),
         allocators: () =>
-          boxesOf(load)
-            .filter((other) => !isApart(box, other) || !cutFor(Math.min(box, other), noticedMs))
+          boxIndexes(load)
+            .filter(
+              (other) =>
+                !isDisconnected(box, other) ||
+                !isIsolatedFor(Math.min(box, other), silenceDetectionMs),
+            )
             .map(String),
-        async sendRequest(address, ask) {
+        async sendRequest(address, request) {
           sent += 2;
           const other = Number(address);
-          await wait(clock, wireMs);
-          if (isApart(box, other)) {
+          await delay(clock, oneWayLatencyMs);
+          if (isDisconnected(box, other)) {
             return Left({ kind: "peer_unreachable", reason: "cut", mayHaveArrived: false });
           }
-          const grant = await boxes[other].allocate(ask);
-          await wait(clock, wireMs);
+          const grant = await boxes[other].allocate(request);
+          await delay(clock, oneWayLatencyMs);
           return Right(grant);
         },
-        connected: () => !cutFor(box, cutOffMs),
+        connected: () => !isIsolatedFor(box, selfDetectionMs),
         ownShare: () => 1 / load.boxes,
-        silentShare: () => (cutFor(0, noticedMs) ? (load.cut?.boxes ?? 0) / load.boxes : 0),
+        silentShare: () =>
+          isIsolatedFor(0, silenceDetectionMs) ? (load.isolated?.boxes ?? 0) / load.boxes : 0,
         boxCount: () => load.boxes,
       },
       () => undefined,
     );
-  const boxes = boxesOf(load).map(createBox);
-  const names = boxesOf(load).map((box) => ({ life: 1, box }));
-  const nameOf = (box: number) => `b${box}@${names[box].life}`;
-  /** What box `from` knows and `to` does not. */
-  const tell = (from: number, to: number) => {
-    if (isApart(from, to)) return;
+  const boxes = boxIndexes(load).map(createBox);
+  const members = boxIndexes(load).map((box) => ({ incarnation: 1, box }));
+  const memberName = (box: number) => `b${box}@${members[box].incarnation}`;
+  /** Sends the changes that `to` has not yet applied. */
+  const sendChanges = (from: number, to: number) => {
+    if (isDisconnected(from, to)) return;
     boxes[to].applyChanges(
-      nameOf(from),
-      boxes[from].changesSince(boxes[to].appliedSequence(nameOf(from))),
+      memberName(from),
+      boxes[from].changesSince(boxes[to].appliedSequence(memberName(from))),
     );
   };
   const hub = load.boxes - 1;
-  for (const box of boxesOf(load)) {
-    const round = () => {
-      tell(box, hub);
-      tell(hub, box);
-      clock.after(roundMs, round);
+  for (const box of boxIndexes(load)) {
+    const runExchange = () => {
+      sendChanges(box, hub);
+      sendChanges(hub, box);
+      clock.after(exchangeIntervalMs, runExchange);
     };
-    clock.after((roundMs * box) / load.boxes, round);
+    clock.after((exchangeIntervalMs * box) / load.boxes, runExchange);
   }
   return {
-    takePermit: (box) => boxes[box].acquirePermit(target, withinMs),
-    hear(box) {
+    takePermit: (box) => boxes[box].acquirePermit(targetName, maxPermitWaitMs),
+    observeLimit(box) {
       const notice = { kind: "limited", perSecond: load.perSecond } as const;
-      boxes[box].recordAnswer({ target, notice, sentMsAgo: 0, served: true });
+      boxes[box].recordAnswer({ target: targetName, notice, sentMsAgo: 0, served: true });
     },
     restart(count) {
-      for (const box of boxesOf(load).slice(0, count)) {
+      for (const box of boxIndexes(load).slice(0, count)) {
         boxes[box] = createBox(box);
-        names[box].life += 1;
+        members[box].incarnation += 1;
       }
     },
-    messages: () => sent,
+    messagesSent: () => sent,
   };
 };
 
-export const permitWays: Readonly<Record<string, PermitWayMaker>> = {
-  "each box for itself": eachForItself,
-  "equal parts": equalParts,
-  "handed out by one box": handedOutByOne,
+export const permitStrategies: Readonly<Record<string, PermitStrategyFactory>> = {
+  "each box for itself": fullLimitPerBox,
+  "equal parts": equalShares,
+  "handed out by one box": singleAllocator,
 };
--- a/packages/bench/src/policy-run.ts
+++ b/packages/bench/src/policy-run.ts
@@ -1,4 +1,4 @@
-/** One run of a deployment under a policy, with whole boxes, and what came of it. */
+/** Simulates a deployment of complete boxes under one policy and summarises the outcome. */
 import { pick, seededRandom, sleep } from "@linkfall/kernel";
 import { metricsName } from "@linkfall/metrics";
 import type { BodyPart, CallerResponse } from "@linkfall/ports";
@@ -9,46 +9,48 @@
 
 const msPerMinute: Milliseconds = 60_000;
 
-/** A way of deciding that is compared with others. */
+/** A policy configuration to compare with others. */
 export interface Variant {
   readonly name: string;
   readonly settings: ExtraSettings;
-  /** Changes the resources that are declared. */
+  /** Overrides the resources that are written at the start. */
   readonly resources?: (deployment: Deployment) => Deployment["resources"];
 }
 
-/** What happens during a run. */
+/** Conditions of a run, independent of the variant. */
 export interface RunConditions {
-  /** A failure domain is lost for a while. */
+  /** Takes a failure domain down from `phases.lossFrom` to `phases.lossUntil`. */
   readonly faults: boolean;
-  /** Demand neither bursts nor shifts. */
+  /** Disables bursts and the demand shift. */
   readonly steady: boolean;
-  /** Minutes that are added to the run. */
+  /** Minutes added to the end of the run. */
   readonly extraMinutes: number;
 }
 
+/** Metrics of the requests sent after `phases.measureFrom`. */
 export interface RunResult {
-  /** Share of requests answered whole before their deadline. */
+  /** Fraction of requests answered completely within their deadline. */
   readonly attainment: number;
-  /** Share of requests that were refused as not run. */
+  /** Fraction of requests with the outcome `not_run`. */
   readonly notRun: number;
+  /** Loads, unloads and role changes. */
   readonly moves: number;
-  /** Times to the last byte of answers, sorted. */
+  /** Times to the last byte of complete responses, sorted. */
   readonly latencies: readonly Milliseconds[];
   readonly requests: number;
-  /** Requests that missed, by refusal code and part of the run. */
+  /** Number of requests that missed their deadline, by phase and refusal code (`late` or `cut` without one). */
   readonly missed: ReadonlyMap<string, number>;
 }
 
 interface Tally {
   requests: number;
-  met: number;
+  metDeadline: number;
   notRun: number;
   readonly missed: Map<string, number>;
   readonly latencies: Milliseconds[];
 }
 
-async function readWhole(response: CallerResponse): Promise<boolean> {
+async function readToEnd(response: CallerResponse): Promise<boolean> {
   if (response.body instanceof Uint8Array) return response.status === 200;
   for await (const part of response.body as AsyncIterable<BodyPart>)
     if (part.isLeft()) return false;
@@ -57,7 +59,7 @@
 
 async function send(world: World, arrival: Arrival, tally: Tally): Promise<void> {
   const { clock, random } = world;
-  const measured = clock.now() >= phases.measureFrom;
+  const inMeasuredPhase = clock.now() >= phases.measureFrom;
   const startedAt = clock.now();
   const body = { model: arrival.model, prompt: arrival.prompt, max_tokens: arrival.maxTokens };
   const response = await world.call(pick(random, world.liveBoxes()), {
@@ -70,39 +72,39 @@
     body: Buffer.from(JSON.stringify(body)),
     signal: new AbortController().signal,
   });
-  const whole = response !== undefined && (await readWhole(response));
-  if (!measured) return;
-  noteMiss(tally, arrival, response, whole, startedAt, clock.now());
-  const took = clock.now() - startedAt;
+  const complete = response !== undefined && (await readToEnd(response));
+  if (!inMeasuredPhase) return;
+  recordMiss(tally, arrival, response, complete, startedAt, clock.now());
+  const latencyMs = clock.now() - startedAt;
   tally.requests += 1;
-  if (whole) tally.latencies.push(took);
-  if (whole && took <= arrival.deadlineMs) tally.met += 1;
+  if (complete) tally.latencies.push(latencyMs);
+  if (complete && latencyMs <= arrival.deadlineMs) tally.metDeadline += 1;
   if (response?.headers["linkfall-outcome"] === "not_run") tally.notRun += 1;
 }
 
-function partOfRun(at: Milliseconds): string {
+function phaseAt(at: Milliseconds): string {
   if (at >= phases.lossFrom) return "loss";
   if (at >= phases.shiftUntil) return "after";
   return at >= phases.shiftFrom ? "shift" : "steady";
 }
 
-function noteMiss(
+function recordMiss(
   tally: Tally,
   arrival: Arrival,
   response: CallerResponse | undefined,
-  whole: boolean,
+  complete: boolean,
   startedAt: Milliseconds,
   now: Milliseconds,
 ): void {
-  if (whole && now - startedAt <= arrival.deadlineMs) return;
+  if (complete && now - startedAt <= arrival.deadlineMs) return;
   const body =
     response?.body instanceof Uint8Array ? Buffer.from(response.body).toString("utf8") : "";
-  const code = /"code":"(\w+)"/.exec(body)?.[1] ?? (whole ? "late" : "cut");
-  const key = `${partOfRun(startedAt)} ${code}`;
+  const code = /"code":"(\w+)"/.exec(body)?.[1] ?? (complete ? "late" : "cut");
+  const key = `${phaseAt(startedAt)} ${code}`;
   tally.missed.set(key, (tally.missed.get(key) ?? 0) + 1);
 }
 
-async function declare(world: World, resources: Deployment["resources"]): Promise<void> {
+async function writeResources(world: World, resources: Deployment["resources"]): Promise<void> {
   const changes = resources.map((resource): Change => ({ action: "put", resource, base: 0 }));
   await world.boxes[0].box.operators.handle({
     method: "POST",
@@ -113,7 +115,7 @@
   });
 }
 
-function movesSoFar(world: World): number {
+function countMoves(world: World): number {
   const kinds = ["load", "unload", "role"];
   const causes = ["reachability", "min_replicas", "adapter", "make_room", "demand", "role"];
   return world.boxes.reduce((sum, { box }) => {
@@ -125,21 +127,21 @@
   }, 0);
 }
 
-function loseDomain(world: World, deployment: Deployment): void {
+function scheduleDomainLoss(world: World, deployment: Deployment): void {
   const [domain] = deployment.targets.domains;
-  const lost = world.engines.filter((engine) => engine.core.engine.domain === domain);
+  const lostEngines = world.engines.filter((engine) => engine.core.engine.domain === domain);
   world.clock.after(phases.lossFrom, () => {
-    for (const engine of lost) {
+    for (const engine of lostEngines) {
       engine.down = true;
       engine.core.restart();
     }
   });
   world.clock.after(phases.lossUntil, () => {
-    for (const engine of lost) engine.down = false;
+    for (const engine of lostEngines) engine.down = false;
   });
 }
 
-/** Runs a deployment once. */
+/** Runs a deployment once under the variant's settings. */
 export async function runPolicy(
   deployment: Deployment,
   variant: Variant,
@@ -147,29 +149,29 @@
   conditions: RunConditions,
 ): Promise<RunResult> {
   const world = createWorld(seed, { targets: deployment.targets, settings: variant.settings });
-  // Its own random numbers, so that every variant gets the same requests.
+  // A separate generator gives every variant the same requests.
   const workload = createWorkload(deployment, seededRandom(seed), conditions.steady);
-  const tally: Tally = { requests: 0, met: 0, notRun: 0, missed: new Map(), latencies: [] };
+  const tally: Tally = { requests: 0, metDeadline: 0, notRun: 0, missed: new Map(), latencies: [] };
   for (let index = 1; index <= deployment.boxes; index++) await world.startBox(`b${index}`);
-  if (conditions.faults) loseDomain(world, deployment);
+  if (conditions.faults) scheduleDomainLoss(world, deployment);
 
-  const end = phases.end + conditions.extraMinutes * msPerMinute;
-  const arrivals = async () => {
-    while (world.clock.now() < end) {
-      await sleep(world.clock, workload.nextGap(world.clock.now()));
+  const endMs = phases.end + conditions.extraMinutes * msPerMinute;
+  const sendArrivals = async () => {
+    while (world.clock.now() < endMs) {
+      await sleep(world.clock, workload.nextGapMs(world.clock.now()));
       void send(world, workload.next(world.clock.now()), tally);
     }
   };
   await world.clock.runUntil(1_000);
-  void declare(world, variant.resources?.(deployment) ?? deployment.resources);
-  world.clock.after(phases.requestsFrom, () => void arrivals());
+  void writeResources(world, variant.resources?.(deployment) ?? deployment.resources);
+  world.clock.after(phases.requestsFrom, () => void sendArrivals());
   await world.clock.runUntil(phases.measureFrom);
-  const movesBefore = movesSoFar(world);
-  await world.clock.runUntil(end + 20_000);
+  const movesBefore = countMoves(world);
+  await world.clock.runUntil(endMs + 20_000);
   return {
-    attainment: tally.met / tally.requests,
+    attainment: tally.metDeadline / tally.requests,
     notRun: tally.notRun / tally.requests,
-    moves: movesSoFar(world) - movesBefore,
+    moves: countMoves(world) - movesBefore,
     latencies: tally.latencies.sort((a, b) => a - b),
     requests: tally.requests,
     missed: tally.missed,
--- a/packages/bench/src/quota.steps.ts
+++ b/packages/bench/src/quota.steps.ts
@@ -3,70 +3,77 @@
 import { scenarioState } from "@linkfall/test-support";
 import { quotaLoads } from "./quota-load.js";
 import { type QuotaResult, runQuota } from "./quota-run.js";
-import { quotaWays } from "./quota-ways.js";
+import { quotaStrategies } from "./quota-ways.js";
 
-interface PlayedLoad extends QuotaResult {
-  /** Boxes are cut off in it. */
-  readonly cut: boolean;
+interface LoadRun extends QuotaResult {
+  /** Whether boxes are isolated during the load. */
+  readonly hasIsolation: boolean;
 }
 
-/** Virtual time; a busy machine may still take a while. */
+/** The simulation runs in virtual time, but is processor-bound. */
 const stepTimeout = { timeout: 120_000 };
 
-async function playLoads(world: object, seeds: number, way: string): Promise<void> {
-  const results: PlayedLoad[] = [];
+async function runLoads(world: object, seeds: number, strategy: string): Promise<void> {
+  const results: LoadRun[] = [];
   for (const load of quotaLoads) {
     for (let seed = 1; seed <= seeds; seed++) {
-      const result = await runQuota(load, quotaWays[way], seed);
-      results.push({ ...result, cut: load.cut !== undefined });
+      const result = await runQuota(load, quotaStrategies[strategy], seed);
+      results.push({ ...result, hasIsolation: load.isolated !== undefined });
     }
   }
   scenarioState(world).set("results", results);
 }
 
 When(
-  "every load is played {int} times with {string}",
+  "every quota load runs {int} times with the {string} strategy",
   stepTimeout,
-  function (this: object, seeds: number, way: string) {
-    return playLoads(this, seeds, way);
+  function (this: object, seeds: number, strategy: string) {
+    return runLoads(this, seeds, strategy);
   },
 );
 
-When("every load is played once with {string}", stepTimeout, function (this: object, way: string) {
-  return playLoads(this, 1, way);
-});
+When(
+  "every quota load runs once with the {string} strategy",
+  stepTimeout,
+  function (this: object, strategy: string) {
+    return runLoads(this, 1, strategy);
+  },
+);
 
-const resultsOf = (world: object) => scenarioState(world).get<PlayedLoad[]>("results");
-const fullestOf = (world: object) =>
-  Math.max(...resultsOf(world).map(({ fullestWindow }) => fullestWindow));
-const mostRefused = (results: readonly PlayedLoad[]) =>
-  Math.max(...results.map(({ refusedWithin }) => refusedWithin)) * 100;
+const resultsOf = (world: object) => scenarioState(world).get<LoadRun[]>("results");
+const maxUtilisationOf = (world: object) =>
+  Math.max(...resultsOf(world).map(({ maxWindowUtilisation }) => maxWindowUtilisation));
+const maxRefusedPercent = (results: readonly LoadRun[]) =>
+  Math.max(...results.map(({ refusedShare }) => refusedShare)) * 100;
 
-Then("no window lets through more than the limit and its tolerance", function (this: object) {
-  assert.ok(fullestOf(this) <= 1, String(fullestOf(this)));
+Then("no window admits more than the limit plus tolerance", function (this: object) {
+  assert.ok(maxUtilisationOf(this) <= 1, String(maxUtilisationOf(this)));
 });
 
-Then("some window lets through more than the limit and its tolerance", function (this: object) {
-  assert.ok(fullestOf(this) > 1, String(fullestOf(this)));
+Then("some window admits more than the limit plus tolerance", function (this: object) {
+  assert.ok(maxUtilisationOf(this) > 1, String(maxUtilisationOf(this)));
 });
 
 Then(
-  "at most {int} in 100 of what the limit lets through are refused while no box is cut off",
-  function (this: object, most: number) {
-    const refused = mostRefused(resultsOf(this).filter(({ cut }) => !cut));
-    assert.ok(refused <= most, String(refused));
+  "at most {int} in 100 tokens within the limit are refused while no box is isolated",
+  function (this: object, maxPercent: number) {
+    const refused = maxRefusedPercent(resultsOf(this).filter(({ hasIsolation }) => !hasIsolation));
+    assert.ok(refused <= maxPercent, String(refused));
   },
 );
 
-Then("at most {int} in 100 of it are refused in any play", function (this: object, most: number) {
-  const refused = mostRefused(resultsOf(this));
-  assert.ok(refused <= most, String(refused));
-});
+Then(
+  "at most {int} in 100 tokens within the limit are refused in any run",
+  function (this: object, maxPercent: number) {
+    const refused = maxRefusedPercent(resultsOf(this));
+    assert.ok(refused <= maxPercent, String(refused));
+  },
+);
 
 Then(
-  "more than {int} in 100 of what the limit lets through are refused under some load",
-  function (this: object, least: number) {
-    const refused = mostRefused(resultsOf(this));
-    assert.ok(refused > least, String(refused));
+  "more than {int} in 100 tokens within the limit are refused under some load",
+  function (this: object, minPercent: number) {
+    const refused = maxRefusedPercent(resultsOf(this));
+    assert.ok(refused > minPercent, String(refused));
   },
 );
--- a/packages/bench/src/workload.ts
+++ b/packages/bench/src/workload.ts
@@ -1,4 +1,4 @@
-/** Requests as they come: skewed over models and stations, bursty, shifting without warning. */
+/** Generates requests with skewed model popularity, bursts and a demand shift. */
 import type { Random } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
 import type { Deployment } from "./deployments.js";
@@ -11,23 +11,23 @@
   readonly deadlineMs: Milliseconds;
 }
 
-/** Times of a run, in milliseconds from its start. */
+/** Phases of a run, in milliseconds from its start. */
 export const phases = {
-  /** Placing 40 models twice and 95 adapters takes 90 s at two loads a second. */
+  /** Leaves time to load all models and adapters at the pool's load rate. */
   requestsFrom: 115_000,
   measureFrom: 130_000,
-  /** A tremor, or the evening shift: a few models are asked for far more. */
+  /** Demand for a few models rises by `shiftFactor`. */
   shiftFrom: 170_000,
   shiftUntil: 240_000,
-  /** A failure domain is lost here, in runs with faults. */
+  /** In runs with faults, one failure domain is down. */
   lossFrom: 260_000,
   lossUntil: 300_000,
   end: 330_000,
 } as const;
 
-const skew = 0.9;
+const popularityExponent = 0.9;
 const stationsPerModel = 12;
-const shiftedModels = 4;
+const shiftedModelCount = 4;
 const shiftFactor = 6;
 const burstEveryMs: Milliseconds = 20_000;
 const burstMs: Milliseconds = 8_000;
@@ -35,28 +35,29 @@
 const adapterShare = 0.3;
 const shortDeadlineMs: Milliseconds = 6_000;
 const longDeadlineMs: Milliseconds = 20_000;
-const shortShare = 0.6;
-const mostTokens = 8;
+const shortDeadlineShare = 0.6;
+const maxOutputTokens = 8;
 const stationLogCharacters = 700;
 
+/** A Poisson process of requests whose rate varies over time. */
 export interface Workload {
-  /** Time until the next request. */
-  nextGap(now: Milliseconds): Milliseconds;
+  /** Time until the next request, in milliseconds. */
+  nextGapMs(now: Milliseconds): Milliseconds;
   next(now: Milliseconds): Arrival;
 }
 
-/** The log of a station: the same for all requests about it. */
+/** Common prompt prefix of all requests for a model's station. */
 function stationLog(model: string, station: number): string {
   const line = `${model} station ${station} `;
   return line.repeat(Math.ceil(stationLogCharacters / line.length)).slice(0, stationLogCharacters);
 }
 
-/** Creates the requests of one run; steady ones know neither bursts nor shifts. */
+/** Creates the workload of one run; `steady` disables bursts and the demand shift. */
 export function createWorkload(deployment: Deployment, random: Random, steady = false): Workload {
   const { models, adapters } = deployment;
-  const base = models.map((_, index) => 1 / (index + 1) ** skew);
-  const total = base.reduce((sum, weight) => sum + weight, 0);
-  const shifted = Array.from({ length: shiftedModels }, () => random.nextInt(models.length));
+  const baseWeights = models.map((_, index) => 1 / (index + 1) ** popularityExponent);
+  const totalBaseWeight = baseWeights.reduce((sum, weight) => sum + weight, 0);
+  const shifted = Array.from({ length: shiftedModelCount }, () => random.nextInt(models.length));
   let burst = { model: 0, until: -Infinity, next: burstEveryMs };
   let sent = 0;
 
@@ -70,24 +71,24 @@
   };
 
   const weights = (now: Milliseconds) =>
-    base.map((weight, index) => {
+    baseWeights.map((weight, index) => {
       const inShift = !steady && now >= phases.shiftFrom && now < phases.shiftUntil;
-      const byShift = inShift && shifted.includes(index) ? shiftFactor : 1;
-      const byBurst = now < burst.until && burst.model === index ? burstFactor : 1;
-      return weight * Math.max(byShift, byBurst);
+      const shiftWeight = inShift && shifted.includes(index) ? shiftFactor : 1;
+      const burstWeight = now < burst.until && burst.model === index ? burstFactor : 1;
+      return weight * Math.max(shiftWeight, burstWeight);
     });
 
   const pickIndex = (list: readonly number[], sum: number) => {
-    let left = random.nextFloat() * sum;
-    const index = list.findIndex((weight) => (left -= weight) < 0);
+    let remaining = random.nextFloat() * sum;
+    const index = list.findIndex((weight) => (remaining -= weight) < 0);
     return index < 0 ? list.length - 1 : index;
   };
 
   return {
-    nextGap(now) {
+    nextGapMs(now) {
       updateBurst(now);
       const sum = weights(now).reduce((all, weight) => all + weight, 0);
-      const rate = (deployment.baseRate * sum) / total;
+      const rate = (deployment.baseRate * sum) / totalBaseWeight;
       return (-Math.log(1 - random.nextFloat()) * 1_000) / rate;
     },
     next(now) {
@@ -97,14 +98,14 @@
         list.reduce((all, weight) => all + weight, 0),
       );
       const model = models[index].name;
-      const own = adapters.filter((adapter) => adapter.model === model);
-      const useAdapter = own.length > 0 && random.nextFloat() < adapterShare;
+      const modelAdapters = adapters.filter((adapter) => adapter.model === model);
+      const useAdapter = modelAdapters.length > 0 && random.nextFloat() < adapterShare;
       const station = Math.floor(stationsPerModel * random.nextFloat() ** 2);
       return {
-        model: useAdapter ? own[random.nextInt(own.length)].name : model,
+        model: useAdapter ? modelAdapters[random.nextInt(modelAdapters.length)].name : model,
         prompt: `${stationLog(model, station)} question ${++sent}`,
-        maxTokens: 2 + random.nextInt(mostTokens - 1),
-        deadlineMs: random.nextFloat() < shortShare ? shortDeadlineMs : longDeadlineMs,
+        maxTokens: 2 + random.nextInt(maxOutputTokens - 1),
+        deadlineMs: random.nextFloat() < shortDeadlineShare ? shortDeadlineMs : longDeadlineMs,
       };
     },
   };
