--- a/packages/settings-watch/src/settings-watch.steps.ts
+++ b/packages/settings-watch/src/settings-watch.steps.ts
@@ -74,7 +74,7 @@
   return sceneOf(this).watch.stop();
 });
 
-Then("the reported changes are {string}", function (this: object, texts: string) {
+Then("the reported settings changes are {string}", function (this: object, texts: string) {
   assert.equal(sceneOf(this).changes.join(" "), texts);
 });
 
