--- a/packages/account-quota/src/account-quota.ts
+++ b/packages/account-quota/src/account-quota.ts
@@ -14,7 +14,7 @@
   recordDemand,
   recordRefusal,
   takeUnits,
-} from "./stock.js";
+} from "./local-budget.js";
 import type { QuotaGrant, QuotaRequest } from "./messages.js";
 import { createQuotaSource, type QuotaPeers, type QuotaTolerance } from "./quota-source.js";
 
--- a/packages/account-quota/src/quota-source.ts
+++ b/packages/account-quota/src/quota-source.ts
@@ -6,7 +6,7 @@
   type LocalAllocator,
 } from "@linkfall/allocation";
 import type { Clock } from "@linkfall/kernel";
-import { createGrantSummaries, type GrantSummary } from "./allotments.js";
+import { createGrantSummaries, type GrantSummary } from "./grant-summaries.js";
 import type { QuotaGrant, QuotaRate, QuotaRequest } from "./messages.js";
 import { createQuotaAllocator } from "./allocator.js";
 
--- a/packages/bench/src/permit-run.ts
+++ b/packages/bench/src/permit-run.ts
@@ -7,7 +7,7 @@
   loadDurationMs,
   type PermitLoad,
 } from "./permit-load.js";
-import type { PermitStrategyFactory } from "./permit-ways.js";
+import type { PermitStrategyFactory } from "./permit-strategies.js";
 
 /** Accuracy and message cost of a strategy under one load. */
 export interface PermitResult {
--- a/packages/bench/src/permits.steps.ts
+++ b/packages/bench/src/permits.steps.ts
@@ -3,7 +3,7 @@
 import { scenarioState } from "@linkfall/test-support";
 import { permitLoads } from "./permit-load.js";
 import { runPermits, type PermitResult } from "./permit-run.js";
-import { permitStrategies } from "./permit-ways.js";
+import { permitStrategies } from "./permit-strategies.js";
 
 /** The simulation runs in virtual time, but is processor-bound. */
 const stepTimeout = { timeout: 120_000 };
--- a/packages/bench/src/permits.ts
+++ b/packages/bench/src/permits.ts
@@ -1,7 +1,7 @@
 /** `npm run bench:permits`: compares strategies for enforcing a target's limit across boxes. */
 import { permitLoads } from "./permit-load.js";
 import { runPermits } from "./permit-run.js";
-import { permitStrategies } from "./permit-ways.js";
+import { permitStrategies } from "./permit-strategies.js";
 
 const seeds = [1, 2, 3];
 const printLine = (text: string) => void process.stdout.write(`${text}\n`);
--- a/packages/bench/src/quota-run.ts
+++ b/packages/bench/src/quota-run.ts
@@ -7,7 +7,7 @@
   type QuotaArrival,
   type QuotaLoad,
 } from "./quota-load.js";
-import type { QuotaStrategyFactory } from "./quota-ways.js";
+import type { QuotaStrategyFactory } from "./quota-strategies.js";
 
 /** Accuracy and message cost of a strategy under one load. */
 export interface QuotaResult {
--- a/packages/bench/src/quota.steps.ts
+++ b/packages/bench/src/quota.steps.ts
@@ -3,7 +3,7 @@
 import { scenarioState } from "@linkfall/test-support";
 import { quotaLoads } from "./quota-load.js";
 import { type QuotaResult, runQuota } from "./quota-run.js";
-import { quotaStrategies } from "./quota-ways.js";
+import { quotaStrategies } from "./quota-strategies.js";
 
 interface LoadRun extends QuotaResult {
   /** Whether boxes are isolated during the load. */
--- a/packages/bench/src/quota.ts
+++ b/packages/bench/src/quota.ts
@@ -1,7 +1,7 @@
 /** `npm run bench:quota`: compares strategies for enforcing an account's limit across boxes. */
 import { quotaLoads } from "./quota-load.js";
 import { runQuota } from "./quota-run.js";
-import { quotaStrategies } from "./quota-ways.js";
+import { quotaStrategies } from "./quota-strategies.js";
 
 const seeds = [1, 2, 3];
 const printLine = (text: string) => void process.stdout.write(`${text}\n`);
--- a/packages/box-peers/src/index.ts
+++ b/packages/box-peers/src/index.ts
@@ -1,4 +1,4 @@
-export * from "./change-numbers.js";
+export * from "./change-tracker.js";
 export * from "./member.js";
 export * from "./member-table.js";
 export * from "./messages.js";
--- a/packages/caller-presence/src/index.ts
+++ b/packages/caller-presence/src/index.ts
@@ -1,2 +1,2 @@
-export * from "./look-for-caller.js";
-export * from "./on-caller-left.js";
+export * from "./pending-disconnects.js";
+export * from "./on-caller-disconnect.js";
--- a/packages/crash-blame/src/index.ts
+++ b/packages/crash-blame/src/index.ts
@@ -18,7 +18,7 @@
 import { judge, type Verdict } from "./judge.js";
 
 export { heldRequestSchema } from "./held-request-schema.js";
-export { createHeldRequestStore, type HeldRequestStore } from "./held-store.js";
+export { createHeldRequestStore, type HeldRequestStore } from "./held-request-store.js";
 export { settlingMs, type Verdict } from "./judge.js";
 export { reportDecisions } from "./report-decisions.js";
 export { heldRequestsPath } from "./target-crash.js";
--- a/packages/entry-box/src/accounts.steps.ts
+++ b/packages/entry-box/src/accounts.steps.ts
@@ -3,8 +3,8 @@
 import type { BoxProfile, BoxStatus } from "@linkfall/box-peers";
 import { scenarioState } from "@linkfall/test-support";
 import { createBoundedLabel } from "./bounded-label.js";
-import { reachesMajority } from "./connected.js";
-import { limitSharesOf } from "./limit-parts.js";
+import { reachesMajority } from "./connection-check.js";
+import { limitSharesOf } from "./limit-shares.js";
 import { rankAllocators } from "./allocators.js";
 
 function profileOf(capacity: number, index: number, leaving = false): BoxProfile {
--- a/packages/entry-box/src/box-runtime.ts
+++ b/packages/entry-box/src/box-runtime.ts
@@ -6,7 +6,7 @@
 import { metricsName } from "@linkfall/metrics";
 import { createModelDemandMeter, type ModelDemandMeter } from "@linkfall/model-demand";
 import type { Incarnation } from "@linkfall/types";
-import { type ActivityMonitor, createActivityMonitor } from "./activity.js";
+import { type ActivityMonitor, createActivityMonitor } from "./activity-monitor.js";
 import type { EntryBoxPorts } from "./box-ports.js";
 import { createGracefulShutdown, type GracefulShutdown } from "./planned-stop.js";
 
--- a/packages/entry-box/src/create-entry-box.ts
+++ b/packages/entry-box/src/create-entry-box.ts
@@ -6,7 +6,7 @@
 import { metricsName } from "@linkfall/metrics";
 import { orderLeaseName } from "@linkfall/order-lease";
 import type { HeldRequest, LimitedTarget, Milliseconds } from "@linkfall/types";
-import { createAcceptQueueMonitor } from "./accept-watch.js";
+import { createAcceptQueueMonitor } from "./accept-queue-monitor.js";
 import { type BoxRuntime, createBoxRuntime } from "./box-runtime.js";
 import { createBoundedLabel } from "./bounded-label.js";
 import type { EntryBoxPorts } from "./box-ports.js";
--- a/packages/entry-box/src/loop-watch.steps.ts
+++ b/packages/entry-box/src/event-loop-monitor.steps.ts
@@ -2,7 +2,7 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import type { Clock } from "@linkfall/kernel";
 import { createMetrics } from "@linkfall/metrics";
-import { monitorEventLoop } from "./loop-watch.js";
+import { monitorEventLoop } from "./event-loop-monitor.js";
 
 interface Timer {
   readonly dueAt: number;
--- a/packages/entry-box/src/holder-report.ts
+++ b/packages/entry-box/src/holder-report.ts
@@ -13,7 +13,7 @@
 import { orderDispatcherName } from "@linkfall/weight-orders";
 import { type LoadByTarget, ownLoads, sumLoads, subtractLoads } from "./box-loads.js";
 import type { BoxRuntime } from "./box-runtime.js";
-import { reachesMajority } from "./connected.js";
+import { reachesMajority } from "./connection-check.js";
 
 /** Builds the report for one box; `recipient` is undefined for a box that has not sent a heartbeat yet. */
 export type ReportBuilder = (recipient?: BoxStatus) => LeaseHolderReport;
--- a/packages/entry-box/src/provide-blame.ts
+++ b/packages/entry-box/src/provide-blame.ts
@@ -10,7 +10,7 @@
 import { serviceName } from "@linkfall/kernel";
 import { metricsName } from "@linkfall/metrics";
 import type { BoxRuntime } from "./box-runtime.js";
-import { createPeerNotifier } from "./tell-others.js";
+import { createPeerNotifier } from "./peer-notifier.js";
 
 export const heldStoreName = serviceName<HeldRequestStore>("held-store");
 
--- a/packages/entry-box/src/provide-limits.ts
+++ b/packages/entry-box/src/provide-limits.ts
@@ -6,10 +6,10 @@
 import { currentAllocators } from "./allocators.js";
 import type { BoxRuntime } from "./box-runtime.js";
 import { countBoxesWithCallers } from "./boxes-with-callers.js";
-import { createConnectionCheck } from "./connected.js";
+import { createConnectionCheck } from "./connection-check.js";
 import type { LeaseHolderView } from "./heartbeat-receiver.js";
-import { createLimitShares } from "./limit-parts.js";
-import { createPeerNotifier } from "./tell-others.js";
+import { createLimitShares } from "./limit-shares.js";
+import { createPeerNotifier } from "./peer-notifier.js";
 
 export const targetLimitsName = serviceName<TargetLimits>("target-limits");
 
--- a/packages/entry-box/src/provide-quota.ts
+++ b/packages/entry-box/src/provide-quota.ts
@@ -3,9 +3,9 @@
 import { serviceName } from "@linkfall/kernel";
 import { currentAllocators } from "./allocators.js";
 import type { BoxRuntime } from "./box-runtime.js";
-import { createConnectionCheck } from "./connected.js";
+import { createConnectionCheck } from "./connection-check.js";
 import type { LeaseHolderView } from "./heartbeat-receiver.js";
-import { createLimitShares } from "./limit-parts.js";
+import { createLimitShares } from "./limit-shares.js";
 
 export const accountQuotaName = serviceName<AccountQuota>("account-quota");
 
--- a/packages/forwarding/src/attempt.ts
+++ b/packages/forwarding/src/attempt.ts
@@ -12,7 +12,7 @@
   type SendProgress,
 } from "@linkfall/raw-exchange";
 import type { Milliseconds } from "@linkfall/types";
-import type { ResponseSink } from "./answer-sink.js";
+import type { ResponseSink } from "./response-sink.js";
 
 /** Result of one attempt. */
 export type AttemptResult =
--- a/packages/forwarding/src/wait-for-change.ts
+++ b/packages/forwarding/src/change-waiter.ts
@@ -1,7 +1,7 @@
 /** Lets requests wait for a change of the box's view of its targets. */
 import type { Clock } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
-import type { ResponseSink } from "./answer-sink.js";
+import type { ResponseSink } from "./response-sink.js";
 
 export interface ChangeWaiter {
   /** Resolves at the next change, when the caller disconnects, or after `timeoutMs`. */
--- a/packages/forwarding/src/forward-context.ts
+++ b/packages/forwarding/src/forward-context.ts
@@ -6,9 +6,9 @@
 import type { Milliseconds, Route } from "@linkfall/types";
 import type { ForwardedRequest } from "./forwarded-request.js";
 import type { FinalAttempts } from "./crash-check.js";
-import type { TargetProbe } from "./lost-targets.js";
+import type { TargetProbe } from "./target-probe.js";
 import type { SendContext } from "./send-to-target.js";
-import type { ChangeWaiter } from "./wait-for-change.js";
+import type { ChangeWaiter } from "./change-waiter.js";
 
 /** Limits that apply to a request across all of its attempts. */
 export interface ForwardLimits {
--- a/packages/forwarding/src/forward.ts
+++ b/packages/forwarding/src/forward.ts
@@ -12,8 +12,8 @@
   requestedWeights,
   type RequestOutcome,
 } from "./forwarded-request.js";
-import { minReplicaLoadMs, waitForWeights } from "./hold-for-weights.js";
-import { estimateUncachedTokens, pickTarget } from "./pick.js";
+import { minReplicaLoadMs, waitForWeights } from "./wait-for-weights.js";
+import { estimateUncachedTokens, pickTarget } from "./pick-target.js";
 import { acquirePermit, waitOrRefuseLimited } from "./limited-targets.js";
 import { type PickedTarget, sendToTarget, serverErrorStatus } from "./send-to-target.js";
 import {
--- a/packages/forwarding/src/forwarded-request.ts
+++ b/packages/forwarding/src/forwarded-request.ts
@@ -2,7 +2,7 @@
 import type { RequestedWeights } from "@linkfall/model-demand";
 import type { RawHeaders } from "@linkfall/ports";
 import type { Milliseconds, RequestMetadata, Route, RoutedService } from "@linkfall/types";
-import type { ResponseSink } from "./answer-sink.js";
+import type { ResponseSink } from "./response-sink.js";
 import type { StreamPosition } from "./attempt.js";
 
 export interface ForwardedRequest {
--- a/packages/forwarding/src/limited-targets.ts
+++ b/packages/forwarding/src/limited-targets.ts
@@ -4,7 +4,7 @@
 import { expectedReplicaMs, maxQueueMs } from "./admission.js";
 import { type ForwardContext, timeLeftMs } from "./forward-context.js";
 import type { ForwardedRequest } from "./forwarded-request.js";
-import { canServe } from "./pick.js";
+import { canServe } from "./pick-target.js";
 import { continueRequest, refuse, refusedStatus, type Step } from "./request-step.js";
 import type { PickedTarget } from "./send-to-target.js";
 
--- a/packages/forwarding/src/pick.ts
+++ b/packages/forwarding/src/pick-target.ts
@@ -6,8 +6,8 @@
 import { maxQueueMs } from "./admission.js";
 import type { ForwardContext } from "./forward-context.js";
 import { type ForwardedRequest, weightsKey } from "./forwarded-request.js";
-import type { StreamGapMeter } from "./stream-pace.js";
-import type { WorkCostMeter } from "./work-costs.js";
+import type { StreamGapMeter } from "./stream-gap-meter.js";
+import type { WorkCostMeter } from "./work-cost-meter.js";
 
 /** Measurements of targets by this box. */
 export interface TargetMeters {
--- a/packages/forwarding/src/send-to-target.ts
+++ b/packages/forwarding/src/send-to-target.ts
@@ -8,7 +8,7 @@
 import { type AttemptResult, sendAttempt } from "./attempt.js";
 import type { ForwardMetrics } from "./forward-metrics.js";
 import { type ForwardedRequest, weightsKey } from "./forwarded-request.js";
-import type { PickResult, TargetMeters } from "./pick.js";
+import type { PickResult, TargetMeters } from "./pick-target.js";
 
 /** Limits of one send. */
 export interface SendLimits {
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -24,7 +24,7 @@
 import type { Incarnation, MemberEntry, MemberSummary, Offset } from "@linkfall/types";
 import { createElectorate } from "./electorate.js";
 import { createExchange } from "./exchange.js";
-import { createPeerSummaries, type PeerSummaries } from "./heard-words.js";
+import { createPeerSummaries, type PeerSummaries } from "./peer-summaries.js";
 import { isIsolated } from "./isolation.js";
 import { createMemberTable, type Member, type MemberTable } from "./member-table.js";
 import { createPages } from "./pages.js";
--- a/packages/plain-call/src/index.ts
+++ b/packages/plain-call/src/index.ts
@@ -9,7 +9,7 @@
 import { targetWatchName } from "@linkfall/target-watch";
 import type { ServiceTarget } from "@linkfall/types";
 import { maxAttempts, refusalAfterLoss, refusalWithoutTargets } from "./call-refusals.js";
-import { discardBody, forwardResponse, isNotStarted } from "./pass-answer.js";
+import { discardBody, forwardResponse, isNotStarted } from "./forward-response.js";
 import { endToEndHeaders, type PlainCall } from "./plain-call.js";
 
 export type { PlainCall } from "./plain-call.js";
--- a/packages/target-limits/src/index.ts
+++ b/packages/target-limits/src/index.ts
@@ -5,12 +5,16 @@
 import { type AllocationPeers, createDistributedAllocator } from "@linkfall/allocation";
 import { type Clock, sleep } from "@linkfall/kernel";
 import type { Milliseconds } from "@linkfall/types";
-import { createExhaustedTargets } from "./closed-targets.js";
-import { createLimitRegistry, type LimitRegistry, type TargetStartLookup } from "./limit-book.js";
+import { createExhaustedTargets } from "./exhausted-targets.js";
+import {
+  createLimitRegistry,
+  type LimitRegistry,
+  type TargetStartLookup,
+} from "./limit-registry.js";
 import type { PermitGrant, PermitRequest } from "./messages.js";
 import { createPermitAllocator, minPerSecond } from "./permit-allocator.js";
 
-export * from "./limit-book.js";
+export * from "./limit-registry.js";
 export * from "./messages.js";
 export { createPermitAllocator, type PermitAllocator } from "./permit-allocator.js";
 
